--- a/crates/saltpitch-core/src/leader/start.rs
+++ b/crates/saltpitch-core/src/leader/start.rs
@@ -145,11 +145,15 @@
         // Found in every incident of one week: what checkpoints already hold counted as needed until the
         // first write, and each new leader reported a full log.
         self.forget_segments();
-        for (id, chunks) in &view.chunks {
-            if !self.by_id.contains_key(id.as_str()) {
-                self.leftovers
-                    .extend(chunks.keys().map(|c| crate::records::chunk_key(id, *c)));
-            }
+        let over = view.chunks.iter();
+        let mut over: Vec<_> = over
+            .filter(|(id, _)| !self.by_id.contains_key(id.as_str()))
+            .collect();
+        // A hash map's order differs from process to process: the same history must give the same writes.
+        over.sort_unstable_by_key(|(id, _)| *id);
+        for (id, chunks) in over {
+            let keys = chunks.keys().map(|c| crate::records::chunk_key(id, *c));
+            self.leftovers.extend(keys);
         }
     }
 
--- a/crates/saltpitch-testkit/src/cells.rs
+++ b/crates/saltpitch-testkit/src/cells.rs
@@ -14,7 +14,7 @@
 use rand::{Rng, SeedableRng};
 use saltpitch_cells::home::{CellEffect, Delegator, LinkCall, RecordWrite};
 use saltpitch_cells::host::Door;
-use saltpitch_cells::link::{LinkAnswer, LinkRequest};
+use saltpitch_cells::link::{HostStatus, LinkAnswer, LinkRequest};
 use saltpitch_cells::settings::{CellsSettings, Site};
 use saltpitch_core::job::JobState;
 use saltpitch_core::leader::{Outcome, Write};
@@ -24,6 +24,7 @@
 use serde_json::value::RawValue;
 
 use crate::nodes::SITE;
+use crate::trace::Trace;
 use crate::world::{Faults, World};
 
 pub use history::finished;
@@ -103,6 +104,8 @@
     pub calls: u64,
     /// What the cells' logs say of delegations.
     pub log: Vec<String>,
+    /// The fingerprint of the calls over the links and their answers.
+    pub trace: Trace,
     random: SmallRng,
     queue: BTreeMap<(Micros, u64), Event>,
     held: Vec<(usize, Event)>,
@@ -194,6 +197,7 @@
             now: BEGIN,
             calls: 0,
             log: Vec::new(),
+            trace: Trace::default(),
             random: SmallRng::seed_from_u64(seed),
             queue: BTreeMap::new(),
             held: Vec::new(),
@@ -376,6 +380,9 @@
 
     fn call(&mut self, asker: Asker, call: LinkCall) {
         self.calls += 1;
+        let at = self.now;
+        self.trace.event("call", at).number(asker.cell as u64);
+        trace_request(&mut self.trace, &call.request);
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT[1 - asker.cell]));
         let node = usize::from(call.address.port() - address.port());
         let state = self.cells[asker.cell].link;
@@ -439,6 +446,9 @@
     }
 
     fn answered(&mut self, asker: Asker, id: u64, answer: LinkAnswer) {
+        let at = self.now;
+        self.trace.event("answer", at).number(asker.cell as u64);
+        trace_answer(&mut self.trace, &answer);
         let Cell { world, leading, .. } = &mut self.cells[asker.cell];
         let now = world.now;
         let node = &world.nodes[asker.node];
@@ -453,3 +463,48 @@
         }
     }
 }
+
+impl Cells {
+    /// The fingerprint of both cells and of the links between them.
+    pub fn fingerprint(&self) -> u64 {
+        let mut trace = self.trace;
+        for cell in &self.cells {
+            trace.number(cell.world.fingerprint());
+        }
+        trace.hash()
+    }
+}
+
+fn trace_request(trace: &mut Trace, request: &LinkRequest) {
+    match request {
+        LinkRequest::Up => trace.text("up"),
+        LinkRequest::Submit(submission) => trace
+            .text("runs")
+            .text(&submission.id)
+            .number(submission.deadline.map_or(u64::MAX, |left| left.0))
+            .number(u64::from(submission.closing)),
+        LinkRequest::Status { id } => trace.text("status").text(id),
+        LinkRequest::Abort { id, unless_begun } => trace
+            .text("abort")
+            .text(id)
+            .number(u64::from(*unless_begun)),
+    };
+}
+
+fn trace_answer(trace: &mut Trace, answer: &LinkAnswer) {
+    match answer {
+        LinkAnswer::Ready => trace.number(200),
+        LinkAnswer::Status(status) => trace.number(200).text(match status {
+            HostStatus::Pending => "pending",
+            HostStatus::Running => "running",
+            HostStatus::Done => "done",
+            HostStatus::Withdrawn => "withdrawn",
+        }),
+        LinkAnswer::Closed => trace.number(201),
+        LinkAnswer::NotFound => trace.number(404),
+        LinkAnswer::Refused(refusal) => trace.number(u64::from(refusal.status)),
+        LinkAnswer::NotSent => trace.text("not sent"),
+        LinkAnswer::NoAnswer => trace.text("no answer"),
+        LinkAnswer::Malformed(_) => trace.text("malformed"),
+    };
+}
--- /dev/null
+++ b/crates/saltpitch-testkit/src/histories.rs
@@ -0,0 +1,195 @@
+//! Seeded histories of a site and of two cells, played by the tests and by `examples/trace_hashes.rs`.
+
+use saltpitch_core::catalog::Resources;
+use saltpitch_core::job::{JobSpec, Kind, Priority};
+use saltpitch_core::Micros;
+
+use crate::cells::{finished, Cells, LinkState};
+use crate::world::{Faults, World};
+
+/// The cell whose jobs are delegated.
+pub const HOME: usize = 0;
+/// The cell that runs them.
+pub const HOST: usize = 1;
+
+/// A span of whole seconds.
+pub fn seconds(n: u64) -> Micros {
+    Micros::from_secs(n)
+}
+
+/// Plays a history: jobs come for `busy` seconds, some are cancelled, troubles end with them; then
+/// the site has `calm` seconds to complete what it accepted.
+pub fn play(seed: u64, faults: Faults, busy: u64, calm: u64) -> Result<World, String> {
+    let mut w = World::new(seed, faults, Micros::from_secs(busy));
+    let mut ids: Vec<String> = Vec::new();
+    for i in 0..busy / 4 {
+        w.run(Micros::from_secs(i * 4))?;
+        let id = format!("job-{seed:03}{i:04}");
+        let mut spec = w.draw_job();
+        // Some need jobs that came before, in whatever state those are.
+        if spec.kind != Kind::Service && w.luck(3) == 0 {
+            for _ in 0..1 + w.luck(2) {
+                let at = w.luck(ids.len() as u64) as usize;
+                let named = ids.get(at).filter(|n| w.jobs[*n].accepted);
+                let named = named.filter(|n| w.jobs[*n].spec.kind != Kind::Service);
+                spec.needs.extend(named.cloned());
+            }
+        }
+        w.submit(&id, spec);
+        ids.push(id);
+        // Repeats and cancellations of whatever came before.
+        let at = w.luck(ids.len() as u64) as usize;
+        let old = ids[at].clone();
+        match w.luck(4) {
+            0 => {
+                w.cancel(&old);
+            }
+            1 => {
+                let spec = w.jobs[&old].spec.clone();
+                w.submit(&old, spec);
+            }
+            _ => {}
+        }
+    }
+    w.heal();
+    for id in &ids {
+        let spec = w.jobs[id].spec.clone();
+        w.submit(id, spec);
+    }
+    w.run(Micros::from_secs(busy + calm / 2))?;
+    // Services end when their users say so; until then they may hold a team's whole limit. So do
+    // jobs that fail everywhere.
+    for id in &ids {
+        let j = &w.jobs[id];
+        if j.spec.kind == Kind::Service || j.mistaken {
+            w.cancel(id);
+        }
+    }
+    w.run(Micros::from_secs(busy + calm))?;
+    Ok(w)
+}
+
+/// What was accepted must have run once the troubles are over.
+pub fn served(w: &World) -> Result<(), String> {
+    for (id, j) in &w.jobs {
+        if j.cancelled_at.or(j.withdrawn_at).is_some() {
+            if w.running(id) > 0 {
+                return Err(format!("{id} was cancelled and still runs"));
+            }
+            continue;
+        }
+        match j.spec.kind {
+            Kind::Service => {}
+            _ if !w.is_done(id) => return Err(format!("{id} ({:?}) is not done", j.spec.kind)),
+            _ => {}
+        }
+    }
+    Ok(())
+}
+
+/// A batch job of `tasks` tasks of two processors, running for about `run` seconds.
+pub fn batch(cells: &mut Cells, tasks: u32, run: u64) -> JobSpec {
+    let drawn = cells.cells[HOME].world.draw_job();
+    JobSpec {
+        class: "batch".to_owned(),
+        team: "red".to_owned(),
+        kind: Kind::Array,
+        priority: Priority::Normal,
+        tasks,
+        need: Resources {
+            cpu: 2_000,
+            gpu: 0,
+            mem: 2_000,
+        },
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: true,
+        image: "img-0".to_owned(),
+        estimate: seconds(run),
+        checkpoint: Micros::ZERO,
+        save: Micros::ZERO,
+        deadline: None,
+        needs: Vec::new(),
+        ..drawn
+    }
+}
+
+/// Services that keep so many machines of this cell up, each with room for one task of a batch job.
+pub fn keep_machines(cells: &mut Cells, cell: usize, machines: u64) {
+    for i in 0..machines {
+        let mut spec = JobSpec {
+            class: "web".to_owned(),
+            kind: Kind::Service,
+            priority: Priority::Production,
+            spot: false,
+            estimate: Micros::ZERO,
+            team: "blue".to_owned(),
+            ..batch(cells, 1, 0)
+        };
+        spec.need.cpu = 5_000;
+        let id = format!("job-9{cell}{i:02}0");
+        assert!(cells.cells[cell].world.submit(&id, spec));
+    }
+}
+
+/// Sets the state of both links.
+pub fn set_links(cells: &mut Cells, state: LinkState) {
+    for cell in [HOME, HOST] {
+        cells.set_link(cell, state);
+    }
+}
+
+/// One history with everything at random.
+pub fn play_cells(seed: u64, faults: Faults) -> Result<Cells, String> {
+    let mut cells = Cells::new(seed, faults, seconds(240));
+    for cell in [HOME, HOST] {
+        cells.cells[cell].copies = 6;
+        keep_machines(&mut cells, cell, 2);
+    }
+    for i in 0..80u64 {
+        cells.run(seconds(i * 3))?;
+        // One cell is short of machines, then the other.
+        let short = usize::from(i / 20 % 2 == 1);
+        cells.cells[short].world.machine_limit = cells.luck(2) as u32;
+        cells.cells[1 - short].world.machine_limit = 2;
+        if cells.luck(6) == 0 {
+            let states = [
+                LinkState::Works,
+                LinkState::Works,
+                LinkState::Refuses,
+                LinkState::Holds,
+                LinkState::LosesAnswers,
+                LinkState::IsSlow,
+            ];
+            let state = states[cells.luck(6) as usize];
+            let cell = cells.luck(2) as usize;
+            cells.set_link(cell, state);
+        }
+        let cell = cells.luck(2) as usize;
+        let (tasks, run) = (1 + cells.luck(6) as u32, 3 + cells.luck(20));
+        let mut spec = batch(&mut cells, tasks, run);
+        if cells.luck(4) == 0 {
+            spec.kind = Kind::Gang;
+        }
+        let id = format!("job-{seed:03}{i:03}0");
+        cells.cells[cell].world.submit(&id, spec);
+        if cells.luck(5) == 0 {
+            let back = cells.luck(i + 1);
+            let id = format!("job-{seed:03}{back:03}0");
+            for cell in [HOME, HOST] {
+                cells.cells[cell].world.cancel(&id);
+            }
+        }
+    }
+    for cell in [HOME, HOST] {
+        cells.cells[cell].world.heal();
+        cells.cells[cell].world.machine_limit = 3;
+        cells.cells[cell].copies = 0;
+    }
+    set_links(&mut cells, LinkState::Works);
+    cells.run(seconds(620))?;
+    finished(&cells)?;
+    Ok(cells)
+}
--- a/crates/saltpitch-testkit/src/lib.rs
+++ b/crates/saltpitch-testkit/src/lib.rs
@@ -5,9 +5,11 @@
 //! and checks every rule after it.
 
 pub mod cells;
+pub mod histories;
 pub mod nodes;
 pub mod rules;
 pub mod store;
+pub mod trace;
 pub mod version_zero;
 pub mod workers;
 pub mod world;
--- a/crates/saltpitch-testkit/src/store.rs
+++ b/crates/saltpitch-testkit/src/store.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeMap;
 
+use crate::trace::Trace;
 use saltpitch_core::leader::{Outcome, Write};
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
@@ -29,6 +30,8 @@
     now: Micros,
     /// Transactions turned down for their size.
     pub rejected: u64,
+    /// The fingerprint of all transactions.
+    pub trace: Trace,
 }
 
 impl Store {
@@ -53,11 +56,25 @@
         self.log.push((rev, key.to_owned(), value));
     }
 
+    /// Carries out a transaction, or says why it was not.
     pub fn txn(
         &mut self,
         when: &[(String, u64)],
         writes: &[Write],
         hold: Option<(u64, &str)>,
+    ) -> Outcome {
+        let outcome = self.carry_out(when, writes, hold);
+        self.trace.event("store", self.now);
+        self.trace.transaction(when, writes);
+        self.trace.outcome(&outcome);
+        outcome
+    }
+
+    fn carry_out(
+        &mut self,
+        when: &[(String, u64)],
+        writes: &[Write],
+        hold: Option<(u64, &str)>,
     ) -> Outcome {
         if self.down {
             return Outcome::Refused;
--- /dev/null
+++ b/crates/saltpitch-testkit/src/trace.rs
@@ -0,0 +1,186 @@
+//! A fingerprint of a simulated history, to show that a change of the code left its behaviour alone.
+//!
+//! Every effect of a scheduler, every transaction and every answer is folded into one hash together
+//! with its time. Fields are written one by one under the names that they have on the wire, never with
+//! `Debug`, so that renaming a type or a field in the code does not change the hash. Two runs of one
+//! seed agree; so do two versions of the code that behave alike. `examples/trace_hashes.rs` prints the
+//! hashes of whole ranges of seeds.
+
+use saltpitch_core::cluster::Order;
+use saltpitch_core::controller::ReportAnswer;
+use saltpitch_core::leader::{Effect, Outcome, Write};
+use saltpitch_core::messages::PeerStatus;
+use saltpitch_core::Micros;
+
+/// The parameters of the 64-bit FNV-1a hash.
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+
+/// A running hash over what has happened so far.
+#[derive(Clone, Copy, Debug)]
+pub struct Trace {
+    hash: u64,
+    events: u64,
+}
+
+impl Default for Trace {
+    fn default() -> Trace {
+        Trace {
+            hash: FNV_OFFSET,
+            events: 0,
+        }
+    }
+}
+
+impl Trace {
+    /// The hash of all that was recorded.
+    pub fn hash(&self) -> u64 {
+        self.hash
+    }
+
+    /// How many events were recorded.
+    pub fn events(&self) -> u64 {
+        self.events
+    }
+
+    /// Begins an event of this kind.
+    pub fn event(&mut self, kind: &str, at: Micros) -> &mut Trace {
+        self.events += 1;
+        self.text(kind).number(at.0)
+    }
+
+    /// A field of the present event.
+    pub fn text(&mut self, text: &str) -> &mut Trace {
+        // The length first: two fields never run into one another.
+        self.number(text.len() as u64).bytes(text.as_bytes())
+    }
+
+    /// A field of the present event.
+    pub fn number(&mut self, number: u64) -> &mut Trace {
+        self.bytes(&number.to_le_bytes())
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) -> &mut Trace {
+        for byte in bytes {
+            self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
+        }
+        self
+    }
+
+    /// What a scheduler wants done.
+    pub fn effect(&mut self, node: usize, effect: &Effect, at: Micros) {
+        self.event("effect", at).number(node as u64);
+        match effect {
+            Effect::Txn { when, writes } => self.transaction(when, writes),
+            Effect::Refresh => {
+                self.text("refresh");
+            }
+            Effect::Orders {
+                machine,
+                addr,
+                session,
+                token,
+                orders,
+            } => {
+                self.text("orders").text(machine).text(addr);
+                self.number(*session).number(*token);
+                self.orders(orders);
+            }
+            Effect::Probe { machine, addr } => {
+                self.text("show").text(machine).text(addr);
+            }
+            Effect::Rent {
+                request,
+                type_name,
+                zone,
+                spot,
+                count,
+            } => {
+                self.text("charter").text(request).text(type_name);
+                self.text(zone).number(u64::from(*spot));
+                self.number(u64::from(*count));
+            }
+            Effect::Return { names } => {
+                self.text("return");
+                for name in names {
+                    self.text(name);
+                }
+            }
+            Effect::RaiseTerm => {
+                self.text("raise");
+            }
+        }
+    }
+
+    /// A transaction with its conditions.
+    pub fn transaction(&mut self, when: &[(String, u64)], writes: &[Write]) {
+        self.text("txn");
+        for (key, revision) in when {
+            self.text(key).number(*revision);
+        }
+        for write in writes {
+            self.text(&write.key);
+            self.text(write.value.as_deref().unwrap_or("delete"));
+        }
+    }
+
+    /// What became of a transaction.
+    pub fn outcome(&mut self, outcome: &Outcome) {
+        match outcome {
+            Outcome::Done(revision) => self.text("done").number(*revision),
+            Outcome::Failed(keys) => keys
+                .iter()
+                .fold(self.text("failed"), |trace, key| trace.text(key)),
+            Outcome::Refused => self.text("refused"),
+            Outcome::Throttled => self.text("throttled"),
+            Outcome::Rejected => self.text("rejected"),
+            Outcome::Unknown => self.text("unknown"),
+        };
+    }
+
+    /// The answer to a worker's report.
+    pub fn report_answer(&mut self, node: usize, answer: &ReportAnswer, at: Micros) {
+        self.event("report", at).number(node as u64);
+        match answer {
+            ReportAnswer::Orders { token, orders } => {
+                self.number(200).number(*token);
+                self.orders(orders);
+            }
+            ReportAnswer::Redirect { leader } => {
+                self.number(421).text(leader.as_deref().unwrap_or_default());
+            }
+        }
+    }
+
+    /// The answer to a controller's heartbeat.
+    pub fn heartbeat_answer(&mut self, answer: &PeerStatus, at: Micros) {
+        self.event("hello", at).text(&answer.node);
+        self.number(answer.term).text(&answer.term_owner);
+        self.number(answer.term_incarnation);
+        self.number(u64::from(answer.is_leader));
+        self.number(u64::from(answer.store_reachable));
+        self.number(u64::from(answer.redirected_workers));
+        for job in answer.ack.iter().flat_map(|ack| &ack.cancelled) {
+            self.text(job);
+        }
+    }
+
+    fn orders(&mut self, orders: &[Order]) {
+        self.number(orders.len() as u64);
+        for order in orders {
+            let (kind, job, task, attempt, grace) = match order {
+                Order::Start { job, task, attempt } => ("launch", job, task, attempt, None),
+                Order::Stop {
+                    job,
+                    task,
+                    attempt,
+                    grace,
+                } => ("kill", job, task, attempt, Some(*grace)),
+                Order::Forget { job, task, attempt } => ("reap", job, task, attempt, None),
+            };
+            self.text(kind).text(job);
+            self.number(u64::from(*task)).number(u64::from(*attempt));
+            self.number(grace.map_or(u64::MAX, |grace| grace.0));
+        }
+    }
+}
--- a/crates/saltpitch-testkit/src/world/controllers.rs
+++ b/crates/saltpitch-testkit/src/world/controllers.rs
@@ -231,6 +231,7 @@
             return self.after(frozen, move |w| w.heartbeat_arrives(exchange, heartbeat));
         }
         let answer = self.nodes[exchange.to].heartbeat_received(heartbeat, now);
+        self.trace.heartbeat_answer(&answer, now);
         if now.since(exchange.asked_at) > HEARTBEAT_TIMEOUT {
             return;
         }
--- a/crates/saltpitch-testkit/src/world/effects.rs
+++ b/crates/saltpitch-testkit/src/world/effects.rs
@@ -4,6 +4,7 @@
 
 impl World {
     pub(super) fn carry_out(&mut self, n: usize, epoch: u64, e: Effect) {
+        self.trace.effect(n, &e, self.now);
         match e {
             Effect::Txn { when, writes } => self.send_txn(n, epoch, when, writes),
             Effect::Refresh => {
--- a/crates/saltpitch-testkit/src/world/machines.rs
+++ b/crates/saltpitch-testkit/src/world/machines.rs
@@ -92,7 +92,8 @@
             return self.after(frozen, move |w| w.deliver_copy(n, r));
         }
         if self.nodes[n].may_answer(now) {
-            let _ = self.nodes[n].report(r, now);
+            let answer = self.nodes[n].report(r, now);
+            self.trace.report_answer(n, &answer, now);
             self.poll(n);
         }
     }
@@ -110,7 +111,9 @@
         if !self.nodes[n].started {
             return;
         }
-        let (answer, leader) = match self.nodes[n].report(r, now) {
+        let answer = self.nodes[n].report(r, now);
+        self.trace.report_answer(n, &answer, now);
+        let (answer, leader) = match answer {
             ReportAnswer::Orders { token, orders } => (Some((token, orders)), None),
             ReportAnswer::Redirect { leader } => (None, leader),
         };
--- a/crates/saltpitch-testkit/src/world/mod.rs
+++ b/crates/saltpitch-testkit/src/world/mod.rs
@@ -23,6 +23,7 @@
 use crate::nodes::{Node, SITE};
 use crate::rules;
 use crate::store::Store;
+use crate::trace::Trace;
 use crate::workers::{Held, Worker};
 
 mod cloud;
@@ -166,6 +167,8 @@
     pub machine_limit: u32,
     /// Machines that were up and reachable from somewhere when the service returned them.
     pub returned_alive: u64,
+    /// The fingerprint of what the controllers did and answered.
+    pub trace: Trace,
     cfg: Config,
     catalog: Arc<Catalog>,
     requests: BTreeMap<String, Vec<String>>,
@@ -260,6 +263,7 @@
             done_elsewhere: BTreeSet::new(),
             machine_limit: 3,
             returned_alive: 0,
+            trace: Trace::default(),
             late_writes_until: Micros::ZERO,
             slow_links_until: Micros::ZERO,
             next_limits: None,
@@ -367,6 +371,13 @@
         self.nodes.iter().position(|n| n.may_answer(self.now))
     }
 
+    /// The fingerprint of the history so far, see [`crate::trace`].
+    pub fn fingerprint(&self) -> u64 {
+        let mut trace = self.trace;
+        trace.number(self.store.trace.hash());
+        trace.hash()
+    }
+
     pub fn heal(&mut self) {
         self.faults = Faults::default();
         self.store.down = false;
--- a/crates/saltpitch-testkit/src/world/observe.rs
+++ b/crates/saltpitch-testkit/src/world/observe.rs
@@ -41,6 +41,13 @@
         for (id, job) in &mut self.jobs {
             let by_any = self.nodes.iter().any(|n| known(n, id));
             for (n, node) in self.nodes.iter().enumerate() {
+                let state = node.view().state(id).map_or(0, |state| match state {
+                    JobState::Active => 1,
+                    JobState::Done => 2,
+                    JobState::Cancelled => 3,
+                });
+                self.trace.event("status", now).text(id);
+                self.trace.number(n as u64).number(state);
                 if node.is_up(now) && by_any {
                     job.answered[n] = now;
                 }
--- a/crates/saltpitch-testkit/src/world/users.rs
+++ b/crates/saltpitch-testkit/src/world/users.rs
@@ -37,7 +37,10 @@
             key: key.clone(),
             value: serde_json::to_string(&record).ok(),
         };
-        match self.store.txn(&[(key, 0)], &[write], None) {
+        let outcome = self.store.txn(&[(key, 0)], &[write], None);
+        self.trace.event("submit", self.now).text(id);
+        self.trace.outcome(&outcome);
+        match outcome {
             Outcome::Done(_) | Outcome::Failed(_) => {
                 known.accepted = true;
                 self.note_withdrawn();
@@ -86,6 +89,8 @@
         };
         let value = write.value.clone().unwrap_or_default();
         let done = self.store.txn(&[(key.clone(), entry.rev)], &[write], None);
+        self.trace.event("abort", self.now).text(id);
+        self.trace.outcome(&done);
         let ok = matches!(done, Outcome::Done(_));
         if let Outcome::Done(rev) = done {
             if let Ok(value) = serde_json::value::RawValue::from_string(value) {
--- a/crates/saltpitch-testkit/tests/cells.rs
+++ b/crates/saltpitch-testkit/tests/cells.rs
@@ -4,62 +4,11 @@
 use saltpitch_core::records::{job_key, DelegationState, JobRecord};
 use saltpitch_core::Micros;
 use saltpitch_testkit::cells::{finished, Cells, LinkState, NAMES};
+use saltpitch_testkit::histories::{
+    batch, keep_machines, play_cells, seconds, set_links, HOME, HOST,
+};
 use saltpitch_testkit::Faults;
 
-const HOME: usize = 0;
-const HOST: usize = 1;
-
-fn seconds(n: u64) -> Micros {
-    Micros::from_secs(n)
-}
-
-/// A batch job of `tasks` tasks of two processors, running for about `run` seconds.
-fn batch(cells: &mut Cells, tasks: u32, run: u64) -> JobSpec {
-    let drawn = cells.cells[HOME].world.draw_job();
-    JobSpec {
-        class: "batch".to_owned(),
-        team: "red".to_owned(),
-        kind: Kind::Array,
-        priority: Priority::Normal,
-        tasks,
-        need: saltpitch_core::catalog::Resources {
-            cpu: 2_000,
-            gpu: 0,
-            mem: 2_000,
-        },
-        types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        image: "img-0".to_owned(),
-        estimate: seconds(run),
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
-        deadline: None,
-        needs: Vec::new(),
-        ..drawn
-    }
-}
-
-/// Services that keep so many machines of this cell up, each with room for one task of a batch job.
-fn keep_machines(cells: &mut Cells, cell: usize, machines: u64) {
-    for i in 0..machines {
-        let mut spec = JobSpec {
-            class: "web".to_owned(),
-            kind: Kind::Service,
-            priority: Priority::Production,
-            spot: false,
-            estimate: Micros::ZERO,
-            team: "blue".to_owned(),
-            ..batch(cells, 1, 0)
-        };
-        spec.need.cpu = 5_000;
-        let id = format!("job-9{cell}{i:02}0");
-        assert!(cells.cells[cell].world.submit(&id, spec));
-    }
-}
-
 fn record(cells: &Cells, cell: usize, id: &str) -> Option<JobRecord> {
     let entry = cells.cells[cell].world.store.keys.get(&job_key(id))?;
     serde_json::from_str(&entry.value).ok()
@@ -104,12 +53,6 @@
     ids.map(|id| world.running(id)).sum()
 }
 
-fn set_links(cells: &mut Cells, state: LinkState) {
-    for cell in [HOME, HOST] {
-        cells.set_link(cell, state);
-    }
-}
-
 #[test]
 fn work_that_cannot_begin_at_home_runs_at_the_host() {
     let mut cells = full_home(1);
@@ -455,63 +398,10 @@
     assert!(broken.contains("owned_twice"), "{broken}");
 }
 
-/// One history with everything at random.
-fn history(seed: u64, faults: Faults) -> Result<Cells, String> {
-    let mut cells = Cells::new(seed, faults, seconds(240));
-    for cell in [HOME, HOST] {
-        cells.cells[cell].copies = 6;
-        keep_machines(&mut cells, cell, 2);
-    }
-    for i in 0..80u64 {
-        cells.run(seconds(i * 3))?;
-        // One cell is short of machines, then the other.
-        let short = usize::from(i / 20 % 2 == 1);
-        cells.cells[short].world.machine_limit = cells.luck(2) as u32;
-        cells.cells[1 - short].world.machine_limit = 2;
-        if cells.luck(6) == 0 {
-            let states = [
-                LinkState::Works,
-                LinkState::Works,
-                LinkState::Refuses,
-                LinkState::Holds,
-                LinkState::LosesAnswers,
-                LinkState::IsSlow,
-            ];
-            let state = states[cells.luck(6) as usize];
-            let cell = cells.luck(2) as usize;
-            cells.set_link(cell, state);
-        }
-        let cell = cells.luck(2) as usize;
-        let (tasks, run) = (1 + cells.luck(6) as u32, 3 + cells.luck(20));
-        let mut spec = batch(&mut cells, tasks, run);
-        if cells.luck(4) == 0 {
-            spec.kind = Kind::Gang;
-        }
-        let id = format!("job-{seed:03}{i:03}0");
-        cells.cells[cell].world.submit(&id, spec);
-        if cells.luck(5) == 0 {
-            let back = cells.luck(i + 1);
-            let id = format!("job-{seed:03}{back:03}0");
-            for cell in [HOME, HOST] {
-                cells.cells[cell].world.cancel(&id);
-            }
-        }
-    }
-    for cell in [HOME, HOST] {
-        cells.cells[cell].world.heal();
-        cells.cells[cell].world.machine_limit = 3;
-        cells.cells[cell].copies = 0;
-    }
-    set_links(&mut cells, LinkState::Works);
-    cells.run(seconds(620))?;
-    finished(&cells)?;
-    Ok(cells)
-}
-
 fn histories(seeds: std::ops::Range<u64>, faults: Faults) {
     let mut lent = 0;
     for seed in seeds {
-        let cells = history(seed, faults).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
+        let cells = play_cells(seed, faults).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
         for (cell, name) in cells.cells.iter().zip(NAMES) {
             let guests = cell.world.jobs.keys();
             lent += guests.filter(|id| !id.starts_with("job-")).count();
--- a/crates/saltpitch-testkit/tests/world.rs
+++ b/crates/saltpitch-testkit/tests/world.rs
@@ -2,78 +2,9 @@
 
 use saltpitch_core::job::{Kind, Priority};
 use saltpitch_core::Micros;
+use saltpitch_testkit::histories::{play, served};
 use saltpitch_testkit::{rules, Faults, World};
 
-/// Plays a history: jobs come for `busy` seconds, some are cancelled, troubles end with them; then
-/// the site has `calm` seconds to complete what it accepted.
-fn play(seed: u64, faults: Faults, busy: u64, calm: u64) -> Result<World, String> {
-    let mut w = World::new(seed, faults, Micros::from_secs(busy));
-    let mut ids: Vec<String> = Vec::new();
-    for i in 0..busy / 4 {
-        w.run(Micros::from_secs(i * 4))?;
-        let id = format!("job-{seed:03}{i:04}");
-        let mut spec = w.draw_job();
-        // Some need jobs that came before, in whatever state those are.
-        if spec.kind != Kind::Service && w.luck(3) == 0 {
-            for _ in 0..1 + w.luck(2) {
-                let at = w.luck(ids.len() as u64) as usize;
-                let named = ids.get(at).filter(|n| w.jobs[*n].accepted);
-                let named = named.filter(|n| w.jobs[*n].spec.kind != Kind::Service);
-                spec.needs.extend(named.cloned());
-            }
-        }
-        w.submit(&id, spec);
-        ids.push(id);
-        // Repeats and cancellations of whatever came before.
-        let at = w.luck(ids.len() as u64) as usize;
-        let old = ids[at].clone();
-        match w.luck(4) {
-            0 => {
-                w.cancel(&old);
-            }
-            1 => {
-                let spec = w.jobs[&old].spec.clone();
-                w.submit(&old, spec);
-            }
-            _ => {}
-        }
-    }
-    w.heal();
-    for id in &ids {
-        let spec = w.jobs[id].spec.clone();
-        w.submit(id, spec);
-    }
-    w.run(Micros::from_secs(busy + calm / 2))?;
-    // Services end when their users say so; until then they may hold a team's whole limit. So do
-    // jobs that fail everywhere.
-    for id in &ids {
-        let j = &w.jobs[id];
-        if j.spec.kind == Kind::Service || j.mistaken {
-            w.cancel(id);
-        }
-    }
-    w.run(Micros::from_secs(busy + calm))?;
-    Ok(w)
-}
-
-/// What was accepted must have run once the troubles are over.
-fn served(w: &World) -> Result<(), String> {
-    for (id, j) in &w.jobs {
-        if j.cancelled_at.or(j.withdrawn_at).is_some() {
-            if w.running(id) > 0 {
-                return Err(format!("{id} was cancelled and still runs"));
-            }
-            continue;
-        }
-        match j.spec.kind {
-            Kind::Service => {}
-            _ if !w.is_done(id) => return Err(format!("{id} ({:?}) is not done", j.spec.kind)),
-            _ => {}
-        }
-    }
-    Ok(())
-}
-
 fn many(seeds: std::ops::Range<u64>, faults: Faults, busy: u64, calm: u64) {
     for seed in seeds {
         let end = play(seed, faults, busy, calm).and_then(|w| served(&w));
