--- a/crates/saltpitch-cells/src/host.rs
+++ b/crates/saltpitch-cells/src/host.rs
@@ -4,9 +4,9 @@
 //! request. Two controllers asked at the same moment may exceed a bound by one job each.
 
 use saltpitch_core::catalog::Catalog;
-use saltpitch_core::job::{JobSpec, JobState, Kind, Never, Priority};
+use saltpitch_core::job::{Infeasible, JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::quota::TeamLimits;
-use saltpitch_core::records::{Guest, JobRecord, View};
+use saltpitch_core::records::{Guest, JobRecord, RecordCache};
 use saltpitch_core::Micros;
 
 use crate::ids;
@@ -30,7 +30,7 @@
     TooLarge,
     /// This cell could never run it.
     #[error("{0}")]
-    Never(Never),
+    Infeasible(Infeasible),
     /// There is no room at present.
     #[error("no room to spare at present")]
     NoRoom,
@@ -64,10 +64,10 @@
 
 impl GuestLoad {
     /// What `cell`'s jobs take according to the records.
-    pub fn of(view: &View, cell: &str) -> GuestLoad {
+    pub fn of(records: &RecordCache, cell: &str) -> GuestLoad {
         let mut load = GuestLoad::default();
-        for id in view.guests() {
-            let Some(record) = view.jobs.get(id).map(|entry| &entry.record) else {
+        for id in records.guests() {
+            let Some(record) = records.jobs.get(id).map(|entry| &entry.record) else {
                 continue;
             };
             let from_cell = record
@@ -77,7 +77,7 @@
             let Some(spec) = record.spec.as_ref().filter(|_| from_cell) else {
                 continue;
             };
-            let (running, done) = view.counts(id);
+            let (running, done) = records.counts(id);
             load.jobs += 1;
             load.tasks += u64::from(spec.tasks);
             load.waiting += usize::from(running == 0 && done == 0);
@@ -104,29 +104,29 @@
 
 /// The listener that is open for one neighbour, as a function of the records.
 #[derive(Clone, Debug)]
-pub struct Door {
+pub struct HostAdmission {
     /// The neighbour.
     pub cell: String,
     /// On what terms its jobs are taken.
     pub settings: GuestSettings,
 }
 
-impl Door {
+impl HostAdmission {
     /// The id under which the records hold what the neighbour sent as `sent`.
     pub fn guest_id(&self, sent: &str) -> String {
         ids::guest_id(&self.cell, sent)
     }
 
     /// Whether the neighbour may send a job now.
-    pub fn has_room(&self, view: &View) -> bool {
-        GuestLoad::of(view, &self.cell).has_room(&self.settings)
+    pub fn has_room(&self, records: &RecordCache) -> bool {
+        GuestLoad::of(records, &self.cell).has_room(&self.settings)
     }
 
-    /// A job's status, `None` if it is not known. A cell's answers are as new as `view`.
-    pub fn status(&self, view: &View, sent: &str) -> Option<HostStatus> {
+    /// A job's status, `None` if it is not known. A cell's answers are as new as `records`.
+    pub fn status(&self, records: &RecordCache, sent: &str) -> Option<HostStatus> {
         let id = self.guest_id(sent);
-        let (running, done) = view.counts(&id);
-        Some(match view.state(&id)? {
+        let (running, done) = records.counts(&id);
+        Some(match records.state(&id)? {
             JobState::Done => HostStatus::Done,
             JobState::Cancelled => HostStatus::Withdrawn,
             JobState::Active if running + done > 0 => HostStatus::Running,
@@ -136,8 +136,8 @@
 
     /// Whether a job is to be cancelled on these records. A job that began while the neighbour's request was
     /// under way stays, so that no work is done twice.
-    pub fn cancels(&self, view: &View, sent: &str, unless_begun: bool) -> bool {
-        match self.status(view, sent) {
+    pub fn cancels(&self, records: &RecordCache, sent: &str, unless_begun: bool) -> bool {
+        match self.status(records, sent) {
             Some(HostStatus::Pending) => true,
             Some(HostStatus::Running) => !unless_begun,
             Some(HostStatus::Done | HostStatus::Withdrawn) | None => false,
@@ -147,29 +147,29 @@
     /// What to do about a submission.
     pub fn admit(
         &self,
-        view: &View,
+        records: &RecordCache,
         submission: &Submission,
         site: &HostSite<'_>,
         wall: Micros,
     ) -> Result<Admission, GuestError> {
-        if let Some(status) = self.status(view, &submission.id) {
+        if let Some(status) = self.status(records, &submission.id) {
             return Ok(Admission::Known(status));
         }
         if submission.closing {
             return Ok(Admission::Create(closed()));
         }
         let spec = self.adopt(submission);
-        self.check(&spec, &GuestLoad::of(view, &self.cell))?;
+        self.check(&spec, &GuestLoad::of(records, &self.cell))?;
         spec.can_ever_run(site.catalog, site.teams)
-            .map_err(GuestError::Never)?;
+            .map_err(GuestError::Infeasible)?;
         Ok(Admission::Create(self.record(wall, spec)))
     }
 
     fn check(&self, spec: &JobSpec, load: &GuestLoad) -> Result<(), GuestError> {
-        if spec.kind == Kind::Service {
+        if spec.kind == JobKind::Service {
             return Err(GuestError::Service);
         }
-        if !spec.needs.is_empty() {
+        if !spec.dependencies.is_empty() {
             return Err(GuestError::Dependencies);
         }
         let tasks = u64::from(spec.tasks);
--- a/crates/saltpitch-cells/src/lib.rs
+++ b/crates/saltpitch-cells/src/lib.rs
@@ -6,20 +6,20 @@
 //! # Modules
 //!
 //! - [`settings`]: the operators' file, checked field by field.
-//! - [`home`]: the home cell's side: [`home::Delegator`] decides what is offered, asked for, taken back and
+//! - [`origin`]: the home cell's side: [`home::Delegator`] decides what is offered, asked for, taken back and
 //!   written. It lives as long as one leadership.
 //! - [`host`]: the host cell's side: which guests are taken, and as what.
-//! - [`link`]: what is asked over the link and what may be answered, [`neighbour`]: how a neighbour has
+//! - [`link`]: what is asked over the link and what may be answered, [`peer_link`]: how a neighbour has
 //!   answered, and when it may be called.
 //! - [`ids`]: the ids under which a delegated job is known.
 //! - [`notice`]: what the log is told.
 
 #![warn(missing_docs)]
 
-pub mod home;
 pub mod host;
 pub mod ids;
 pub mod link;
-pub mod neighbour;
 pub mod notice;
+pub mod origin;
+pub mod peer_link;
 pub mod settings;
--- a/crates/saltpitch-cells/src/notice.rs
+++ b/crates/saltpitch-cells/src/notice.rs
@@ -4,7 +4,7 @@
 
 use saltpitch_core::Micros;
 
-use crate::home::Transition;
+use crate::origin::Transition;
 
 /// One event for the log.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/saltpitch-cells/src/home/messages.rs
+++ b/crates/saltpitch-cells/src/origin/messages.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use saltpitch_core::job::{JobSpec, JobState};
-use saltpitch_core::records::{Delegation, DelegationState, JobEntry, JobRecord, View};
+use saltpitch_core::records::{Delegation, DelegationState, JobEntry, JobRecord, RecordCache};
 use saltpitch_core::Micros;
 
 use super::step::{Request, Transition};
@@ -11,10 +11,10 @@
 
 /// The record and the delegation of a job that another cell may own.
 pub(super) fn open_delegation<'a>(
-    view: &'a View,
+    records: &'a RecordCache,
     job: &str,
 ) -> Option<(&'a JobEntry, &'a Delegation)> {
-    let entry = view.jobs.get(job)?;
+    let entry = records.jobs.get(job)?;
     let delegation = entry.record.delegation.as_ref()?;
     let open = entry.record.state == JobState::Active && delegation.is_open();
     open.then_some((entry, delegation))
@@ -45,11 +45,11 @@
 
 /// All that a job waited on is done; the host would not know it.
 fn without_dependencies(spec: Arc<JobSpec>) -> Arc<JobSpec> {
-    if spec.needs.is_empty() {
+    if spec.dependencies.is_empty() {
         return spec;
     }
     let mut spec = JobSpec::clone(&spec);
-    spec.needs.clear();
+    spec.dependencies.clear();
     Arc::new(spec)
 }
 
--- a/crates/saltpitch-cells/src/home/mod.rs
+++ b/crates/saltpitch-cells/src/origin/mod.rs
@@ -13,15 +13,15 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use saltpitch_core::controller::LendingAccess;
-use saltpitch_core::leader::{Leader, Outcome};
-use saltpitch_core::records::{Delegation, DelegationState, JobEntry, View, TERM_KEY};
+use saltpitch_core::controller::DelegationAccess;
+use saltpitch_core::records::{Delegation, DelegationState, JobEntry, RecordCache, TERM_KEY};
+use saltpitch_core::scheduler::{Precondition, Scheduler, TransactionOutcome};
 use saltpitch_core::Micros;
 
 use crate::ids;
 use crate::link::{HostStatus, LinkAnswer, LinkRequest, Refusal};
-use crate::neighbour::Link;
 use crate::notice::Notice;
+use crate::peer_link::Link;
 use crate::settings::{CellsSettings, LendSettings};
 
 use messages::{open_delegation, written_record};
@@ -161,14 +161,14 @@
     /// Whatever is due. `wall` is the time of day.
     pub fn poll(
         &mut self,
-        access: &mut LendingAccess<'_>,
+        access: &mut DelegationAccess<'_>,
         now: Micros,
         wall: Micros,
     ) -> Vec<CellEffect> {
-        for settled in self.writes.settle_by_records(access.view) {
-            self.settled(&settled, access.leader, now);
+        for settled in self.writes.settle_by_records(access.records) {
+            self.settled(&settled, access.scheduler, now);
         }
-        self.follow_records(access.view);
+        self.follow_records(access.records);
         if now >= self.next_plan {
             self.next_plan = now.plus(PLAN_INTERVAL);
             self.plan_offers(access, now);
@@ -181,19 +181,19 @@
     }
 
     /// Delegations that have come or gone on record.
-    fn follow_records(&mut self, view: &View) {
+    fn follow_records(&mut self, records: &RecordCache) {
         let writes = &self.writes;
         self.tracked.retain(|job, tracked| {
-            let delegation = open_delegation(view, job);
+            let delegation = open_delegation(records, job);
             let same = |(_, delegation): (_, &Delegation)| delegation.number == tracked.number;
             // An offer that is being written is not on record yet.
             delegation.map_or(writes.concerns(job), same)
         });
-        for job in view.delegated() {
+        for job in records.delegated() {
             if self.tracked.contains_key(job) {
                 continue;
             }
-            if let Some((_, delegation)) = open_delegation(view, job) {
+            if let Some((_, delegation)) = open_delegation(records, job) {
                 let tracked = Tracked::of(delegation);
                 self.tracked.insert(job.to_owned(), tracked);
             }
@@ -203,13 +203,13 @@
     /// The next step of each delegation, those first that have waited longest for theirs.
     fn steps(
         &mut self,
-        access: &mut LendingAccess<'_>,
+        access: &mut DelegationAccess<'_>,
         now: Micros,
         wall: Micros,
     ) -> Vec<CellEffect> {
         let free = self.tracked.iter().filter(|(_, tracked)| !tracked.called);
         let mut order: Vec<(Micros, String)> = free
-            .filter(|(job, tracked)| self.has_step(job, tracked, access.view, now))
+            .filter(|(job, tracked)| self.has_step(job, tracked, access.records, now))
             .map(|(job, tracked)| (tracked.known.ask_at, job.clone()))
             .collect();
         order.sort_unstable();
@@ -221,8 +221,8 @@
     }
 
     /// Whether there is something to be done about a delegation now.
-    fn has_step(&self, job: &str, tracked: &Tracked, view: &View, now: Micros) -> bool {
-        let Some((_, delegation)) = open_delegation(view, job) else {
+    fn has_step(&self, job: &str, tracked: &Tracked, records: &RecordCache, now: Micros) -> bool {
+        let Some((_, delegation)) = open_delegation(records, job) else {
             return false;
         };
         let Some(times) = self.cancel_times(&delegation.cell) else {
@@ -243,14 +243,14 @@
     fn step(
         &mut self,
         job: &str,
-        access: &mut LendingAccess<'_>,
+        access: &mut DelegationAccess<'_>,
         now: Micros,
         wall: Micros,
     ) -> Option<CellEffect> {
         if self.writes.concerns(job) {
             return None;
         }
-        let (entry, delegation) = open_delegation(access.view, job)?;
+        let (entry, delegation) = open_delegation(access.records, job)?;
         let neighbour = self.neighbour(&delegation.cell);
         let times = self.cancel_times(&delegation.cell);
         let Some((neighbour, times)) = neighbour.zip(times) else {
@@ -267,8 +267,10 @@
             Step::Write(transition) => {
                 if self.writes.take_credit(now) {
                     let record = written_record(&entry.record, transition, wall);
-                    let when = vec![(TERM_KEY.to_owned(), access.leader.term_rev())];
-                    self.writes.begin(job, transition, record, entry.rev, when);
+                    let preconditions =
+                        vec![Precondition::new(TERM_KEY, access.scheduler.term_rev())];
+                    self.writes
+                        .begin(job, transition, record, entry.rev, preconditions);
                 }
                 None
             }
@@ -450,13 +452,19 @@
 
     /// A transaction ended. If it was carried out, the records that [`Delegator::poll`] is given next show
     /// it.
-    pub fn write_ended(&mut self, job: &str, outcome: &Outcome, leader: &mut Leader, now: Micros) {
+    pub fn write_ended(
+        &mut self,
+        job: &str,
+        outcome: &TransactionOutcome,
+        scheduler: &mut Scheduler,
+        now: Micros,
+    ) {
         if let Some(settled) = self.writes.ended(job, outcome, now) {
-            self.settled(&settled, leader, now);
+            self.settled(&settled, scheduler, now);
         }
     }
 
-    fn settled(&mut self, settled: &Settled, leader: &mut Leader, now: Micros) {
+    fn settled(&mut self, settled: &Settled, scheduler: &mut Scheduler, now: Micros) {
         let Settled {
             job,
             transition,
@@ -464,7 +472,7 @@
         } = settled;
         if *transition == Transition::Offer && !written {
             self.tracked.remove(job);
-            return leader.release_reservation(job, now);
+            return scheduler.release_reservation(job, now);
         }
         let cell = self.tracked.get(job).map(|tracked| tracked.cell.clone());
         if let Some(neighbour) = cell.filter(|_| *written) {
--- a/crates/saltpitch-cells/src/home/offers.rs
+++ b/crates/saltpitch-cells/src/origin/offers.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use saltpitch_core::controller::LendingAccess;
+use saltpitch_core::controller::DelegationAccess;
 use saltpitch_core::job::JobSpec;
-use saltpitch_core::leader::LendingCandidate;
-use saltpitch_core::records::{Delegation, DelegationState, JobRecord, View, TERM_KEY};
+use saltpitch_core::records::{Delegation, DelegationState, JobRecord, RecordCache, TERM_KEY};
+use saltpitch_core::scheduler::{DelegationCandidate, Precondition};
 use saltpitch_core::Micros;
 
 use super::messages::open_delegation;
@@ -39,16 +39,18 @@
 
 impl Delegator {
     /// Offers jobs that have waited for long, as far as the neighbours take them.
-    pub(super) fn plan_offers(&mut self, access: &mut LendingAccess<'_>, now: Micros) {
+    pub(super) fn plan_offers(&mut self, access: &mut DelegationAccess<'_>, now: Micros) {
         let Some(announcements) = access.announcements.clone() else {
             return;
         };
         for neighbour in 0..self.neighbours.len() {
             let after = self.neighbours[neighbour].settings.after();
-            let mut lent = self.lent_to(&self.neighbours[neighbour].name, access.view);
-            let candidates = access.leader.lending_candidates(after, MAX_CANDIDATES, now);
+            let mut lent = self.lent_to(&self.neighbours[neighbour].name, access.records);
+            let candidates = access
+                .scheduler
+                .delegation_candidates(after, MAX_CANDIDATES, now);
             for candidate in candidates {
-                if !self.lends(neighbour, &candidate, lent, access.view, now) {
+                if !self.lends(neighbour, &candidate, lent, access.records, now) {
                     continue;
                 }
                 self.neighbours[neighbour].link.wants_up();
@@ -69,13 +71,13 @@
     fn lends(
         &self,
         neighbour: usize,
-        candidate: &LendingCandidate,
+        candidate: &DelegationCandidate,
         lent: Lent,
-        view: &View,
+        records: &RecordCache,
         now: Micros,
     ) -> bool {
         let settings = &self.neighbours[neighbour].settings;
-        let Some(entry) = view.jobs.get(&*candidate.id) else {
+        let Some(entry) = records.jobs.get(&*candidate.id) else {
             return false;
         };
         let number = next_number(&entry.record);
@@ -93,18 +95,18 @@
     }
 
     /// What a neighbour has, offers under way included.
-    fn lent_to(&self, name: &str, view: &View) -> Lent {
+    fn lent_to(&self, name: &str, records: &RecordCache) -> Lent {
         let mut lent = Lent::default();
         for (job, _) in self
             .tracked
             .iter()
             .filter(|(_, tracked)| tracked.cell == name)
         {
-            let record = view.jobs.get(job).map(|entry| &entry.record);
+            let record = records.jobs.get(job).map(|entry| &entry.record);
             let Some(spec) = record.and_then(|record| record.spec.as_ref()) else {
                 continue;
             };
-            let accepted = open_delegation(view, job)
+            let accepted = open_delegation(records, job)
                 .is_some_and(|(_, delegation)| delegation.state != DelegationState::Offered);
             lent.add(spec, accepted);
         }
@@ -115,15 +117,15 @@
     fn offer(
         &mut self,
         neighbour: usize,
-        candidate: &LendingCandidate,
-        access: &mut LendingAccess<'_>,
-        announcements: &[(String, u64)],
+        candidate: &DelegationCandidate,
+        access: &mut DelegationAccess<'_>,
+        announcements: &[Precondition],
     ) -> bool {
         let job = &*candidate.id;
-        let Some(entry) = access.view.jobs.get(job) else {
+        let Some(entry) = access.records.jobs.get(job) else {
             return false;
         };
-        let Some(revision) = access.leader.reserve_for_lending(job) else {
+        let Some(revision) = access.scheduler.reserve_for_delegation(job) else {
             return false;
         };
         let name = self.neighbours[neighbour].name.clone();
@@ -141,10 +143,10 @@
             delegation: Some(Box::new(delegation)),
             ..entry.record.clone()
         };
-        let mut when = vec![(TERM_KEY.to_owned(), access.leader.term_rev())];
-        when.extend_from_slice(announcements);
+        let mut preconditions = vec![Precondition::new(TERM_KEY, access.scheduler.term_rev())];
+        preconditions.extend_from_slice(announcements);
         self.writes
-            .begin(job, Transition::Offer, record, revision, when);
+            .begin(job, Transition::Offer, record, revision, preconditions);
         let sent_id = ids::sent_id(job, number).unwrap_or_default();
         self.notify(Notice::Offered {
             job: job.to_owned(),
@@ -172,7 +174,7 @@
 
     /// Fetches jobs back of which nothing runs, where home has had room for them for long enough; all of
     /// them, once a controller does not know delegations: it may lead next, and would place what it finds.
-    pub(super) fn plan_returns(&mut self, access: &mut LendingAccess<'_>, now: Micros) {
+    pub(super) fn plan_returns(&mut self, access: &mut DelegationAccess<'_>, now: Micros) {
         let ends = access.announcements.is_none();
         let jobs: Vec<String> = self.tracked.keys().cloned().collect();
         for job in jobs {
@@ -193,8 +195,13 @@
         }
     }
 
-    fn is_wanted_back(&mut self, job: &str, access: &mut LendingAccess<'_>, now: Micros) -> bool {
-        let Some((_, delegation)) = open_delegation(access.view, job) else {
+    fn is_wanted_back(
+        &mut self,
+        job: &str,
+        access: &mut DelegationAccess<'_>,
+        now: Micros,
+    ) -> bool {
+        let Some((_, delegation)) = open_delegation(access.records, job) else {
             return false;
         };
         let Some(neighbour) = self.neighbour(&delegation.cell) else {
@@ -210,7 +217,7 @@
             DelegationState::Accepted | DelegationState::Running
         );
         let idle = accepted && tracked.known.status == Some(HostStatus::Pending);
-        if !idle || !access.leader.could_begin_here(job, now) {
+        if !idle || !access.scheduler.could_start_locally(job, now) {
             tracked.room_since = None;
             return false;
         }
@@ -233,13 +240,13 @@
 }
 
 /// Whether the job runs for long enough, and for longer than its image takes to fetch.
-fn is_worth_moving(candidate: &LendingCandidate, settings: &LendSettings) -> bool {
+fn is_worth_moving(candidate: &DelegationCandidate, settings: &LendSettings) -> bool {
     let run = candidate.spec.estimate;
     run >= settings.min_run() && run >= candidate.fetch
 }
 
 /// Whether the job's deadline is not over.
-fn deadline_is_ahead(candidate: &LendingCandidate, now: Micros) -> bool {
+fn deadline_is_ahead(candidate: &DelegationCandidate, now: Micros) -> bool {
     let deadline = candidate.spec.deadline;
     deadline.is_none_or(|deadline| now < candidate.submitted.plus(deadline))
 }
--- a/crates/saltpitch-cells/src/home/writes.rs
+++ b/crates/saltpitch-cells/src/origin/writes.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use saltpitch_core::leader::Outcome;
-use saltpitch_core::records::{job_key, JobRecord, View};
+use saltpitch_core::records::{job_key, JobRecord, RecordCache};
+use saltpitch_core::scheduler::{Precondition, TransactionOutcome};
 use saltpitch_core::Micros;
 
 use super::step::Transition;
@@ -19,7 +19,7 @@
     /// The job.
     pub job: String,
     /// Conditions: keys and their revisions.
-    pub when: Vec<(String, u64)>,
+    pub preconditions: Vec<Precondition>,
     /// The new record.
     pub record: JobRecord,
 }
@@ -92,12 +92,12 @@
         transition: Transition,
         record: JobRecord,
         revision: u64,
-        mut when: Vec<(String, u64)>,
+        mut preconditions: Vec<Precondition>,
     ) {
-        when.push((job_key(job), revision));
+        preconditions.push(Precondition::new(job_key(job), revision));
         let write = RecordWrite {
             job: job.to_owned(),
-            when,
+            preconditions,
             record,
         };
         let pending = PendingWrite {
@@ -124,30 +124,45 @@
 
     /// A transaction ended. `None` if its fate is not certain yet: it is sent again, or the records
     /// will tell.
-    pub fn ended(&mut self, job: &str, outcome: &Outcome, now: Micros) -> Option<Settled> {
+    pub fn ended(
+        &mut self,
+        job: &str,
+        outcome: &TransactionOutcome,
+        now: Micros,
+    ) -> Option<Settled> {
         let pending = self.pending.get_mut(job)?;
         pending.under_way = false;
         pending.retry_at = now.plus(RETRY_PAUSE);
         match outcome {
-            Outcome::Done(_) => self.settle(job, true),
+            TransactionOutcome::Committed(_) => self.settle(job, true),
             // Revisions only grow: what fails now, every copy fails. But one of them may have been applied
             // before, which the job's record shows.
-            Outcome::Failed(keys) if !keys.contains(&job_key(job)) => self.settle(job, false),
-            Outcome::Failed(_) => None,
-            Outcome::Unknown => {
+            TransactionOutcome::Conflict(keys) if !keys.contains(&job_key(job)) => {
+                self.settle(job, false)
+            }
+            TransactionOutcome::Conflict(_) => None,
+            TransactionOutcome::Unknown => {
                 pending.unanswered = true;
                 None
             }
-            Outcome::Refused | Outcome::Throttled | Outcome::Rejected if pending.unanswered => None,
-            Outcome::Refused | Outcome::Throttled | Outcome::Rejected => self.settle(job, false),
+            TransactionOutcome::Unavailable
+            | TransactionOutcome::RateLimited
+            | TransactionOutcome::TooLarge
+                if pending.unanswered =>
+            {
+                None
+            }
+            TransactionOutcome::Unavailable
+            | TransactionOutcome::RateLimited
+            | TransactionOutcome::TooLarge => self.settle(job, false),
         }
     }
 
     /// Settles the changes of jobs whose records have a later revision than expected: whatever was
     /// applied is on record, and no copy will be.
-    pub fn settle_by_records(&mut self, view: &View) -> Vec<Settled> {
+    pub fn settle_by_records(&mut self, records: &RecordCache) -> Vec<Settled> {
         let overtaken = |pending: &&PendingWrite| {
-            let entry = view.jobs.get(&pending.write.job);
+            let entry = records.jobs.get(&pending.write.job);
             entry.is_some_and(|entry| entry.rev > pending.expected_revision)
         };
         let settled: Vec<Settled> = self
@@ -156,7 +171,7 @@
             .filter(overtaken)
             .map(|pending| {
                 let job = &pending.write.job;
-                let record = view.jobs.get(job).map(|entry| &entry.record);
+                let record = records.jobs.get(job).map(|entry| &entry.record);
                 Settled {
                     job: job.clone(),
                     transition: pending.transition,
--- a/crates/saltpitch-cells/src/settings.rs
+++ b/crates/saltpitch-cells/src/settings.rs
@@ -64,7 +64,7 @@
     /// How many controllers there are.
     pub controllers: usize,
     /// The most changes in one transaction of the state service.
-    pub txn_ops: usize,
+    pub max_transaction_writes: usize,
 }
 
 /// The file.
@@ -351,7 +351,7 @@
     fn check_transaction(&self, site: &Site<'_>) -> Result<(), SettingsError> {
         let lends = self.neighbour.iter().any(|other| other.lend.is_some());
         let needed = site.controllers + 2;
-        let allowed = site.txn_ops.saturating_mul(4);
+        let allowed = site.max_transaction_writes.saturating_mul(4);
         if lends && needed > allowed {
             let reason = format!(
                 "needs transactions with {needed} conditions, and `cluster.state.txn_ops` allows {allowed}"
--- a/crates/saltpitch-cells/tests/settings.rs
+++ b/crates/saltpitch-cells/tests/settings.rs
@@ -18,14 +18,18 @@
 }
 
 /// Reads a text at a site of `controllers` controllers and so many changes in one transaction.
-fn parse_at(text: &str, controllers: usize, txn_ops: usize) -> Result<CellsSettings, String> {
+fn parse_at(
+    text: &str,
+    controllers: usize,
+    max_transaction_writes: usize,
+) -> Result<CellsSettings, String> {
     let api: SocketAddr = "127.0.0.1:8080".parse().expect("an address");
     let site = Site {
         node: "north",
         listens: &[("api_addr", api)],
         teams: &[team("guests", 0), team("harbour", 8_000)],
         controllers,
-        txn_ops,
+        max_transaction_writes,
     };
     CellsSettings::parse(text, &site).map_err(|error| error.to_string())
 }
--- a/crates/saltpitch-cells/tests/steps.rs
+++ b/crates/saltpitch-cells/tests/steps.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use saltpitch_cells::home::link_request;
-use saltpitch_cells::home::step::{next_step, CancelTimes, Knowledge, Request, Step, Transition};
 use saltpitch_cells::ids::{guest_id, home_id, sent_id};
 use saltpitch_cells::link::{HostStatus, LinkRequest};
+use saltpitch_cells::origin::link_request;
+use saltpitch_cells::origin::step::{next_step, CancelTimes, Knowledge, Request, Step, Transition};
 use saltpitch_core::catalog::Resources;
-use saltpitch_core::job::{JobSpec, Kind, Priority};
+use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::records::{Delegation, DelegationState, JobRecord};
 use saltpitch_core::Micros;
 
@@ -176,7 +176,7 @@
     let spec = JobSpec {
         class: "night".to_owned(),
         team: "red".to_owned(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 2,
         need: Resources::default(),
@@ -191,7 +191,7 @@
         checkpoint: Micros::ZERO,
         save: Micros::ZERO,
         deadline: Some(Micros::from_secs(100)),
-        needs: vec!["job-7".to_owned()],
+        dependencies: vec!["job-7".to_owned()],
     };
     JobRecord::accepted(NOW, Arc::new(spec))
 }
@@ -216,7 +216,7 @@
                 panic!("{request:?} is a submission");
             };
             assert_eq!((submission.closing, submission.deadline), (expected, left));
-            assert!(submission.spec.needs.is_empty());
+            assert!(submission.spec.dependencies.is_empty());
         }
     }
 }
--- a/crates/saltpitch-core/src/cluster.rs
+++ b/crates/saltpitch-core/src/cluster.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 
 use crate::catalog::{MachineType, Resources};
-use crate::fleet::{GroupNo, Indexed};
+use crate::machine_index::{GroupNumber, IndexEntry};
 use crate::time::Micros;
 
 /// A job's number within one leader's memory.
-pub type JobNo = u32;
+pub type JobNumber = u32;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
@@ -33,32 +33,32 @@
     Exited { cause: Cause, saved: bool },
 }
 
-/// One task in a worker's report.
+/// One task in an agent's heartbeat.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SeenTask {
+pub struct TaskStatus {
     pub job: String,
     pub task: u32,
     pub attempt: u32,
     pub state: TaskState,
 }
 
-/// What a worker says of itself, in a report or in answer to direct orders.
+/// What an agent says of itself, in a heartbeat or in answer to direct commands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct Heartbeat {
     pub machine: String,
     pub addr: String,
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
-    pub seq: u64,
-    pub token: u64,
-    pub notice: Option<Micros>,
-    pub tasks: Vec<SeenTask>,
+    pub agent_epoch: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
+    pub spot_notice: Option<Micros>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Command {
     Start {
         job: Arc<str>,
         task: u32,
@@ -78,9 +78,9 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum MachinePhase {
     /// Rented or read from the records, not heard of by this leader.
-    Unheard,
+    Unregistered,
     Up,
     /// Its return is intended; `true` once that is on record.
     Returning(bool),
@@ -93,166 +93,175 @@
     pub zone: Arc<str>,
     pub spot: bool,
     pub addr: String,
-    pub phase: Phase,
+    pub phase: MachinePhase,
     /// The machine's record is in the store, so that a later leader asks it.
     pub recorded: bool,
-    pub born: Micros,
+    pub created_at: Micros,
     pub up_since: Micros,
-    pub session: u64,
-    pub seq: u64,
-    /// Sequence number of the newest report proper: only the next report proves that a start in
+    pub agent_epoch: u64,
+    pub sequence: u64,
+    /// Sequence number of the newest heartbeat proper: only the next heartbeat proves that a start in
     /// the answer to this one was lost.
-    pub report_seq: u64,
-    /// The last report whose answer carried a start.
-    pub start_seq: u64,
-    pub token: u64,
+    pub last_heartbeat_sequence: u64,
+    /// The last heartbeat whose answer carried a start.
+    pub last_start_sequence: u64,
+    pub fencing_token: u64,
     pub fenced_at: Option<Micros>,
     pub last_heard: Micros,
     pub last_answer: Micros,
-    /// When the present session was first heard of: its lease counts from its beginning, which is
-    /// not later than this, even if no report of it was ever answered.
-    pub session_since: Micros,
-    pub notice: Option<Micros>,
+    /// When the present epoch was first heard of: its lease counts from its beginning, which is
+    /// not later than this, even if no heartbeat of it was ever answered.
+    pub agent_epoch_started_at: Micros,
+    pub spot_notice: Option<Micros>,
     /// Tasks that are or may be here, assumed ones included.
-    pub holds: BTreeSet<(JobNo, u32)>,
+    pub allocations: BTreeSet<(JobNumber, u32)>,
     pub used: Resources,
-    /// Listed by the worker, but not ours to keep: to be stopped or forgotten.
-    pub strays: Vec<SeenTask>,
+    /// Listed by the agent, but not ours to keep: to be stopped or forgotten.
+    pub unowned_tasks: Vec<TaskStatus>,
     /// A direct start was sent and not answered: token at the time, and since when.
-    pub doubt: Option<(u64, Micros)>,
-    pub orders_out: bool,
-    pub orders_after: Micros,
-    pub probe_after: Micros,
+    pub unacknowledged_start: Option<(u64, Micros)>,
+    pub command_in_flight: bool,
+    pub next_command_at: Micros,
+    pub next_probe_at: Micros,
     /// When the last probe was sent, and when the last one that got no answer was.
-    pub probe_sent: Micros,
-    pub unanswered: Micros,
+    pub probe_sent_at: Micros,
+    pub last_unanswered_probe_at: Micros,
     /// Probes without an answer since the machine was last heard.
-    pub probes_failed: u32,
+    pub failed_probes: u32,
     pub return_after: Micros,
     pub idle_since: Micros,
     /// When a task that needs what this machine is rented for was last here.
     pub wanted_at: Micros,
     /// Nothing new is placed here, and it goes back once it is empty.
-    pub to_be_returned: bool,
+    pub cordoned: bool,
     /// Jobs that failed here and seem to work elsewhere.
-    pub failed_jobs: BTreeSet<JobNo>,
+    pub failed_jobs: BTreeSet<JobNumber>,
     /// Its group in the index, and what the index has of it.
-    pub group: GroupNo,
-    pub indexed: Indexed,
+    pub group: GroupNumber,
+    pub indexed: IndexEntry,
     /// Processors used by work that is not batch.
     pub steady_cpu: u64,
     /// Not heard of for so long that nothing new is placed on it.
-    pub silent: bool,
-    /// Its reports have not come for a while although it answers direct calls: its lease runs on to its
-    /// end, so nothing new is placed on it; `drained`: what can be moved was told to go.
-    pub mute: bool,
+    pub unresponsive: bool,
+    /// Its heartbeats have not come for a while although it answers direct calls: its lease runs on to its
+    /// end, so nothing new is placed on it; `evicted`: what can be moved was told to go.
+    pub outbound_partition: bool,
     /// Since when it has answered direct calls without reporting.
-    pub mute_since: Option<Micros>,
-    pub drained: bool,
-    /// Signs that our answers don't reach it although its reports reach us.
-    pub deaf: Deaf,
+    pub outbound_partition_since: Option<Micros>,
+    pub evicted: bool,
+    /// Signs that our answers don't reach it although its heartbeats reach us.
+    pub inbound_partition: InboundPartition,
     /// When it is looked after next.
-    pub look_at: Micros,
+    pub next_check_at: Micros,
     /// The record block that it is in.
     pub block: Option<u32>,
     images: BTreeMap<String, (u64, Micros)>,
-    /// The session for which its images were recalled from the records, until it is heard.
-    pub recalled_session: Option<u64>,
+    /// The epoch for which its images were recalled from the records, until it is heard.
+    pub recorded_epoch: Option<u64>,
 }
 
-/// A machine whose reports arrive while answers and commands don't reach it looks alive, yet its
+/// A machine whose heartbeats arrive while answers and commands don't reach it looks alive, yet its
 /// lease runs out and nothing that it is told happens. Only what it shows of our words tells: the
-/// token in its reports, whether it stays with this node, and whether direct calls get through.
+/// token in its heartbeats, whether it stays with this node, and whether direct calls get through.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Deaf {
-    /// The highest token told in an answer, and the report that was answered.
-    told: Option<(u64, u64)>,
-    /// Reports in a row that show nothing of the answers before them.
-    unheeded: u32,
+pub struct InboundPartition {
+    /// The highest token told in an answer, and the heartbeat that was answered.
+    answered_with: Option<(u64, u64)>,
+    /// Heartbeats in a row that show nothing of the answers before them.
+    ignored_answers: u32,
     /// Direct calls in a row that did not get through.
-    unreached: u32,
+    failed_calls: u32,
     /// When it last showed that an answer reached it.
     heard_at: Option<Micros>,
     /// Since when it is suspected: two signs in a row, since any one answer or call may be lost.
     pub since: Option<Micros>,
-    /// Reports that came since then, and when the first did: a machine behind a cut sends none, and
-    /// when the cut ends the calls get through soon after the reports that it held back.
-    reports: u32,
+    /// Heartbeats that came since then, and when the first did: a machine behind a cut sends none, and
+    /// when the cut ends the calls get through soon after the heartbeats that it held back.
+    heartbeats: u32,
     reported_at: Option<Micros>,
 }
 
-impl Deaf {
-    /// An answer with this token was sent to the report `seq`, which showed the token `seen`.
-    pub fn told(&mut self, token: u64, seen: u64, seq: u64) {
-        if seen < token && self.told.is_none_or(|t| t.0 < token) {
-            self.told = Some((token, seq));
+impl InboundPartition {
+    /// An answer with this token was sent to the heartbeat `sequence`, which showed the fencing token `observed`.
+    pub fn answered_with(&mut self, fencing_token: u64, observed: u64, sequence: u64) {
+        if observed < fencing_token && self.answered_with.is_none_or(|t| t.0 < fencing_token) {
+            self.answered_with = Some((fencing_token, sequence));
         }
     }
 
-    /// What a report shows of the answers to earlier ones. `stays`: it is the next that the worker
+    /// What a heartbeat shows of the answers to earlier ones. `stays`: it is the next that the agent
     /// sent after one that was answered here; without that answer it would have asked another node.
-    pub fn reported(&mut self, token: u64, seq: u64, stays: bool, lately: Micros, now: Micros) {
-        if let Some((told, _)) = self.told.filter(|t| t.1 < seq) {
-            if token >= told {
-                self.told = None;
-                self.unheeded = 0;
+    pub fn heartbeat_received(
+        &mut self,
+        fencing_token: u64,
+        sequence: u64,
+        stays: bool,
+        heartbeat_freshness: Micros,
+        now: Micros,
+    ) {
+        if let Some((answered_with, _)) = self.answered_with.filter(|t| t.1 < sequence) {
+            if fencing_token >= answered_with {
+                self.answered_with = None;
+                self.ignored_answers = 0;
                 self.heard_at = Some(now);
             } else {
-                self.unheeded += 1;
+                self.ignored_answers += 1;
             }
         }
         if stays {
             self.heard_at = Some(now);
         }
-        self.judge(lately, now);
+        self.reassess(heartbeat_freshness, now);
         if self.since.is_some() {
-            self.reports += 1;
+            self.heartbeats += 1;
             self.reported_at.get_or_insert(now);
         }
     }
 
-    /// A new session began. `answered`: although reports of the one before were answered.
-    pub fn new_session(&mut self, answered: bool, lately: Micros, now: Micros) {
-        self.told = None;
+    /// A new epoch began. `answered`: although heartbeats of the one before were answered.
+    pub fn epoch_started(&mut self, answered: bool, heartbeat_freshness: Micros, now: Micros) {
+        self.answered_with = None;
         if answered {
             self.heard_at = None;
-            self.unheeded += 2;
+            self.ignored_answers += 2;
         }
-        self.judge(lately, now);
+        self.reassess(heartbeat_freshness, now);
         if answered {
-            self.reports += 1;
+            self.heartbeats += 1;
             self.reported_at.get_or_insert(now);
         }
     }
 
     /// A direct call got through, or did not.
-    pub fn called(&mut self, reached: bool, lately: Micros, now: Micros) {
+    pub fn direct_call_ended(&mut self, reached: bool, heartbeat_freshness: Micros, now: Micros) {
         if reached {
-            self.unheeded = 0;
-            self.unreached = 0;
+            self.ignored_answers = 0;
+            self.failed_calls = 0;
         } else {
-            self.unreached += 1;
+            self.failed_calls += 1;
         }
-        self.judge(lately, now);
+        self.reassess(heartbeat_freshness, now);
     }
 
-    fn judge(&mut self, lately: Micros, now: Micros) {
-        let heard = self.heard_at.is_some_and(|at| now.since(at) < lately);
-        if self.unheeded >= 2 || (self.unreached >= 2 && !heard) {
+    fn reassess(&mut self, heartbeat_freshness: Micros, now: Micros) {
+        let heard = self
+            .heard_at
+            .is_some_and(|at| now.since(at) < heartbeat_freshness);
+        if self.ignored_answers >= 2 || (self.failed_calls >= 2 && !heard) {
             self.since.get_or_insert(now);
         } else {
             self.since = None;
-            self.reports = 0;
+            self.heartbeats = 0;
             self.reported_at = None;
         }
     }
 
     /// It is heard, and has not heard us, for this long.
-    pub fn certain(&self, wait: Micros, now: Micros) -> bool {
-        self.reports >= 2 && self.reported_at.is_some_and(|at| now.since(at) > wait)
+    pub fn is_certain(&self, wait: Micros, now: Micros) -> bool {
+        self.heartbeats >= 2 && self.reported_at.is_some_and(|at| now.since(at) > wait)
     }
 
-    pub fn suspected(&self) -> bool {
+    pub fn is_suspected(&self) -> bool {
         self.since.is_some()
     }
 }
@@ -272,47 +281,47 @@
             zone,
             spot,
             addr: addr.to_owned(),
-            phase: Phase::Unheard,
+            phase: MachinePhase::Unregistered,
             recorded: false,
-            born: now,
+            created_at: now,
             up_since: Micros::ZERO,
-            session: 0,
-            seq: 0,
-            report_seq: 0,
-            start_seq: 0,
-            token: 0,
+            agent_epoch: 0,
+            sequence: 0,
+            last_heartbeat_sequence: 0,
+            last_start_sequence: 0,
+            fencing_token: 0,
             fenced_at: None,
             last_heard: Micros::ZERO,
             last_answer: Micros::ZERO,
-            session_since: Micros::ZERO,
-            notice: None,
-            holds: BTreeSet::new(),
+            agent_epoch_started_at: Micros::ZERO,
+            spot_notice: None,
+            allocations: BTreeSet::new(),
             used: Resources::default(),
-            strays: Vec::new(),
-            doubt: None,
-            orders_out: false,
-            orders_after: Micros::ZERO,
-            probe_after: Micros::ZERO,
-            probe_sent: Micros::ZERO,
-            unanswered: Micros::ZERO,
-            probes_failed: 0,
+            unowned_tasks: Vec::new(),
+            unacknowledged_start: None,
+            command_in_flight: false,
+            next_command_at: Micros::ZERO,
+            next_probe_at: Micros::ZERO,
+            probe_sent_at: Micros::ZERO,
+            last_unanswered_probe_at: Micros::ZERO,
+            failed_probes: 0,
             return_after: Micros::ZERO,
             idle_since: now,
             wanted_at: now,
-            to_be_returned: false,
+            cordoned: false,
             failed_jobs: BTreeSet::new(),
             group: 0,
-            indexed: Indexed::default(),
+            indexed: IndexEntry::default(),
             steady_cpu: 0,
-            silent: false,
-            mute: false,
-            mute_since: None,
-            drained: false,
-            deaf: Deaf::default(),
-            look_at: Micros::ZERO,
+            unresponsive: false,
+            outbound_partition: false,
+            outbound_partition_since: None,
+            evicted: false,
+            inbound_partition: InboundPartition::default(),
+            next_check_at: Micros::ZERO,
             block: None,
             images: BTreeMap::new(),
-            recalled_session: None,
+            recorded_epoch: None,
         }
     }
 
@@ -321,12 +330,12 @@
     }
 
     pub fn is_up(&self) -> bool {
-        self.phase == Phase::Up
+        self.phase == MachinePhase::Up
     }
 
-    /// A stray task is here that has not exited: its need is unknown, so nothing is added.
-    pub fn has_live_strays(&self) -> bool {
-        self.strays
+    /// A unowned task is here that has not exited: its need is unknown, so nothing is added.
+    pub fn has_running_unowned_tasks(&self) -> bool {
+        self.unowned_tasks
             .iter()
             .any(|t| !matches!(t.state, TaskState::Exited { .. }))
     }
@@ -336,12 +345,12 @@
         self.is_up()
             && self.recorded
             && self.fenced_at.is_some()
-            && !self.to_be_returned
-            && self.notice.is_none()
-            && !self.silent
-            && !self.mute
-            && !self.deaf.suspected()
-            && !self.has_live_strays()
+            && !self.cordoned
+            && self.spot_notice.is_none()
+            && !self.unresponsive
+            && !self.outbound_partition
+            && !self.inbound_partition.is_suspected()
+            && !self.has_running_unowned_tasks()
     }
 
     /// How long it would take to have the largest of its images elsewhere.
--- a/crates/saltpitch-core/src/controller/election.rs
+++ b/crates/saltpitch-core/src/controller/leader_election.rs
@@ -3,9 +3,11 @@
 use std::sync::Arc;
 
 use crate::catalog::Catalog;
-use crate::leader::{Leader, Write};
-use crate::leadership::{self, election_delay, resignation, Bid, CancellationAcks, Hearing};
+use crate::leadership::{
+    self, election_delay, resignation, AgentReachability, CancellationAcks, ElectionAttempt,
+};
 use crate::records::{TermRecord, TERM_KEY};
+use crate::scheduler::{Precondition, Scheduler, Transaction, Write};
 use crate::time::Micros;
 
 use super::{Controller, Leadership, LossReason, Notice};
@@ -13,7 +15,7 @@
 /// How long after a resignation a controller lets others stand first.
 const DEFERENCE: Micros = Micros::from_secs(30);
 
-/// How long a leader may go unheard before it resigns, as a part of the workers' lease, and at least.
+/// How long a leader may go unheard before it resigns, as a part of the agents' lease, and at least.
 const UNHEARD_SHARE_OF_LEASE: f64 = 0.2;
 const UNHEARD_MIN: Micros = Micros::from_secs(2);
 
@@ -33,10 +35,8 @@
 pub struct Resignation {
     /// The leadership lease, to be dropped if the write fails.
     pub store_lease: u64,
-    /// Conditions of the transaction: keys and their revisions.
-    pub when: Vec<(String, u64)>,
-    /// Its writes.
-    pub writes: Vec<Write>,
+    /// What to write, and on what conditions.
+    pub transaction: Transaction,
 }
 
 /// A transaction by which a leader takes the next term without giving up the leadership.
@@ -44,21 +44,20 @@
 pub struct TermIncrement {
     /// The new term.
     pub term: u64,
-    /// Conditions of the transaction: keys and their revisions.
-    pub when: Vec<(String, u64)>,
-    /// Its write.
-    pub write: Write,
+    /// What to write, and on what conditions.
+    pub transaction: Transaction,
 }
 
 impl Controller {
     /// Whether to stand for election. `random` spreads the candidates.
     pub fn candidacy(&self, now: Micros, random: u64) -> Candidacy {
         let ready = self.synced && self.announced && self.catalog.is_some();
-        let vacant = leadership::vacant(&self.view, &self.config.name, self.incarnation);
-        if self.is_leader() || !ready || !vacant {
+        let is_leaderless =
+            leadership::is_leaderless(&self.records, &self.config.name, self.incarnation);
+        if self.is_leader() || !ready || !is_leaderless {
             return Candidacy::No;
         }
-        if self.view.leader.is_some() {
+        if self.records.leader.is_some() {
             return Candidacy::AtOnce;
         }
         let isolated = self.live_peers(now) == 0 && !self.config.peers.is_empty();
@@ -67,9 +66,9 @@
     }
 
     /// The transaction by which to take the leadership, on the records as they are here.
-    pub fn bid(&self, wall: Micros) -> Option<Bid> {
-        leadership::bid(
-            &self.view,
+    pub fn campaign(&self, wall: Micros) -> Option<ElectionAttempt> {
+        leadership::campaign(
+            &self.records,
             &self.config.name,
             self.incarnation,
             self.answer_bound(),
@@ -83,7 +82,7 @@
     /// lease was certainly open.
     pub fn elected(
         &mut self,
-        bid: Bid,
+        campaign: ElectionAttempt,
         store_lease: u64,
         revision: u64,
         lease_opened_at: Micros,
@@ -94,34 +93,34 @@
             return false;
         };
         let bound = self.answer_bound();
-        let Some(silence) = bid.won(&self.view, revision, bound, now) else {
+        let Some(silence) = campaign.won(&self.records, revision, bound, now) else {
             return false;
         };
-        let leader = self.new_leader(catalog, silence.all_at, now, wall);
+        let scheduler = self.new_scheduler(catalog, silence.all_at, now, wall);
         self.epoch += 1;
         self.leadership = Some(Leadership {
-            leader,
+            scheduler,
             store_lease,
             answers_until: lease_opened_at.plus(bound),
             acks: CancellationAcks::default(),
             previous: silence.previous,
-            earlier_silent_at: silence.earlier_at,
-            unheard_since: None,
+            earlier_leaders_fenced_at: silence.earlier_at,
+            isolated_since: None,
         });
         true
     }
 
-    fn new_leader(
+    fn new_scheduler(
         &self,
         catalog: Arc<Catalog>,
-        silent_at: Micros,
+        fenced_at: Micros,
         now: Micros,
         wall: Micros,
-    ) -> Leader {
+    ) -> Scheduler {
         let config = self.config.scheduler.clone();
-        let mut leader = Leader::new(config, &self.view, catalog, silent_at, now, wall);
-        leader.open_zones.insert(self.config.zone.clone());
-        leader
+        let mut scheduler = Scheduler::new(config, &self.records, catalog, fenced_at, now, wall);
+        scheduler.reachable_zones.insert(self.config.zone.clone());
+        scheduler
     }
 
     /// The leadership lease to renew, if this controller leads.
@@ -140,7 +139,7 @@
     /// Ends the leadership at once.
     pub fn lose_leadership(&mut self, reason: LossReason) {
         if let Some(leadership) = self.leadership.take() {
-            let term = leadership.leader.term;
+            let term = leadership.scheduler.term;
             self.notices.push(Notice::LeadershipLost { term, reason });
             self.epoch += 1;
         }
@@ -155,27 +154,30 @@
 
     /// A term that exists: a newer one than ours ends the leadership.
     pub(super) fn term_seen(&mut self, term: u64) {
-        if self.leader().is_some_and(|leader| leader.term < term) {
+        if self
+            .scheduler()
+            .is_some_and(|scheduler| scheduler.term < term)
+        {
             self.lose_leadership(LossReason::NewerTerm);
         }
     }
 
     /// A newer term on record ends the leadership, unless this process raised it.
     pub(super) fn check_recorded_term(&mut self) {
-        let (revision, record) = &self.view.term;
+        let (revision, record) = &self.records.term;
         let (revision, term) = (*revision, record.term);
         let own = record.node == self.config.name && record.incarnation == self.incarnation;
         if !own {
             return self.term_seen(term);
         }
         if let Some(leadership) = &mut self.leadership {
-            if leadership.leader.term < term {
-                leadership.leader.term_raised(term, revision);
+            if leadership.scheduler.term < term {
+                leadership.scheduler.term_raised(term, revision);
             }
         }
     }
 
-    /// Whether the workers have not reached this leader for too long although others would hear them.
+    /// Whether the agents have not reached this leader for too long although others would hear them.
     pub fn should_resign(&mut self, now: Micros) -> bool {
         let redirected = self.most_redirected(now);
         let peers = self.live_peers(now);
@@ -184,20 +186,20 @@
         let Some(leadership) = &mut self.leadership else {
             return false;
         };
-        let (known, heard, deaf) = leadership.leader.heard(now);
-        let hearing = Hearing {
-            known,
-            heard,
+        let agents = leadership.scheduler.agent_counts(now);
+        let reachability = AgentReachability {
+            known: agents.reachable,
+            heard: agents.heard,
             // Machines that receive no answers try every controller in turn.
-            knocks: redirected.saturating_sub(deaf),
+            redirected: redirected.saturating_sub(agents.inbound_partitioned),
             peers,
             others,
         };
-        if !hearing.deaf() {
-            leadership.unheard_since = None;
+        if !reachability.is_isolated() {
+            leadership.isolated_since = None;
             return false;
         }
-        let since = *leadership.unheard_since.get_or_insert(now);
+        let since = *leadership.isolated_since.get_or_insert(now);
         let limit = lease.times(UNHEARD_SHARE_OF_LEASE).max(UNHEARD_MIN);
         now.since(since) > limit
     }
@@ -206,16 +208,15 @@
     pub fn resign(&mut self, now: Micros, wall: Micros) -> Option<Resignation> {
         let leadership = self.leadership.as_ref()?;
         let store_lease = leadership.store_lease;
-        let term_revision = leadership.leader.term_rev();
-        self.lose_leadership(LossReason::Unheard);
+        let term_revision = leadership.scheduler.term_rev();
+        self.lose_leadership(LossReason::AgentsUnreachable);
         self.deferring_until = now.plus(DEFERENCE);
         self.incarnation = wall.0.max(self.incarnation + 1);
         let record = self.node_record();
-        let (when, writes) = resignation(&self.view, &self.config.name, &record, term_revision);
+        let transaction = resignation(&self.records, &self.config.name, &record, term_revision);
         Some(Resignation {
             store_lease,
-            when,
-            writes,
+            transaction,
         })
     }
 
@@ -226,12 +227,12 @@
 
     /// The transaction that raises the term of the leadership of this epoch.
     pub fn term_increment(&self, epoch: u64) -> Option<TermIncrement> {
-        let leader = self.leader().filter(|_| self.epoch == epoch)?;
+        let scheduler = self.scheduler().filter(|_| self.epoch == epoch)?;
         let record = TermRecord {
-            term: leader.term + 1,
+            term: scheduler.term + 1,
             node: self.config.name.clone(),
             incarnation: self.incarnation,
-            earlier_silent_at: self.view.term.1.earlier_silent_at,
+            earlier_leaders_fenced_at: self.records.term.1.earlier_leaders_fenced_at,
         };
         let write = Write {
             key: TERM_KEY.to_owned(),
@@ -239,8 +240,10 @@
         };
         Some(TermIncrement {
             term: record.term,
-            when: vec![(TERM_KEY.to_owned(), leader.term_rev())],
-            write,
+            transaction: Transaction {
+                preconditions: vec![Precondition::new(TERM_KEY, scheduler.term_rev())],
+                writes: vec![write],
+            },
         })
     }
 }
--- a/crates/saltpitch-core/src/controller/mod.rs
+++ b/crates/saltpitch-core/src/controller/mod.rs
@@ -1,35 +1,35 @@
 //! One controller as a state machine without input or output.
 //!
 //! [`Controller`] decides everything that safety rests on outside of scheduling itself: when to stand
-//! for election, how long workers may be answered, when to resign, what peers are told and when the
+//! for election, how long agents may be answered, when to resign, what peers are told and when the
 //! copy of the records counts as read. The program's tasks and the simulated site in
 //! `saltpitch-testkit` drive the same code: they carry messages, keep timers and execute effects, and
 //! decide nothing of this themselves.
 //!
 //! Submodules: [`records`](self) follows the state service, `election` acquires, renews and gives up the
-//! leadership, `peers` exchanges heartbeats, `reports` answers workers, [`notice`] holds what the
+//! leadership, `peers` exchanges heartbeats, `heartbeats` answers agents, [`notice`] holds what the
 //! operator's log is told.
 
-mod election;
+mod agent_heartbeats;
+mod leader_election;
 pub mod notice;
-mod peers;
-mod records;
-mod reports;
+mod peer_heartbeats;
+mod record_sync;
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::catalog::Catalog;
-use crate::leader::{Config, Effect, Leader, ListedMachine};
 use crate::leadership::{answer_bound, CancellationAcks};
 use crate::messages::PeerStatus;
-use crate::records::View;
+use crate::records::RecordCache;
+use crate::scheduler::{Effect, ListedMachine, Precondition, Scheduler, SchedulerConfig};
 use crate::time::Micros;
 
-pub use election::{Candidacy, Resignation, TermIncrement};
+pub use agent_heartbeats::HeartbeatAnswer;
+pub use leader_election::{Candidacy, Resignation, TermIncrement};
 pub use notice::{LossReason, Notice};
-pub use records::OutdatedLayout;
-pub use reports::ReportAnswer;
+pub use record_sync::OutdatedLayout;
 
 /// How long a peer counts as alive after its last heartbeat.
 pub const PEER_TIMEOUT: Micros = Micros::from_secs(3);
@@ -53,7 +53,7 @@
     /// All other controllers.
     pub peers: Vec<PeerIdentity>,
     /// The scheduler's part of the settings.
-    pub scheduler: Config,
+    pub scheduler: SchedulerConfig,
     /// Whether jobs may be delegated to other cells.
     pub knows_delegations: bool,
 }
@@ -79,28 +79,28 @@
 
 /// The leadership as long as this controller holds it.
 struct Leadership {
-    leader: Leader,
+    scheduler: Scheduler,
     /// The id of the leadership lease in the state service.
     store_lease: u64,
-    /// Until when workers may be answered without another renewal or further acknowledgements.
+    /// Until when agents may be answered without another renewal or further acknowledgements.
     answers_until: Micros,
     acks: CancellationAcks,
     /// The previous leader and its incarnation, until it is proven gone.
     previous: Option<(String, u64)>,
     /// From when on the leaders before the previous one answer nobody.
-    earlier_silent_at: Micros,
-    /// Since when the workers have not reached this leader although others would hear them.
-    unheard_since: Option<Micros>,
+    earlier_leaders_fenced_at: Micros,
+    /// Since when the agents have not reached this leader although others would hear them.
+    isolated_since: Option<Micros>,
 }
 
 /// What the delegation of jobs to other cells works with, while this controller leads.
-pub struct LendingAccess<'a> {
+pub struct DelegationAccess<'a> {
     /// The scheduler.
-    pub leader: &'a mut Leader,
+    pub scheduler: &'a mut Scheduler,
     /// The copy of the records.
-    pub view: &'a View,
+    pub records: &'a RecordCache,
     /// The conditions that stand for all controllers knowing delegations; `None` while one does not.
-    pub announcements: Option<Vec<(String, u64)>>,
+    pub announcements: Option<Vec<Precondition>>,
 }
 
 /// One controller. Every method takes the present time; nothing here reads a clock.
@@ -111,7 +111,7 @@
     /// This process's incarnation. On record it proves that earlier processes answer nobody.
     incarnation: u64,
     announced: bool,
-    view: View,
+    records: RecordCache,
     synced: bool,
     catalog: Option<Arc<Catalog>>,
     /// When the term in the records was first seen here.
@@ -124,7 +124,7 @@
     /// After a resignation: until when this controller lets others stand first.
     deferring_until: Micros,
     peers: HashMap<String, PeerObservation>,
-    /// Workers that were redirected, and when last.
+    /// Agents that were redirected, and when last.
     redirected: HashMap<String, Micros>,
     notices: Vec<Notice>,
 }
@@ -138,7 +138,7 @@
             process,
             incarnation,
             announced: false,
-            view: View::default(),
+            records: RecordCache::default(),
             synced: false,
             catalog: None,
             term_seen_at: Micros::ZERO,
@@ -158,8 +158,8 @@
     }
 
     /// The copy of the records.
-    pub fn view(&self) -> &View {
-        &self.view
+    pub fn records(&self) -> &RecordCache {
+        &self.records
     }
 
     /// Whether the records were read at least once since this process started.
@@ -181,22 +181,22 @@
     pub fn set_catalog(&mut self, catalog: Arc<Catalog>) {
         self.catalog = Some(catalog.clone());
         if let Some(leadership) = &mut self.leadership {
-            leadership.leader.set_catalog(catalog);
+            leadership.scheduler.set_catalog(catalog);
         }
     }
 
-    /// Whether this controller holds the leadership, entitled to answer workers at present or not.
+    /// Whether this controller holds the leadership, entitled to answer agents at present or not.
     pub fn is_leader(&self) -> bool {
         self.leadership.is_some()
     }
 
     /// The count of leaderships begun and ended. What was asked for in one epoch is not delivered in
-    /// another, see [`Controller::leader_in_epoch`].
+    /// another, see [`Controller::scheduler_in_epoch`].
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether workers may be answered now.
+    /// Whether agents may be answered now.
     pub fn may_answer(&self, now: Micros) -> bool {
         self.leadership
             .as_ref()
@@ -204,43 +204,43 @@
     }
 
     /// The scheduler, if this controller leads.
-    pub fn leader(&self) -> Option<&Leader> {
-        self.leadership.as_ref().map(|l| &l.leader)
+    pub fn scheduler(&self) -> Option<&Scheduler> {
+        self.leadership.as_ref().map(|l| &l.scheduler)
     }
 
     /// The scheduler, if this controller still leads in the epoch in which something was asked for.
-    pub fn leader_in_epoch(&mut self, epoch: u64) -> Option<&mut Leader> {
+    pub fn scheduler_in_epoch(&mut self, epoch: u64) -> Option<&mut Scheduler> {
         if self.epoch != epoch {
             return None;
         }
-        self.leadership.as_mut().map(|l| &mut l.leader)
+        self.leadership.as_mut().map(|l| &mut l.scheduler)
     }
 
-    /// Runs the scheduler's loops if this controller may answer workers: past the bound on answers
+    /// Runs the scheduler's loops if this controller may answer agents: past the bound on answers
     /// nothing is started either.
     pub fn poll(&mut self, now: Micros) -> Vec<Effect> {
         if !self.may_answer(now) {
             return Vec::new();
         }
-        let open_zones = self.reachable_zones(now);
+        let reachable_zones = self.reachable_zones(now);
         let Some(leadership) = &mut self.leadership else {
             return Vec::new();
         };
-        leadership.leader.open_zones = open_zones;
-        leadership.leader.poll(now)
+        leadership.scheduler.reachable_zones = reachable_zones;
+        leadership.scheduler.poll(now)
     }
 
-    /// Scheduler and records, while this controller may answer workers: only then is anything decided
+    /// Scheduler and records, while this controller may answer agents: only then is anything decided
     /// about other cells.
-    pub fn lending_access(&mut self, now: Micros) -> Option<LendingAccess<'_>> {
+    pub fn delegation_access(&mut self, now: Micros) -> Option<DelegationAccess<'_>> {
         if !self.may_answer(now) {
             return None;
         }
         let announcements = self.delegations_known_by_all();
         let leadership = self.leadership.as_mut()?;
-        Some(LendingAccess {
-            leader: &mut leadership.leader,
-            view: &self.view,
+        Some(DelegationAccess {
+            scheduler: &mut leadership.scheduler,
+            records: &self.records,
             announcements,
         })
     }
@@ -251,8 +251,8 @@
             return;
         }
         if let Some(leadership) = &mut self.leadership {
-            let view = read.then_some(&self.view);
-            leadership.leader.refreshed(view, now, wall);
+            let records = read.then_some(&self.records);
+            leadership.scheduler.refreshed(records, now, wall);
         }
     }
 
@@ -262,8 +262,8 @@
             return;
         }
         if let Some(leadership) = &mut self.leadership {
-            let returned = |name: &str| self.view.gone.contains(name);
-            leadership.leader.listed(page, &returned, now);
+            let returned = |name: &str| self.records.returned_machines.contains(name);
+            leadership.scheduler.listed(page, &returned, now);
         }
     }
 
@@ -272,7 +272,7 @@
         std::mem::take(&mut self.notices)
     }
 
-    /// How long workers may be answered after the last renewal or acknowledgement.
+    /// How long agents may be answered after the last renewal or acknowledgement.
     fn answer_bound(&self) -> Micros {
         answer_bound(self.config.scheduler.cancel, self.config.scheduler.lease)
     }
--- a/crates/saltpitch-core/src/controller/notice.rs
+++ b/crates/saltpitch-core/src/controller/notice.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-use crate::leader::{Ignored, JobTimeline};
 use crate::records::RecordError;
+use crate::scheduler::{HeartbeatRejection, JobTimeline};
 use crate::time::Micros;
 
 /// Why the leadership ended.
@@ -11,14 +11,14 @@
 pub enum LossReason {
     /// A newer term is on record or was named by a peer.
     NewerTerm,
-    /// A worker has seen a newer token.
+    /// An agent has seen a newer token.
     NewerToken,
     /// A transaction failed because the term has changed.
     TermChanged,
     /// The leadership lease ended.
     LeaseExpired,
-    /// Workers do not reach this controller.
-    Unheard,
+    /// Agents do not reach this controller.
+    AgentsUnreachable,
 }
 
 impl fmt::Display for LossReason {
@@ -28,7 +28,7 @@
             LossReason::NewerToken => "a worker has seen a newer token",
             LossReason::TermChanged => "the term has changed",
             LossReason::LeaseExpired => "the leadership lease has ended",
-            LossReason::Unheard => "workers do not reach this controller",
+            LossReason::AgentsUnreachable => "workers do not reach this controller",
         })
     }
 }
@@ -62,14 +62,14 @@
         /// The peer.
         peer: String,
     },
-    /// A worker's report was not answered.
-    ReportRefused {
+    /// An agent's heartbeat was not answered.
+    HeartbeatRejected {
         /// The machine.
         machine: String,
         /// The highest token that it has seen.
-        token: u64,
+        fencing_token: u64,
         /// Why.
-        reason: Ignored,
+        reason: HeartbeatRejection,
     },
     /// A job ended.
     JobEnded(EndedJob),
@@ -97,13 +97,13 @@
             Notice::CancelledByPeer { job, peer } => {
                 write!(f, "{job} is cancelled, acknowledged by {peer}")
             }
-            Notice::ReportRefused {
+            Notice::HeartbeatRejected {
                 machine,
-                token,
+                fencing_token,
                 reason,
             } => write!(
                 f,
-                "report of {machine} (token {token}) gets no answer: {reason:?}"
+                "report of {machine} (token {fencing_token}) gets no answer: {reason:?}"
             ),
             Notice::JobEnded(job) => job.fmt(f),
         }
--- a/crates/saltpitch-core/src/controller/peers.rs
+++ b/crates/saltpitch-core/src/controller/peer_heartbeats.rs
@@ -14,7 +14,7 @@
 impl Controller {
     /// What this controller says about itself.
     pub fn status(&self, store: StoreHealth, now: Micros) -> PeerStatus {
-        let (_, term) = &self.view.term;
+        let (_, term) = &self.records.term;
         PeerStatus {
             node: self.config.name.clone(),
             term: term.term,
@@ -30,9 +30,9 @@
     }
 
     /// A heartbeat to `peer`; a leader asks it to acknowledge cancellations.
-    pub fn heartbeat(&self, peer: &str, store: StoreHealth, now: Micros) -> PeerStatus {
+    pub fn peer_heartbeat(&self, peer: &str, store: StoreHealth, now: Micros) -> PeerStatus {
         let ack_request = self.leadership.as_ref().map(|leadership| AckRequest {
-            revision: self.view.rev,
+            revision: self.records.rev,
             cursor: leadership.acks.cursor(peer),
         });
         PeerStatus {
@@ -42,35 +42,37 @@
     }
 
     /// Takes in a peer's heartbeat and answers it.
-    pub fn heartbeat_received(
+    pub fn peer_heartbeat_received(
         &mut self,
-        heartbeat: PeerStatus,
+        peer_heartbeat: PeerStatus,
         store: StoreHealth,
         now: Micros,
     ) -> PeerStatus {
-        let ack_request = heartbeat.ack_request;
-        let peer_version = heartbeat.protocol_version;
-        self.peer_heard(heartbeat, None, now);
+        let ack_request = peer_heartbeat.ack_request;
+        let peer_version = peer_heartbeat.protocol_version;
+        self.peer_heard(peer_heartbeat, None, now);
         let mut answer = self.status(store, now);
         if peer_version == 0
             && !answer.store_reachable
             && self.has_fresh_cancellation(store.last_success_at)
         {
-            // A leader of protocol version 0 answers workers beyond its bound while every peer says
+            // A leader of protocol version 0 answers agents beyond its bound while every peer says
             // that it cannot reach the state service. A controller that may know of a cancellation
             // which that leader, having lost the state service a little sooner, missed must not say so.
             answer.store_reachable = true;
         }
         // Only what was read since this process started relates to a leader's records.
-        answer.ack = ack_request
-            .filter(|_| self.synced)
-            .and_then(|request| self.view.cancellations.acknowledge(self.process, request));
+        answer.ack = ack_request.filter(|_| self.synced).and_then(|request| {
+            self.records
+                .cancellations
+                .acknowledge(self.process, request)
+        });
         answer
     }
 
     /// Takes in the answer to a heartbeat that was sent at `asked_at` in `epoch`. True if the peer has
     /// more to acknowledge and should be asked again at once.
-    pub fn heartbeat_answered(
+    pub fn peer_heartbeat_answered(
         &mut self,
         mut answer: PeerStatus,
         asked_at: Micros,
@@ -117,7 +119,7 @@
             return;
         };
         for job in &ack.cancelled {
-            leadership.leader.called_off(job, now);
+            leadership.scheduler.cancelled_by_peer(job, now);
             self.notices.push(Notice::CancelledByPeer {
                 job: job.clone(),
                 peer: peer.to_owned(),
@@ -143,7 +145,7 @@
             .map(|p| p.status.node.as_str())
     }
 
-    /// The controller that answers workers, if another one is known to and can be reached from here.
+    /// The controller that answers agents, if another one is known to and can be reached from here.
     pub fn leader_elsewhere(&self, now: Micros) -> Option<&str> {
         let claims = self
             .peers
@@ -152,7 +154,7 @@
         if let Some(peer) = claims.max_by_key(|p| p.status.term) {
             return Some(&peer.status.node);
         }
-        let (_, recorded) = self.view.leader.as_ref()?;
+        let (_, recorded) = self.records.leader.as_ref()?;
         let peer = self.peers.get(&recorded.node)?;
         peer.is_alive(now).then_some(peer.status.node.as_str())
     }
@@ -172,7 +174,7 @@
         zones
     }
 
-    /// The most workers that a live peer had to redirect lately.
+    /// The most agents that a live peer had to redirect lately.
     pub(super) fn most_redirected(&self, now: Micros) -> usize {
         self.peers
             .values()
--- a/crates/saltpitch-core/src/controller/records.rs
+++ b/crates/saltpitch-core/src/controller/record_sync.rs
@@ -1,8 +1,8 @@
 //! Following the state service: changes, listings and this process's own writes.
 
 use crate::job::JobState;
-use crate::leader::Write;
-use crate::records::{node_key, Change, JobRecord, NodeRecord, RecordChange, View};
+use crate::records::{node_key, Change, JobRecord, NodeRecord, RecordCache, RecordChange};
+use crate::scheduler::{Precondition, Write};
 use crate::time::Micros;
 
 use super::notice::EndedJob;
@@ -35,18 +35,18 @@
         now: Micros,
         wall: Micros,
     ) -> bool {
-        if from > self.view.rev {
+        if from > self.records.rev {
             return false;
         }
-        let known = self.view.rev;
+        let known = self.records.rev;
         let mut job_changed = false;
         for change in changes {
             if change.revision > known {
                 job_changed |= self.apply_change(&change, now, wall);
             }
         }
-        self.view.rev = self.view.rev.max(upto);
-        self.view.cancellations.trim();
+        self.records.rev = self.records.rev.max(upto);
+        self.records.cancellations.trim();
         job_changed
     }
 
@@ -61,7 +61,7 @@
         self.note_job_end(change, wall);
         let term_holder = self.term_holder();
         let effect = match &change.value {
-            Some(value) => match self.view.put(&change.key, value, change.revision) {
+            Some(value) => match self.records.put(&change.key, value, change.revision) {
                 Ok(effect) => effect,
                 Err(error) => {
                     self.notices.push(Notice::UnreadableRecord {
@@ -71,7 +71,7 @@
                     return false;
                 }
             },
-            None => self.view.delete(&change.key, change.revision),
+            None => self.records.delete(&change.key, change.revision),
         };
         match effect {
             Change::Job(id) => {
@@ -92,29 +92,31 @@
         false
     }
 
-    /// Replaces the copy of the records by one that was read anew. `view.rev` must be the revision of
+    /// Replaces the copy of the records by one that was read anew. `records.rev` must be the revision of
     /// the first page: whatever changed during the listing follows from there.
     pub fn replace_records(
         &mut self,
-        view: View,
+        records: RecordCache,
         now: Micros,
         wall: Micros,
     ) -> Result<(), OutdatedLayout> {
-        if view.old_layout {
+        if records.old_layout {
             return Err(OutdatedLayout);
         }
-        let old = std::mem::replace(&mut self.view, view);
-        if old.term.0 != self.view.term.0 {
+        let old = std::mem::replace(&mut self.records, records);
+        if old.term.0 != self.records.term.0 {
             self.term_seen_at = now;
         }
-        self.view.succeed(old);
+        self.records.succeed(old);
         self.synced = true;
         self.last_cancellation_at = Some(now);
         self.adopt_recorded_catalog();
         self.check_recorded_term();
         if let Some(leadership) = &mut self.leadership {
-            for id in self.view.jobs.keys() {
-                leadership.leader.job_changed(&self.view, id, now, wall);
+            for id in self.records.jobs.keys() {
+                leadership
+                    .scheduler
+                    .job_changed(&self.records, id, now, wall);
             }
         }
         Ok(())
@@ -131,14 +133,14 @@
     /// The revisions of all controllers' announcements, if each of them knows delegations. A
     /// delegation is committed on condition of them, so that no controller of an earlier version can
     /// have started in between.
-    pub fn delegations_known_by_all(&self) -> Option<Vec<(String, u64)>> {
+    pub fn delegations_known_by_all(&self) -> Option<Vec<Precondition>> {
         let peers = self.config.peers.iter().map(|peer| peer.name.as_str());
         let names = peers.chain([self.config.name.as_str()]);
         names
             .map(|name| {
-                let (revision, record) = self.view.nodes.get(name)?;
+                let (revision, record) = self.records.nodes.get(name)?;
                 let known = record.knows_delegations;
-                known.then(|| (node_key(name), *revision))
+                known.then(|| Precondition::new(node_key(name), *revision))
             })
             .collect()
     }
@@ -149,7 +151,7 @@
             return None;
         }
         let name = &self.config.name;
-        let (expected_revision, known) = match self.view.nodes.get(name) {
+        let (expected_revision, known) = match self.records.nodes.get(name) {
             Some((revision, record)) => (*revision, record.incarnation),
             None => (0, 0),
         };
@@ -167,7 +169,7 @@
 
     /// Whether this process's incarnation is on record: the answer to the write may have been lost.
     pub fn confirm_announcement(&mut self, incarnation: u64, written: bool) -> bool {
-        let on_record = self.view.incarnation_of(&self.config.name) == incarnation;
+        let on_record = self.records.incarnation_of(&self.config.name) == incarnation;
         self.announced = self.incarnation == incarnation && (written || on_record);
         self.announced
     }
@@ -186,39 +188,41 @@
 
     /// Who holds the recorded term, and in which incarnation.
     fn term_holder(&self) -> (String, u64) {
-        let (_, term) = &self.view.term;
+        let (_, term) = &self.records.term;
         (term.node.clone(), term.incarnation)
     }
 
     fn job_changed(&mut self, id: &str, now: Micros, wall: Micros) {
-        if self.view.state(id) == Some(JobState::Cancelled) {
+        if self.records.state(id) == Some(JobState::Cancelled) {
             self.last_cancellation_at = Some(now);
         }
         if let Some(leadership) = &mut self.leadership {
-            leadership.leader.job_changed(&self.view, id, now, wall);
+            leadership
+                .scheduler
+                .job_changed(&self.records, id, now, wall);
         }
     }
 
     fn adopt_recorded_catalog(&mut self) {
         if self.catalog.is_none() {
-            self.catalog = self.view.catalog.as_ref().map(|c| c.1.clone());
+            self.catalog = self.records.catalog.as_ref().map(|c| c.1.clone());
         }
     }
 
     /// A newer incarnation of the previous leader proves that its process answers nobody.
     fn incarnation_changed(&mut self, name: &str, now: Micros) {
-        let incarnation = self.view.incarnation_of(name);
+        let incarnation = self.records.incarnation_of(name);
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let gone = leadership
+        let returned_machines = leadership
             .previous
             .take_if(|(node, old)| node == name && *old < incarnation);
-        let Some((node, _)) = gone else {
+        let Some((node, _)) = returned_machines else {
             return;
         };
-        let silent_at = now.max(leadership.earlier_silent_at);
-        leadership.leader.old_leader_gone(silent_at);
+        let fenced_at = now.max(leadership.earlier_leaders_fenced_at);
+        leadership.scheduler.previous_leader_gone(fenced_at);
         self.notices.push(Notice::PreviousLeaderGone { node });
     }
 
@@ -230,7 +234,7 @@
         let Some(id) = crate::records::job_id(&change.key) else {
             return;
         };
-        let Some(old) = self.view.jobs.get(id) else {
+        let Some(old) = self.records.jobs.get(id) else {
             return;
         };
         // A change may come twice, by a watch and by a fresh read; and a cancelled job's record changes
@@ -250,9 +254,9 @@
             tasks: spec.tasks,
             estimate: spec.estimate,
             deadline: spec.deadline,
-            dependencies: spec.needs.clone(),
+            dependencies: spec.dependencies.clone(),
             took: wall.since(old.record.submitted),
-            timeline: leadership.leader.timeline(id).unwrap_or_default(),
+            timeline: leadership.scheduler.timeline(id).unwrap_or_default(),
             cancelled: new.state == JobState::Cancelled,
         };
         self.notices.push(Notice::JobEnded(end));
--- a/crates/saltpitch-core/src/images.rs
+++ b/crates/saltpitch-core/src/images.rs
@@ -19,11 +19,11 @@
     pub size_mb: u64,
 }
 
-/// The cache of one machine in one of its sessions.
+/// The cache of one machine in one of its epochs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ImageCache {
-    /// The session in which the images were used. What a later session still has is not known.
-    pub session: u64,
+    /// The epoch in which the images were used. What a later epoch still has is not known.
+    pub agent_epoch: u64,
     /// The images, the most recently used last.
     pub images: Vec<CachedImage>,
 }
@@ -36,16 +36,16 @@
 
 impl ImageEvidence {
     /// A task with this image ran on the machine.
-    pub fn used(&mut self, machine: &str, session: u64, image: &str, size_mb: u64) {
+    pub fn used(&mut self, machine: &str, agent_epoch: u64, image: &str, size_mb: u64) {
         let cache = match self.machines.get_mut(machine) {
             Some(cache) => cache,
             None => self.machines.entry(machine.to_owned()).or_default(),
         };
-        if session < cache.session {
+        if agent_epoch < cache.agent_epoch {
             return;
         }
-        if session > cache.session {
-            cache.session = session;
+        if agent_epoch > cache.agent_epoch {
+            cache.agent_epoch = agent_epoch;
             cache.images.clear();
         }
         let images = &mut cache.images;
--- a/crates/saltpitch-core/src/job.rs
+++ b/crates/saltpitch-core/src/job.rs
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     Array,
     /// All tasks run at the same time or none does.
@@ -34,7 +34,7 @@
 pub struct JobSpec {
     pub class: String,
     pub team: String,
-    pub kind: Kind,
+    pub kind: JobKind,
     pub priority: Priority,
     pub tasks: u32,
     /// What each task takes of its machine.
@@ -59,13 +59,13 @@
     pub deadline: Option<Micros>,
     /// Jobs that have to be done before any task of this one starts. Left out where there are none:
     /// earlier versions don't know the field.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub needs: Vec<String>,
+    #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
+    pub dependencies: Vec<String>,
 }
 
 /// Why a job can never run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Never {
+pub enum Infeasible {
     #[error("unknown team")]
     Team,
     #[error("no allowed machine type holds a task")]
@@ -86,11 +86,11 @@
     }
 
     /// Whether the job could run on an empty site with every machine there is.
-    pub fn can_ever_run(&self, catalog: &Catalog, teams: &[TeamLimits]) -> Result<(), Never> {
+    pub fn can_ever_run(&self, catalog: &Catalog, teams: &[TeamLimits]) -> Result<(), Infeasible> {
         let team = teams
             .iter()
             .find(|t| t.name == self.team)
-            .ok_or(Never::Team)?;
+            .ok_or(Infeasible::Team)?;
         let held = catalog.types.iter().any(|t| {
             self.need.fits(&t.size)
                 && self.types.as_ref().is_none_or(|ts| ts.contains(&t.name))
@@ -99,16 +99,16 @@
                     .any(|z| self.zone.as_ref().is_none_or(|want| want == z))
         });
         if !held {
-            return Err(Never::Size);
+            return Err(Infeasible::Size);
         }
         let whole = match self.kind {
-            Kind::Array => self.need,
-            Kind::Gang | Kind::Service => self.need.times(u64::from(self.tasks)),
+            JobKind::Array => self.need,
+            JobKind::Gang | JobKind::Service => self.need.times(u64::from(self.tasks)),
         };
         if team.allows(&whole) {
             Ok(())
         } else {
-            Err(Never::Limit)
+            Err(Infeasible::Limit)
         }
     }
 
--- a/crates/saltpitch-core/src/leadership.rs
+++ b/crates/saltpitch-core/src/leadership.rs
@@ -1,24 +1,24 @@
-//! Who leads: when to take office, how long to go on without the store, when to give way.
+//! Who leads: when to take leadership, how long to go on without the store, when to give way.
 
 use std::collections::BTreeMap;
 
-use crate::leader::Write;
 use crate::records::{
-    node_key, AckCursor, CancellationAck, LeaderRecord, NodeRecord, TermRecord, View, LEADER_KEY,
-    TERM_KEY,
+    node_key, AckCursor, CancellationAck, LeaderRecord, NodeRecord, RecordCache, TermRecord,
+    LEADER_KEY, TERM_KEY,
 };
+use crate::scheduler::{Precondition, Transaction, Write};
 use crate::time::Micros;
 
 /// How long the leadership lease in the state service lasts without renewal.
 pub const LEADERSHIP_LEASE: Micros = Micros::from_secs(3);
 
-/// How long after a bid was made its maker may yet take office on it.
+/// How long after a bid was made its maker may yet take leadership on it.
 const BID: Micros = Micros::from_secs(4);
 
 /// Whether the leadership can be taken by this process as far as its records say: nobody holds it,
 /// or an earlier incarnation of this same node does, which is proven over by this one.
-pub fn vacant(view: &View, me: &str, incarnation: u64) -> bool {
-    match &view.leader {
+pub fn is_leaderless(records: &RecordCache, me: &str, incarnation: u64) -> bool {
+    match &records.leader {
         None => true,
         Some(l) => l.1.node == me && l.1.incarnation < incarnation,
     }
@@ -26,20 +26,19 @@
 
 /// One try at the leadership: what to write and on what conditions, and who led before.
 #[derive(Clone, Debug)]
-pub struct Bid {
+pub struct ElectionAttempt {
     /// The term that it takes.
     pub term: u64,
-    /// Conditions of the transaction: keys and their revisions.
-    pub when: Vec<(String, u64)>,
-    /// The write of [`LEADER_KEY`] is to be attached to the hold.
-    pub writes: Vec<Write>,
+    /// What to write, and on what conditions. The write of [`LEADER_KEY`] is to be attached to the
+    /// leadership lease.
+    pub transaction: Transaction,
     /// The leader before, if it is not proven gone.
     previous: Option<(String, u64)>,
     /// On the steady clock: from then on the leaders before that one answer nobody.
     earlier_at: Micros,
 }
 
-/// From when on no earlier leader can answer a worker.
+/// From when on no earlier leader can answer an agent.
 #[derive(Clone, Debug)]
 pub struct EarlierLeaders {
     /// The leader before, if it is not proven gone.
@@ -51,36 +50,38 @@
 }
 
 /// A bid on the records as this node has them; none if the leadership is not vacant. `bound`: how
-/// long a leader may answer workers after it was last confirmed. `term_seen`: when this node first
+/// long a leader may answer agents after it was last confirmed. `term_seen`: when this node first
 /// saw the term that its records show.
 ///
 /// All leaders before the one of that term are silent `bound` after it was seen. They answer for so
 /// long after the store renewed their hold, which it did before it took the next term, or after each
 /// other node gave its word, and this node's word would have named the term that it had seen. So
 /// this holds however late that term's transaction was carried out, and through any number of
-/// successions. `earlier_silent_at` on record says the same for versions that go by it.
-pub fn bid(
-    view: &View,
+/// successions. `earlier_leaders_fenced_at` on record says the same for versions that go by it.
+pub fn campaign(
+    records: &RecordCache,
     me: &str,
     incarnation: u64,
     bound: Micros,
     wall: Micros,
     term_seen: Micros,
-) -> Option<Bid> {
-    if !vacant(view, me, incarnation) {
+) -> Option<ElectionAttempt> {
+    if !is_leaderless(records, me, incarnation) {
         return None;
     }
-    let (term_rev, old) = &view.term;
+    let (term_rev, old) = &records.term;
     let previous = (*term_rev > 0)
         .then(|| (old.node.clone(), old.incarnation))
-        .filter(|(name, incarnation)| view.incarnation_of(name) <= *incarnation);
+        .filter(|(name, incarnation)| records.incarnation_of(name) <= *incarnation);
     let term = TermRecord {
         term: old.term + 1,
         node: me.to_owned(),
         incarnation,
-        earlier_silent_at: match previous {
-            Some(_) => old.earlier_silent_at.max(wall.plus(bound).plus(BID)),
-            None => old.earlier_silent_at,
+        earlier_leaders_fenced_at: match previous {
+            Some(_) => old
+                .earlier_leaders_fenced_at
+                .max(wall.plus(bound).plus(BID)),
+            None => old.earlier_leaders_fenced_at,
         },
     };
     let leader = LeaderRecord {
@@ -88,23 +89,25 @@
         incarnation,
         term: term.term,
     };
-    let leader_rev = view.leader.as_ref().map_or(0, |l| l.0);
-    Some(Bid {
+    let leader_rev = records.leader.as_ref().map_or(0, |l| l.0);
+    Some(ElectionAttempt {
         term: term.term,
-        when: vec![
-            (TERM_KEY.to_owned(), *term_rev),
-            (LEADER_KEY.to_owned(), leader_rev),
-        ],
-        writes: vec![
-            Write {
-                key: TERM_KEY.to_owned(),
-                value: serde_json::to_string(&term).ok(),
-            },
-            Write {
-                key: LEADER_KEY.to_owned(),
-                value: serde_json::to_string(&leader).ok(),
-            },
-        ],
+        transaction: Transaction {
+            preconditions: vec![
+                Precondition::new(TERM_KEY, *term_rev),
+                Precondition::new(LEADER_KEY, leader_rev),
+            ],
+            writes: vec![
+                Write {
+                    key: TERM_KEY.to_owned(),
+                    value: serde_json::to_string(&term).ok(),
+                },
+                Write {
+                    key: LEADER_KEY.to_owned(),
+                    value: serde_json::to_string(&leader).ok(),
+                },
+            ],
+        },
         previous,
         earlier_at: if old.term > 1 {
             term_seen.plus(bound)
@@ -114,16 +117,22 @@
     })
 }
 
-impl Bid {
-    /// The bid was carried out at `rev`. None if the records have gone on since: then the office is
+impl ElectionAttempt {
+    /// The bid was carried out at `rev`. None if the records have gone on since: then the leadership is
     /// another's already.
-    pub fn won(self, view: &View, rev: u64, bound: Micros, now: Micros) -> Option<EarlierLeaders> {
-        if view.term.0 != rev {
+    pub fn won(
+        self,
+        records: &RecordCache,
+        rev: u64,
+        bound: Micros,
+        now: Micros,
+    ) -> Option<EarlierLeaders> {
+        if records.term.0 != rev {
             return None;
         }
         let previous = self
             .previous
-            .filter(|(name, incarnation)| view.incarnation_of(name) <= *incarnation);
+            .filter(|(name, incarnation)| records.incarnation_of(name) <= *incarnation);
         let earlier_at = now.max(self.earlier_at);
         let all_at = match &previous {
             Some(_) => earlier_at.max(now.plus(bound)),
@@ -137,16 +146,16 @@
     }
 }
 
-/// What a leader writes that gives way: the office is free, and a new incarnation of this node proves that
+/// What a leader writes that gives way: the leadership is free, and a new incarnation of this node proves that
 /// the one that led answers nobody any more.
 pub fn resignation(
-    view: &View,
+    records: &RecordCache,
     me: &str,
     record: &NodeRecord,
     term_rev: u64,
-) -> (Vec<(String, u64)>, Vec<Write>) {
+) -> Transaction {
     let key = node_key(me);
-    let node_rev = view.nodes.get(me).map_or(0, |n| n.0);
+    let node_rev = records.nodes.get(me).map_or(0, |n| n.0);
     let writes = vec![
         Write {
             key: LEADER_KEY.to_owned(),
@@ -157,10 +166,13 @@
             value: serde_json::to_string(record).ok(),
         },
     ];
-    (
-        vec![(TERM_KEY.to_owned(), term_rev), (key, node_rev)],
+    Transaction {
+        preconditions: vec![
+            Precondition::new(TERM_KEY, term_rev),
+            Precondition::new(key, node_rev),
+        ],
         writes,
-    )
+    }
 }
 
 /// What a leader knows of one peer's acknowledgements.
@@ -174,7 +186,7 @@
 
 /// The acknowledgements of cancellations that a leader has received from its peers.
 ///
-/// Invariant: whenever a leader renews a worker's lease, it has acted on every cancellation that any
+/// Invariant: whenever a leader renews an agent's lease, it has acted on every cancellation that any
 /// controller can have confirmed to a user up to [`answer_bound`] earlier. A renewal of the leadership
 /// lease establishes this for all controllers at once, because whatever was confirmed by then is in the
 /// records that the leader follows. Without the state service each peer has to establish it for itself:
@@ -201,7 +213,7 @@
         }
     }
 
-    /// Until when workers may be answered by the acknowledgements of `peers`; `None` if one of them
+    /// Until when agents may be answered by the acknowledgements of `peers`; `None` if one of them
     /// gave none.
     pub fn valid_until<'a>(
         &self,
@@ -217,8 +229,8 @@
     }
 }
 
-/// How long a leader may go on answering workers after its last confirmed renewal. A cancelled
-/// task must be gone `cancel` after its user was told, and a worker that was answered last at the
+/// How long a leader may go on answering agents after its last confirmed renewal. A cancelled
+/// task must be gone `cancel` after its user was told, and an agent that was answered last at the
 /// very end of this span keeps its tasks for one lease more.
 pub fn answer_bound(cancel: Micros, lease: Micros) -> Micros {
     cancel
@@ -229,31 +241,31 @@
 
 /// What a leader knows of how well it is heard.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Hearing {
-    /// Workers that are up as far as the leader knows.
+pub struct AgentReachability {
+    /// Agents that are up as far as the leader knows.
     pub known: usize,
     /// Of these, heard lately.
     pub heard: usize,
-    /// Workers that knock at the best placed peer, sent on to the leader.
-    pub knocks: usize,
+    /// Agents that knock at the best placed peer, sent on to the leader.
+    pub redirected: usize,
     /// Peers that answer this node.
     pub peers: usize,
     /// Nodes other than this one.
     pub others: usize,
 }
 
-impl Hearing {
-    /// The workers do not reach this leader although others would hear them. Held for a while,
-    /// this is the reason to resign before the workers' leases run out. When nobody else hears
+impl AgentReachability {
+    /// The agents do not reach this leader although others would hear them. Held for a while,
+    /// this is the reason to resign before the agents' leases run out. When nobody else hears
     /// more, resigning would only make leadership flap.
-    pub fn deaf(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         if self.known == 0 || self.heard * 2 >= self.known {
             return false;
         }
         if self.peers == 0 && self.others > 0 {
             return self.heard == 0;
         }
-        self.knocks > self.heard
+        self.redirected > self.heard
     }
 }
 
--- a/crates/saltpitch-core/src/lib.rs
+++ b/crates/saltpitch-core/src/lib.rs
@@ -6,10 +6,10 @@
 //! # Modules
 //!
 //! - [`controller`]: one controller as a state machine: its copy of the records, elections, what peers
-//!   and workers are answered. It owns the [`leader`] while it leads.
+//!   and agents are answered. It owns the [`leader`] while it leads.
 //! - [`leader`]: the scheduler: jobs, machines and the loops that compare what is wanted with what is.
 //! - [`records`]: what the state service holds, and a controller's copy of it.
-//! - [`leadership`]: bids for the leadership, and until when a leader may answer workers.
+//! - [`leadership`]: bids for the leadership, and until when a leader may answer agents.
 //! - [`cluster`], [`fleet`]: machines, what they last said, and the index of their free room.
 //! - [`job`], [`gang`], [`quota`], [`placement`], [`preemption`], [`catalog`], [`images`], [`policy`]: the
 //!   parts that decisions are made of.
@@ -18,10 +18,10 @@
 //! # The path of a job
 //!
 //! A user's submission creates the job's record. The leader learns of it as a change
-//! (`Controller::apply_changes`, then [`leader::Leader::job_changed`]) and queues it, once the jobs that it
+//! (`Controller::apply_changes`, then [`leader::Scheduler::job_changed`]) and queues it, once the jobs that it
 //! waits on are done. A pass over the waiting jobs finds machines for its tasks and assumes their room;
 //! where there is none, machines are rented. The places go on record before any start is sent; the starts
-//! go out with the answers to the machines' reports or as direct orders. A report that shows a task's end
+//! go out with the answers to the machines' heartbeats or as direct commands. A heartbeat that shows a task's end
 //! clears its place; the outcome goes on record before the machine is told to forget it. When all tasks are
 //! done, so is the job, and its record shrinks to a few bytes.
 
@@ -29,14 +29,13 @@
 pub mod cluster;
 #[warn(missing_docs)]
 pub mod controller;
-pub mod fleet;
 pub mod gang;
 #[warn(missing_docs)]
 pub mod images;
 pub mod job;
-pub mod leader;
 #[warn(missing_docs)]
 pub mod leadership;
+pub mod machine_index;
 #[warn(missing_docs)]
 pub mod messages;
 pub mod placement;
@@ -45,6 +44,8 @@
 pub mod quota;
 #[warn(missing_docs)]
 pub mod records;
+pub mod scheduler;
 pub mod time;
+pub mod token_bucket;
 
 pub use time::Micros;
--- a/crates/saltpitch-core/src/fleet.rs
+++ b/crates/saltpitch-core/src/machine_index.rs
@@ -11,14 +11,14 @@
 use crate::job::Priority;
 use crate::time::Micros;
 
-pub type GroupNo = usize;
+pub type GroupNumber = usize;
 
 /// Needs of which a group remembers how far it was searched: users choose them freely.
 const MAX_SEARCHES: usize = 4_096;
 
 /// What the index knows of one machine; lives in the machine.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Indexed {
+pub struct IndexEntry {
     /// Free room when it was last indexed as taking tasks.
     free: Option<Resources>,
     /// Processors that it then gave to batch work.
@@ -36,7 +36,7 @@
 
 /// Machines of one type, zone and kind.
 #[derive(Debug)]
-pub struct Group {
+pub struct MachineGroup {
     pub kind: Arc<MachineType>,
     pub zone: Arc<str>,
     pub spot: bool,
@@ -63,16 +63,16 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Fleet {
-    pub groups: Vec<Group>,
-    by_key: HashMap<(String, Arc<str>, bool, bool), GroupNo>,
+pub struct MachineIndex {
+    pub groups: Vec<MachineGroup>,
+    by_key: HashMap<(String, Arc<str>, bool, bool), GroupNumber>,
     /// All machines known, by zone.
     pub by_zone: HashMap<Arc<str>, usize>,
     /// How many machines hold an image, by zone.
     images: HashMap<String, HashMap<Arc<str>, usize>>,
 }
 
-fn place(p: Priority) -> usize {
+fn priority_index(p: Priority) -> usize {
     match p {
         Priority::Low => 0,
         Priority::Normal => 1,
@@ -81,10 +81,10 @@
     }
 }
 
-impl Group {
+impl MachineGroup {
     /// Whether tasks of a lower priority are here.
     pub fn has_below(&self, p: Priority) -> bool {
-        self.load[..place(p)].iter().any(|n| *n > 0)
+        self.load[..priority_index(p)].iter().any(|n| *n > 0)
     }
 
     /// The next machines in turn, at most `n`.
@@ -97,7 +97,7 @@
         let mut part: Vec<Arc<str>> = later.take(n).cloned().collect();
         if part.len() < n {
             let rest = n - part.len();
-            let from_start = self.members.iter().take_while(|m| **m <= after);
+            let from_start = self.members.iter().take_while(|machine| **machine <= after);
             part.extend(from_start.take(rest).cloned());
         }
         self.cursor = part.last().cloned();
@@ -148,16 +148,16 @@
     }
 }
 
-impl Fleet {
+impl MachineIndex {
     /// The group of such machines, made if need be.
-    pub fn group(&mut self, kind: &Arc<MachineType>, zone: &Arc<str>, spot: bool) -> GroupNo {
+    pub fn group(&mut self, kind: &Arc<MachineType>, zone: &Arc<str>, spot: bool) -> GroupNumber {
         // A type that the catalogue did not know had no size: not the same as the one that it knows.
         let known = !kind.size.is_zero();
         let key = (kind.name.clone(), zone.clone(), spot, known);
         if let Some(&g) = self.by_key.get(&key) {
             return g;
         }
-        self.groups.push(Group {
+        self.groups.push(MachineGroup {
             kind: kind.clone(),
             zone: zone.clone(),
             spot,
@@ -174,51 +174,53 @@
         self.groups.len() - 1
     }
 
-    pub fn add(&mut self, m: &mut Machine) {
-        m.group = self.group(&m.kind, &m.zone, m.spot);
-        self.groups[m.group].members.insert(m.name.clone());
-        *self.by_zone.entry(m.zone.clone()).or_default() += 1;
+    pub fn add(&mut self, machine: &mut Machine) {
+        machine.group = self.group(&machine.kind, &machine.zone, machine.spot);
+        self.groups[machine.group]
+            .members
+            .insert(machine.name.clone());
+        *self.by_zone.entry(machine.zone.clone()).or_default() += 1;
     }
 
-    pub fn remove(&mut self, m: &mut Machine) {
-        self.set(m, None);
-        let went = m.forget_images();
-        self.images(&m.zone, &[], &went);
-        self.groups[m.group].members.remove(&m.name);
-        if let Some(n) = self.by_zone.get_mut(&m.zone) {
+    pub fn remove(&mut self, machine: &mut Machine) {
+        self.set(machine, None);
+        let went = machine.forget_images();
+        self.images(&machine.zone, &[], &went);
+        self.groups[machine.group].members.remove(&machine.name);
+        if let Some(n) = self.by_zone.get_mut(&machine.zone) {
             *n -= 1;
         }
     }
 
     /// Anything about the machine that counts for placement may have changed.
-    pub fn update(&mut self, m: &mut Machine) {
-        let free = m.takes_tasks().then(|| m.free());
-        self.set(m, free);
+    pub fn update(&mut self, machine: &mut Machine) {
+        let free = machine.takes_tasks().then(|| machine.free());
+        self.set(machine, free);
     }
 
-    fn set(&mut self, m: &mut Machine, free: Option<Resources>) {
-        let group = &mut self.groups[m.group];
+    fn set(&mut self, machine: &mut Machine, free: Option<Resources>) {
+        let group = &mut self.groups[machine.group];
         let batch = match free {
-            Some(_) => m.kind.size.cpu.saturating_sub(m.steady_cpu),
+            Some(_) => machine.kind.size.cpu.saturating_sub(machine.steady_cpu),
             None => 0,
         };
-        group.batch = group.batch + batch - m.indexed.batch;
-        m.indexed.batch = batch;
-        let old = m.indexed.free;
+        group.batch = group.batch + batch - machine.indexed.batch;
+        machine.indexed.batch = batch;
+        let old = machine.indexed.free;
         if old == free {
             return;
         }
         let key = |r: Option<Resources>| r.map(|r| r.cpu).filter(|c| *c > 0);
         if let Some(c) = key(old).filter(|_| key(old) != key(free)) {
-            group.room.remove(&(c, m.name.clone()));
+            group.room.remove(&(c, machine.name.clone()));
         }
         if let (Some(c), Some(free)) = (key(free), free) {
-            group.room.insert((c, m.name.clone()), free);
+            group.room.insert((c, machine.name.clone()), free);
         }
         if free.is_some_and(|new| old.is_none_or(|old| !new.fits(&old))) {
             group.grown += 1;
         }
-        m.indexed.free = free;
+        machine.indexed.free = free;
     }
 
     /// Images came to a machine or fell out of its cache.
@@ -241,8 +243,8 @@
     }
 
     /// A task was placed on this machine, or is gone from it.
-    pub fn loaded(&mut self, m: &Machine, p: Priority, more: bool) {
-        let n = &mut self.groups[m.group].load[place(p)];
+    pub fn loaded(&mut self, machine: &Machine, p: Priority, more: bool) {
+        let n = &mut self.groups[machine.group].load[priority_index(p)];
         *n = if more { *n + 1 } else { n.saturating_sub(1) };
     }
 }
--- a/crates/saltpitch-core/src/messages.rs
+++ b/crates/saltpitch-core/src/messages.rs
@@ -28,13 +28,13 @@
     /// The incarnation in which that controller took the term.
     #[serde(rename = "life")]
     pub term_incarnation: u64,
-    /// Whether the sender leads and may answer workers.
+    /// Whether the sender leads and may answer agents.
     #[serde(rename = "leads")]
     pub is_leader: bool,
     /// Whether the state service served the sender lately.
     #[serde(rename = "store_up")]
     pub store_reachable: bool,
-    /// How many workers lately reported to the sender and were redirected.
+    /// How many agents lately sent a heartbeat to the sender and were redirected.
     #[serde(rename = "knocks")]
     pub redirected_workers: u32,
     /// See [`PROTOCOL_VERSION`]; 0 if the sender left it out.
--- a/crates/saltpitch-core/src/placement.rs
+++ b/crates/saltpitch-core/src/placement.rs
@@ -7,19 +7,19 @@
 use crate::job::JobSpec;
 
 /// Lower is better. The unit is about a millisecond of delay, money counted alongside.
-pub fn score(spec: &JobSpec, m: &Machine) -> u64 {
-    let fetch = if m.has_image(&spec.image) {
+pub fn score(spec: &JobSpec, machine: &Machine) -> u64 {
+    let fetch = if machine.has_image(&spec.image) {
         0
     } else {
-        m.kind.fetch_time(spec.image_mb).0 / 1_000
+        machine.kind.fetch_time(spec.image_mb).0 / 1_000
     };
     // A task that could run on a spot machine leaves the ordinary ones to those that can't.
-    let kind = if spec.spot && !m.spot { 2_000 } else { 0 };
+    let kind = if spec.spot && !machine.spot { 2_000 } else { 0 };
     // Fill the fullest machine first, so that others become empty and can go back.
-    let free = m.free();
-    let room = 1_000 * free.cpu / m.kind.size.cpu.max(1);
+    let free = machine.free();
+    let room = 1_000 * free.cpu / machine.kind.size.cpu.max(1);
     // Accelerators are left to those who need them as long as there is other room.
-    let gpu = if spec.need.gpu == 0 && m.kind.size.gpu > 0 {
+    let gpu = if spec.need.gpu == 0 && machine.kind.size.gpu > 0 {
         15_000
     } else {
         0
--- a/crates/saltpitch-core/src/records/keys.rs
+++ b/crates/saltpitch-core/src/records/keys.rs
@@ -62,11 +62,11 @@
     if let Some(id) = key.strip_prefix("salt/j/") {
         return Key::Job(id);
     }
-    if let Some(no) = key.strip_prefix("salt/b/") {
-        return no.parse().map_or(Key::Other, Key::Block);
+    if let Some(number) = key.strip_prefix("salt/b/") {
+        return number.parse().map_or(Key::Other, Key::Block);
     }
-    if let Some(no) = key.strip_prefix("salt/l/") {
-        return no.parse().map_or(Key::Other, Key::Log);
+    if let Some(number) = key.strip_prefix("salt/l/") {
+        return number.parse().map_or(Key::Other, Key::Log);
     }
     if key.starts_with("salt/m/") || key.starts_with("salt/p/") {
         return Key::Old;
@@ -74,12 +74,12 @@
     if let Some(name) = key.strip_prefix("salt/n/") {
         return Key::Node(name);
     }
-    if let Some((id, no)) = key
+    if let Some((id, number)) = key
         .strip_prefix("salt/c/")
         .and_then(|rest| rest.rsplit_once('/'))
     {
-        if let Ok(no) = no.parse() {
-            return Key::Chunk(id, no);
+        if let Ok(number) = number.parse() {
+            return Key::Chunk(id, number);
         }
     }
     Key::Other
--- a/crates/saltpitch-core/src/records/mod.rs
+++ b/crates/saltpitch-core/src/records/mod.rs
@@ -6,10 +6,10 @@
 mod cancellations;
 mod delegation;
 mod keys;
-mod returned;
+mod record_cache;
+mod recorded_tasks;
+mod returned_machines;
 mod stored;
-mod tasks;
-mod view;
 
 use serde_json::value::RawValue;
 
@@ -19,13 +19,13 @@
     block_key, chunk_key, job_id, job_key, log_key, node_key, BLOCK, CATALOG_KEY, CHUNK,
     LEADER_KEY, PREFIX, TERM_KEY,
 };
-pub use returned::ReturnedMachines;
+pub use record_cache::{Change, JobEntry, RecordCache, RecordError};
+pub use recorded_tasks::{Checkpoint, RecordedSegment, TaskState, TaskStates};
+pub use returned_machines::ReturnedMachines;
 pub use stored::{
-    BlockRecord, ChunkRecord, Entry, JobRecord, LeaderRecord, LogRecord, MachineRecord, NodeRecord,
-    PlaceRecord, TermRecord,
+    AllocationRecord, BlockRecord, ChunkRecord, Entry, JobRecord, LeaderRecord, LogRecord,
+    MachineRecord, NodeRecord, TermRecord,
 };
-pub use tasks::{Checkpoint, Segment, TaskState, TaskStates};
-pub use view::{Change, JobEntry, RecordError, View};
 
 /// A change of one key in the state service, or one row of a listing.
 #[derive(Clone, Debug)]
--- a/crates/saltpitch-core/src/records/view.rs
+++ b/crates/saltpitch-core/src/records/record_cache.rs
@@ -7,15 +7,15 @@
 use serde_json::value::RawValue;
 
 use super::keys::{split, Key};
+use super::recorded_tasks::{Checkpoint, RecordedSegment, TaskState, TaskStates};
 use super::stored::{
-    BlockRecord, ChunkRecord, Entry, JobRecord, LeaderRecord, LogRecord, NodeRecord, PlaceRecord,
-    TermRecord,
+    AllocationRecord, BlockRecord, ChunkRecord, Entry, JobRecord, LeaderRecord, LogRecord,
+    NodeRecord, TermRecord,
 };
-use super::tasks::{Checkpoint, Segment, TaskState, TaskStates};
 use super::{Cancellations, ReturnedMachines, CHUNK};
 use crate::catalog::Catalog;
 use crate::images::ImageEvidence;
-use crate::job::{JobSpec, JobState, Kind};
+use crate::job::{JobKind, JobSpec, JobState};
 
 /// A job's record as of one revision.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
 
 /// A node's copy of the records, as of revision `rev`.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct RecordCache {
     /// The revision up to which it is complete.
     pub rev: u64,
     /// All jobs ever accepted.
@@ -59,11 +59,11 @@
     /// Checkpoints by job and chunk.
     pub chunks: HashMap<String, BTreeMap<u32, Checkpoint>>,
     /// The log's segments by their key.
-    pub log: BTreeMap<u32, Segment>,
+    pub segments: BTreeMap<u32, RecordedSegment>,
     /// The highest segment heard of.
     pub last_segment: u64,
     /// Blocks of machines, with their revisions.
-    pub blocks: BTreeMap<u32, (u64, BlockRecord)>,
+    pub machine_blocks: BTreeMap<u32, (u64, BlockRecord)>,
     /// Incarnations of controllers, with their revisions.
     pub nodes: BTreeMap<String, (u64, NodeRecord)>,
     /// The term and its revision.
@@ -73,7 +73,7 @@
     /// The machine types, if they are on record, and the revision.
     pub catalog: Option<(u64, Arc<Catalog>)>,
     /// Machines that were returned.
-    pub gone: ReturnedMachines,
+    pub returned_machines: ReturnedMachines,
     /// Which machines hold which images.
     pub images: ImageEvidence,
     /// Jobs that wait for others, by those that they need.
@@ -106,7 +106,7 @@
     serde_json::from_str(raw.get()).map_err(|error| RecordError::Unreadable(error.to_string()))
 }
 
-impl View {
+impl RecordCache {
     /// Applies one key's change, unless a newer one is already there. A record that cannot be read
     /// is refused and leaves the view as it was.
     pub fn put(&mut self, key: &str, raw: &RawValue, rev: u64) -> Result<Change, RecordError> {
@@ -116,8 +116,8 @@
             Key::Catalog => self.put_catalog(raw, rev),
             Key::Node(name) => self.put_node(name, raw, rev),
             Key::Job(id) => self.put_job(id, raw, rev),
-            Key::Chunk(id, no) => self.put_checkpoint(id, no, raw, rev),
-            Key::Block(no) => self.put_block(no, raw, rev),
+            Key::Chunk(id, number) => self.put_checkpoint(id, number, raw, rev),
+            Key::Block(number) => self.put_block(number, raw, rev),
             Key::Log(slot) => self.put_segment(slot, raw, rev),
             Key::Old => {
                 self.old_layout = true;
@@ -172,7 +172,7 @@
         if record.state == JobState::Cancelled && was != Some(JobState::Cancelled) {
             self.cancellations.note(rev, id);
         }
-        let dependencies = record.spec.clone().filter(|s| !s.needs.is_empty());
+        let dependencies = record.spec.clone().filter(|s| !s.dependencies.is_empty());
         let state = record.state;
         self.index_cells(id, &record);
         self.jobs.insert(id.to_owned(), JobEntry { rev, record });
@@ -208,35 +208,35 @@
     fn put_checkpoint(
         &mut self,
         id: &str,
-        no: u32,
+        number: u32,
         raw: &RawValue,
         rev: u64,
     ) -> Result<Change, RecordError> {
-        let known = self.chunks.get(id).and_then(|chunks| chunks.get(&no));
+        let known = self.chunks.get(id).and_then(|chunks| chunks.get(&number));
         if known.is_some_and(|c| rev <= c.rev) {
             return Ok(Change::None);
         }
         let record: ChunkRecord = parse(raw)?;
         let upto = record.upto;
         let chunks = self.chunks.entry(id.to_owned()).or_default();
-        chunks.insert(no, Checkpoint { rev, upto });
+        chunks.insert(number, Checkpoint { rev, upto });
         self.last_segment = self.last_segment.max(upto);
         if !self.is_over(id) {
-            self.take_checkpoint(id, no, record);
+            self.take_checkpoint(id, number, record);
         }
         Ok(Change::Chunk)
     }
 
-    fn put_block(&mut self, no: u32, raw: &RawValue, rev: u64) -> Result<Change, RecordError> {
-        if self.blocks.get(&no).is_some_and(|b| rev <= b.0) {
+    fn put_block(&mut self, number: u32, raw: &RawValue, rev: u64) -> Result<Change, RecordError> {
+        if self.machine_blocks.get(&number).is_some_and(|b| rev <= b.0) {
             return Ok(Change::None);
         }
         let record: BlockRecord = parse(raw)?;
         for machine in &record.machines {
-            self.gone.remove(&machine.0);
+            self.returned_machines.remove(&machine.0);
         }
         let stays: HashSet<String> = record.machines.iter().map(|m| m.0.clone()).collect();
-        let old = self.blocks.insert(no, (rev, record));
+        let old = self.machine_blocks.insert(number, (rev, record));
         let old_machines = old.iter().flat_map(|(_, block)| &block.machines);
         for machine in old_machines.filter(|m| !stays.contains(&m.0)) {
             // A block that was split leaves its machines to others.
@@ -249,23 +249,33 @@
 
     /// Whether a block holds this machine.
     fn is_on_record(&self, name: &str) -> bool {
-        let mut machines = self.blocks.values().flat_map(|(_, block)| &block.machines);
+        let mut machines = self
+            .machine_blocks
+            .values()
+            .flat_map(|(_, block)| &block.machines);
         machines.any(|machine| machine.0 == name)
     }
 
     fn put_segment(&mut self, slot: u32, raw: &RawValue, rev: u64) -> Result<Change, RecordError> {
         if self
-            .log
+            .segments
             .get(&slot)
             .is_some_and(|segment| rev <= segment.rev)
         {
             return Ok(Change::None);
         }
         let record: LogRecord = parse(raw)?;
-        let no = record.no;
-        self.last_segment = self.last_segment.max(no);
+        let number = record.number;
+        self.last_segment = self.last_segment.max(number);
         let chunks = self.take_segment(record);
-        self.log.insert(slot, Segment { rev, no, chunks });
+        self.segments.insert(
+            slot,
+            RecordedSegment {
+                rev,
+                number,
+                chunks,
+            },
+        );
         Ok(Change::Chunk)
     }
 
@@ -276,18 +286,18 @@
                 self.leader = None;
                 return Change::Leader;
             }
-            Key::Chunk(id, no) => {
+            Key::Chunk(id, number) => {
                 if let Some(chunks) = self.chunks.get_mut(id) {
-                    if chunks.get(&no).is_some_and(|c| c.rev < rev) {
-                        chunks.remove(&no);
+                    if chunks.get(&number).is_some_and(|c| c.rev < rev) {
+                        chunks.remove(&number);
                     }
                     if chunks.is_empty() {
                         self.chunks.remove(id);
                     }
                 }
             }
-            Key::Block(no) if self.blocks.get(&no).is_some_and(|b| b.0 < rev) => {
-                if let Some((_, old)) = self.blocks.remove(&no) {
+            Key::Block(number) if self.machine_blocks.get(&number).is_some_and(|b| b.0 < rev) => {
+                if let Some((_, old)) = self.machine_blocks.remove(&number) {
                     for m in &old.machines {
                         self.machine_gone(&m.0);
                     }
@@ -324,9 +334,9 @@
                 t.done = true;
             }
         }
-        for PlaceRecord(i, machine, session) in record.places {
+        for AllocationRecord(i, machine, agent_epoch) in record.allocations {
             if let Some(t) = new.get_mut(i as usize) {
-                t.place = Some(Box::new((machine, session)));
+                t.allocation = Some(Box::new((machine, agent_epoch)));
             }
         }
         let states = self.tasks.entry(id.to_owned()).or_default();
@@ -349,18 +359,18 @@
             let job = self.jobs.get(&id);
             let spec = job.and_then(|job| job.record.spec.as_deref());
             let states = self.tasks.entry(id).or_default();
-            for Entry(task, attempt, machine, session, done) in entries {
-                let place = (!machine.is_empty()).then(|| Box::new((machine, session)));
+            for Entry(task, attempt, machine, agent_epoch, done) in entries {
+                let allocation = (!machine.is_empty()).then(|| Box::new((machine, agent_epoch)));
                 let state = TaskState {
-                    segment: record.no,
+                    segment: record.number,
                     attempt,
                     done: done > 0,
-                    place,
+                    allocation,
                 };
                 let completed_on = states.set(task, state);
-                if let (Some((machine, session)), Some(spec)) = (completed_on, spec) {
+                if let (Some((machine, agent_epoch)), Some(spec)) = (completed_on, spec) {
                     let images = &mut self.images;
-                    images.used(&machine, session, &spec.image, spec.image_mb);
+                    images.used(&machine, agent_epoch, &spec.image, spec.image_mb);
                 }
             }
         }
@@ -373,24 +383,24 @@
         let Some(spec) = self.jobs.get(id).and_then(|j| j.record.spec.as_deref()) else {
             return;
         };
-        let used = state == JobState::Done || spec.kind == Kind::Service;
+        let used = state == JobState::Done || spec.kind == JobKind::Service;
         let tasks = self.tasks.get(id).filter(|_| used);
-        for (machine, session) in tasks.into_iter().flat_map(TaskStates::places) {
+        for (machine, agent_epoch) in tasks.into_iter().flat_map(TaskStates::allocations) {
             let images = &mut self.images;
-            images.used(machine, *session, &spec.image, spec.image_mb);
+            images.used(machine, *agent_epoch, &spec.image, spec.image_mb);
         }
     }
 
     /// The machine was returned: late sightings of it mean nothing.
     fn machine_gone(&mut self, name: &str) {
-        self.gone.insert(name);
+        self.returned_machines.insert(name);
         self.images.forget(name);
     }
 
     /// Takes over the names of returned machines from an older copy: what that one knew and this one
     /// does not have is gone as well.
-    pub fn succeed(&mut self, old: View) {
-        self.gone = old.gone;
+    pub fn succeed(&mut self, old: RecordCache) {
+        self.returned_machines = old.returned_machines;
         self.images = old.images;
         // The list that leaders have been told from goes on: what the older copy had is in it.
         let new = std::mem::replace(&mut self.cancellations, old.cancellations);
@@ -404,12 +414,12 @@
             }
         }
         self.cancellations.trim();
-        let here: HashSet<&str> = (self.blocks.values())
+        let here: HashSet<&str> = (self.machine_blocks.values())
             .flat_map(|b| b.1.machines.iter().map(|m| m.0.as_str()))
             .collect();
-        for m in old.blocks.values().flat_map(|b| &b.1.machines) {
+        for m in old.machine_blocks.values().flat_map(|b| &b.1.machines) {
             if !here.contains(m.0.as_str()) {
-                self.gone.insert(&m.0);
+                self.returned_machines.insert(&m.0);
                 self.images.forget(&m.0);
             }
         }
@@ -427,9 +437,9 @@
 
     /// Notes what a job needs, and what its cancellation does to those that need it. Whether a job
     /// comes before or after those that it needs, as in a list by keys, makes no difference.
-    fn take_needs(&mut self, id: &str, state: JobState, needs: Option<Arc<JobSpec>>) {
+    fn take_needs(&mut self, id: &str, state: JobState, dependencies: Option<Arc<JobSpec>>) {
         let mut off = state == JobState::Cancelled;
-        for need in needs.iter().flat_map(|s| &s.needs) {
+        for need in dependencies.iter().flat_map(|s| &s.dependencies) {
             if state != JobState::Active {
                 break;
             }
--- a/crates/saltpitch-core/src/records/tasks.rs
+++ b/crates/saltpitch-core/src/records/recorded_tasks.rs
@@ -11,8 +11,8 @@
     pub attempt: u32,
     /// Whether it has completed.
     pub done: bool,
-    /// Machine and session.
-    pub place: Option<Box<(String, u64)>>,
+    /// Machine and epoch.
+    pub allocation: Option<Box<(String, u64)>>,
 }
 
 /// The tasks of a job, as far as anything is on record of them.
@@ -26,7 +26,7 @@
 
 impl TaskStates {
     /// Whatever comes late or twice, the newest segment's entry stays. Returns the machine and
-    /// the session in which the task has just completed.
+    /// the epoch in which the task has just completed.
     pub(super) fn set(&mut self, task: u32, new: TaskState) -> Option<(String, u64)> {
         let at = task as usize;
         if at >= self.tasks.len() {
@@ -39,27 +39,30 @@
         if new.segment < old.segment {
             return None;
         }
-        self.running =
-            self.running + u32::from(new.place.is_some()) - u32::from(old.place.is_some());
+        self.running = self.running + u32::from(new.allocation.is_some())
+            - u32::from(old.allocation.is_some());
         self.done = self.done + u32::from(new.done) - u32::from(old.done);
         let completed = new.done && !old.done;
         let before = std::mem::replace(old, new);
-        before.place.filter(|_| completed).map(|place| *place)
+        before
+            .allocation
+            .filter(|_| completed)
+            .map(|allocation| *allocation)
     }
 
-    /// The machines and sessions in which tasks are placed.
-    pub(super) fn places(&self) -> impl Iterator<Item = &(String, u64)> {
-        self.tasks.iter().filter_map(|t| t.place.as_deref())
+    /// The machines and epochs in which tasks are placed.
+    pub(super) fn allocations(&self) -> impl Iterator<Item = &(String, u64)> {
+        self.tasks.iter().filter_map(|t| t.allocation.as_deref())
     }
 }
 
 /// What a view keeps of a segment: its revision, its number, and the chunks that it speaks of.
 #[derive(Clone, Debug)]
-pub struct Segment {
+pub struct RecordedSegment {
     /// Its revision.
     pub rev: u64,
     /// Its number.
-    pub no: u64,
+    pub number: u64,
     /// The chunks, by job and number.
     pub chunks: Vec<(String, u32)>,
 }
--- a/crates/saltpitch-core/src/records/stored.rs
+++ b/crates/saltpitch-core/src/records/stored.rs
@@ -22,10 +22,10 @@
     /// The incarnation of its process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Time of day from which no leader before this one can answer a worker. It is handed on, so
+    /// Time of day from which no leader before this one can answer an agent. It is handed on, so
     /// that a leader who was cut off is still waited for when two others came after it.
     #[serde(rename = "quiet", default)]
-    pub earlier_silent_at: Micros,
+    pub earlier_leaders_fenced_at: Micros,
 }
 
 /// The present leader.
@@ -101,7 +101,7 @@
         if let Some(spec) = &mut self.spec {
             let spec = Arc::make_mut(spec);
             spec.types = None;
-            spec.needs = Vec::new();
+            spec.dependencies = Vec::new();
         }
     }
 
@@ -120,7 +120,7 @@
 
 /// Where one task may be.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlaceRecord(pub u32, pub String, pub u64);
+pub struct AllocationRecord(pub u32, pub String, pub u64);
 
 /// The state of up to [`CHUNK`] tasks of a job: a checkpoint of what the log says of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -134,9 +134,9 @@
     /// Completed tasks, as runs: first task and how many.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<(u32, u32)>,
-    /// (task within the chunk, machine, session)
+    /// (task within the chunk, machine, epoch)
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
-    pub places: Vec<PlaceRecord>,
+    pub allocations: Vec<AllocationRecord>,
 }
 
 impl ChunkRecord {
@@ -156,7 +156,7 @@
     }
 }
 
-/// What became of one task: its number, attempt, machine and session (empty: nowhere), and whether
+/// What became of one task: its number, attempt, machine and epoch (empty: nowhere), and whether
 /// it has completed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry(pub u32, pub u32, pub String, pub u64, pub u8);
@@ -168,7 +168,7 @@
 pub struct LogRecord {
     /// Its number; numbers only grow.
     #[serde(rename = "n")]
-    pub no: u64,
+    pub number: u64,
     /// Entries by job.
     #[serde(rename = "e")]
     pub entries: Vec<(String, Vec<Entry>)>,
--- a/crates/saltpitch-core/src/leader/borrowing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -5,10 +5,10 @@
 
 use std::sync::Arc;
 
-use super::{Leader, Seen};
+use super::{ObservedState, Scheduler};
 use crate::catalog::Resources;
-use crate::cluster::{JobNo, Machine};
-use crate::job::{JobSpec, Kind};
+use crate::cluster::{JobNumber, Machine};
+use crate::job::{JobKind, JobSpec};
 use crate::placement;
 use crate::time::Micros;
 
@@ -19,32 +19,38 @@
 /// Beyond the time that saving takes.
 const SAVE_MARGIN: Micros = Micros::from_secs(2);
 
-impl Leader {
+impl Scheduler {
     /// Whether accelerators that other work needs make this machine type a last resort for `spec`.
     pub(super) fn contested_for(&self, spec: &JobSpec, size: &Resources) -> bool {
-        spec.need.gpu == 0 && placement::contested(size, &self.gpu_needs)
+        spec.need.gpu == 0 && placement::contested(size, &self.accelerator_demands)
     }
 
     /// Machines whose accelerators others need lend their processors only to tasks that can save
     /// when they have to make way, and only while the machine is kept for those others anyway.
-    pub(super) fn may_borrow(&self, spec: &JobSpec, m: &Machine, now: Micros) -> bool {
-        !self.contested_for(spec, &m.kind.size) || now.since(m.wanted_at) < self.keep(m, now)
+    pub(super) fn may_share_accelerators(
+        &self,
+        spec: &JobSpec,
+        machine: &Machine,
+        now: Micros,
+    ) -> bool {
+        !self.contested_for(spec, &machine.kind.size)
+            || now.since(machine.wanted_at) < self.keep(machine, now)
     }
 
     /// Whether machines of this size may have a place for such tasks at all: room on them is not even
     /// looked at for work that they never take.
     pub(super) fn ever_suits(&self, spec: &JobSpec, size: &Resources) -> bool {
         spec.need.fits(size)
-            && (!self.contested_for(spec, size) || (spec.kind == Kind::Array && spec.saves()))
+            && (!self.contested_for(spec, size) || (spec.kind == JobKind::Array && spec.saves()))
     }
 
     /// Stops what borrows machines whose accelerators have not been needed for the time for which such a
     /// machine is kept, so that they go back. Found in an incident: simulations of five minutes had moved
     /// in beside accelerators, and held fifty of the dearest machines for long after the last job that
     /// needed them.
-    pub(super) fn end_borrowing(&mut self, now: Micros) {
+    pub(super) fn end_accelerator_sharing(&mut self, now: Micros) {
         let mut looked = Vec::new();
-        for group in &mut self.fleet.groups {
+        for group in &mut self.index.groups {
             if group.kind.size.gpu > 0 {
                 looked.extend(group.next_part(LOOKS));
             }
@@ -52,44 +58,48 @@
         self.steps += looked.len() as u64;
         let is_over = |name: &Arc<str>| {
             let machine = self.machines.get(name);
-            machine.is_some_and(|m| self.borrowing_is_over(m, now))
+            machine.is_some_and(|machine| self.sharing_is_over(machine, now))
         };
         looked.retain(is_over);
         for name in looked.into_iter().take(EMPTIED) {
-            self.empty_borrowed(&name, now);
+            self.evict_sharing(&name, now);
         }
     }
 
     /// Only work that can be saved is here, and nobody has needed the accelerators for long.
-    fn borrowing_is_over(&self, m: &Machine, now: Micros) -> bool {
-        m.takes_tasks()
-            && !m.holds.is_empty()
-            && placement::contested(&m.kind.size, &self.gpu_needs)
-            && now.since(m.wanted_at) > self.keep(m, now)
-            && m.holds.iter().all(|hold| self.borrows_and_saves(*hold))
+    fn sharing_is_over(&self, machine: &Machine, now: Micros) -> bool {
+        machine.takes_tasks()
+            && !machine.allocations.is_empty()
+            && placement::contested(&machine.kind.size, &self.accelerator_demands)
+            && now.since(machine.wanted_at) > self.keep(machine, now)
+            && machine
+                .allocations
+                .iter()
+                .all(|hold| self.shares_and_saves(*hold))
     }
 
-    fn borrows_and_saves(&self, (no, task): (JobNo, u32)) -> bool {
-        let Some(job) = self.jobs.get(&no) else {
+    fn shares_and_saves(&self, (number, task): (JobNumber, u32)) -> bool {
+        let Some(job) = self.jobs.get(&number) else {
             return false;
         };
-        let place = job.tasks[task as usize].place.as_deref();
-        let settled = place.is_some_and(|p| p.seen == Seen::Running && p.stop.is_none());
-        settled && job.spec.kind == Kind::Array && job.spec.need.gpu == 0 && job.spec.saves()
+        let allocation = job.tasks[task as usize].allocation.as_deref();
+        let settled =
+            allocation.is_some_and(|p| p.observed == ObservedState::Running && p.stop.is_none());
+        settled && job.spec.kind == JobKind::Array && job.spec.need.gpu == 0 && job.spec.saves()
     }
 
     /// Nothing new goes there, and what is there is told to save.
-    fn empty_borrowed(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(m) = self.machines.get_mut(name) else {
+    fn evict_sharing(&mut self, name: &Arc<str>, now: Micros) {
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        m.to_be_returned = true;
-        let held: Vec<(JobNo, u32)> = m.holds.iter().copied().collect();
+        machine.cordoned = true;
+        let allocated: Vec<(JobNumber, u32)> = machine.allocations.iter().copied().collect();
         self.reindex(name);
-        for (no, task) in held {
-            let save = self.jobs.get(&no).map(|job| job.spec.save);
+        for (number, task) in allocated {
+            let save = self.jobs.get(&number).map(|job| job.spec.save);
             let grace = save.unwrap_or_default().plus(SAVE_MARGIN);
-            self.stop(no, task, grace, now);
+            self.stop(number, task, grace, now);
         }
     }
 }
--- a/crates/saltpitch-core/src/leader/faults.rs
+++ b/crates/saltpitch-core/src/scheduler/alerts.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::Leader;
+use super::Scheduler;
 use crate::time::Micros;
 
 /// From this part of the ring on, few free segments are worth a warning.
@@ -14,7 +14,7 @@
 
 /// One fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum Alert {
     /// A rule of the operators' policy failed and its default is used.
     Policy(String),
     /// Few segments of the placement log can be written before one that is still needed.
@@ -29,27 +29,27 @@
         /// How many segments there are.
         ring: u64,
         /// The most bytes of one value.
-        value_bytes: usize,
+        max_value_bytes: usize,
         /// How many changes wait to be written.
         waiting: usize,
     },
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Alert {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Policy(message) => f.write_str(message),
-            Fault::LogNearlyFull { free, ring } => write!(
+            Alert::Policy(message) => f.write_str(message),
+            Alert::LogNearlyFull { free, ring } => write!(
                 f,
                 "the placement log is nearly full: {free} of {ring} segments are free"
             ),
-            Fault::LogFull {
+            Alert::LogFull {
                 ring,
-                value_bytes,
+                max_value_bytes,
                 waiting,
             } => write!(
                 f,
-                "the placement log is full: all {ring} segments of at most {value_bytes} bytes are needed, {waiting} changes wait and nothing is placed until tasks end"
+                "the placement log is full: all {ring} segments of at most {max_value_bytes} bytes are needed, {waiting} changes wait and nothing is placed until tasks end"
             ),
         }
     }
@@ -57,38 +57,38 @@
 
 /// Since when the log is in the state that is worth telling, and when it was told last.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct LogState {
+pub(super) struct PlacementLogAlerts {
     /// Since when a segment is due and none is free.
     pub blocked_since: Option<Micros>,
-    told_at: Option<Micros>,
+    alerted_at: Option<Micros>,
 }
 
-impl Leader {
+impl Scheduler {
     /// Faults that the log has not been told yet, or not lately.
-    pub fn take_faults(&mut self, now: Micros) -> Vec<Fault> {
-        let policy = std::mem::take(&mut self.cfg.policy.faults);
-        let mut faults: Vec<Fault> = policy.into_iter().map(Fault::Policy).collect();
-        let told = self.log_state.told_at;
-        if told.is_none_or(|at| now.since(at) >= REPEAT_AFTER) {
-            if let Some(fault) = self.log_fault(now) {
-                self.log_state.told_at = Some(now);
+    pub fn take_alerts(&mut self, now: Micros) -> Vec<Alert> {
+        let policy = std::mem::take(&mut self.config.policy.faults);
+        let mut faults: Vec<Alert> = policy.into_iter().map(Alert::Policy).collect();
+        let answered_with = self.placement_log_alerts.alerted_at;
+        if answered_with.is_none_or(|at| now.since(at) >= REPEAT_AFTER) {
+            if let Some(fault) = self.placement_log_alert(now) {
+                self.placement_log_alerts.alerted_at = Some(now);
                 faults.push(fault);
             }
         }
         faults
     }
 
-    fn log_fault(&self, now: Micros) -> Option<Fault> {
-        let ring = self.cfg.log_ring;
-        let blocked = self.log_state.blocked_since;
+    fn placement_log_alert(&self, now: Micros) -> Option<Alert> {
+        let ring = self.config.log_segments;
+        let blocked = self.placement_log_alerts.blocked_since;
         if blocked.is_some_and(|since| now.since(since) >= FULL_AFTER) {
-            return Some(Fault::LogFull {
+            return Some(Alert::LogFull {
                 ring,
-                value_bytes: self.cfg.value_bytes,
-                waiting: self.dirty.len(),
+                max_value_bytes: self.config.max_value_bytes,
+                waiting: self.unsaved.len(),
             });
         }
-        let free = self.log.room();
-        (free < ring / LOW_PART).then_some(Fault::LogNearlyFull { free, ring })
+        let free = self.placement_log.room();
+        (free < ring / LOW_PART).then_some(Alert::LogNearlyFull { free, ring })
     }
 }
--- a/crates/saltpitch-core/src/leader/capacity.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_plan.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use super::pools::{find, Pool, Terms, Zones};
-use super::Leader;
+use super::capacity_pools::{find, CapacityPool, ScaleOutTerms, ZoneSpread};
+use super::Scheduler;
 use crate::catalog::Resources;
-use crate::cluster::{JobNo, Machine, Phase};
+use crate::cluster::{JobNumber, Machine, MachinePhase};
 use crate::gang::Gang;
-use crate::job::{Kind, Priority};
+use crate::job::{JobKind, Priority};
 use crate::time::Micros;
 
 /// The most tasks of one job that are planned for at a time, beyond one for each machine of the site: a
@@ -20,26 +20,26 @@
 /// Room kept warm, as a part of what is expected: arrivals come in clusters.
 const WARM: f64 = 1.5;
 
-impl Leader {
+impl Scheduler {
     /// Rents what the waiting tasks need beyond what is on its way; returns what stands idle.
     pub(super) fn plan_capacity(&mut self, now: Micros) {
         // What was planned and not asked for yet is planned anew.
-        self.rents.retain(|r| r.sent);
-        if self.lacks_overview(now) {
-            self.return_idle(now);
-            return self.ask_for_rents(now);
+        self.scale_out_requests.retain(|r| r.sent);
+        if self.too_many_unreachable(now) {
+            self.scale_in_idle(now);
+            return self.send_scale_outs(now);
         }
         let mut pools = self.pools(now);
-        let room: u64 = (self.fleet.groups.iter())
-            .filter(|g| !crate::placement::contested(&g.kind.size, &self.gpu_needs))
+        let room: u64 = (self.index.groups.iter())
+            .filter(|g| !crate::placement::contested(&g.kind.size, &self.accelerator_demands))
             .map(|g| g.batch)
             .sum();
         // What is running has half of its time left on average.
         let mut work = (self.batch_placed.max(0.0) / 2.0) as u64 * 1_000;
         let mut claimed: Vec<Resources> =
             (0..self.quota.len()).map(|t| self.quota.used(t)).collect();
-        for (at, w) in self.waiting(now).into_iter().enumerate() {
-            let Some(job) = self.jobs.get(&w.no) else {
+        for (at, w) in self.queued_jobs(now).into_iter().enumerate() {
+            let Some(job) = self.jobs.get(&w.number) else {
                 continue;
             };
             if matches!(job.gang, Gang::Committing | Gang::Allowed) {
@@ -55,22 +55,22 @@
                 continue;
             };
             let idle = job.idle_in_good_standing();
-            if spec.kind == Kind::Gang && idle < job.idle.len() as u64 {
+            if spec.kind == JobKind::Gang && idle < job.idle.len() as u64 {
                 continue;
             }
             let mut want = team.more(used, &spec.need).min(idle);
             // A gang at the barrier found the team's limit free for all of it. What is served before it
             // and finds no machine must not keep the machines for its last tasks from being rented.
-            let at_barrier = matches!(job.gang, Gang::Holding { .. }) && job.placed > 0;
-            if at_barrier && self.quota.more(job_team, &spec.need) >= idle {
+            let gangs_at_barrier = matches!(job.gang, Gang::Holding { .. }) && job.placed > 0;
+            if gangs_at_barrier && self.quota.more(job_team, &spec.need) >= idle {
                 want = idle;
             }
-            if want == 0 || (spec.kind == Kind::Gang && want < idle) {
+            if want == 0 || (spec.kind == JobKind::Gang && want < idle) {
                 continue;
             }
-            if spec.kind == Kind::Array {
+            if spec.kind == JobKind::Array {
                 // All that is left of it, though no more at a time than its team's limit allows.
-                want = want.min(self.unserved(w.no, idle, w.slack, room, &mut work));
+                want = want.min(self.unserved(w.number, idle, w.slack, room, &mut work));
             }
             if want == 0 {
                 continue;
@@ -79,9 +79,9 @@
             if let Some(claimed) = claimed.get_mut(job_team) {
                 *claimed = claimed.plus(&spec.need.times(want));
             }
-            let terms = Terms {
+            let terms = ScaleOutTerms {
                 spot: self.spot_wanted(&spec),
-                dear: if spec.kind == Kind::Array {
+                dear: if spec.kind == JobKind::Array {
                     self.dear_ratio(&spec)
                 } else {
                     f64::INFINITY
@@ -90,26 +90,29 @@
                 at,
             };
             let most = self.machines.len() as u64 + RESERVED_BEYOND_MACHINES;
-            self.reserve(w.no, &terms, want.min(most), &mut pools);
+            self.reserve_capacity(w.number, &terms, want.min(most), &mut pools);
         }
-        self.rent(&pools, now);
-        self.return_idle(now);
-        self.ask_for_rents(now);
+        self.plan_scale_out(&pools, now);
+        self.scale_in_idle(now);
+        self.send_scale_outs(now);
     }
 
     /// Every type, zone and kind on offer, with the machines that are booting or being rented as
     /// empty room.
-    fn pools(&mut self, now: Micros) -> Vec<Pool> {
-        let waiting = self.open.iter().filter_map(|no| self.jobs.get(no));
+    fn pools(&mut self, now: Micros) -> Vec<CapacityPool> {
+        let waiting = self
+            .unplaced_jobs
+            .iter()
+            .filter_map(|number| self.jobs.get(number));
         let smallest_need = waiting.map(|job| job.spec.need.cpu).min().unwrap_or(0);
-        self.steps += self.open.len() as u64;
+        self.steps += self.unplaced_jobs.len() as u64;
         let mut pools = Vec::new();
         for t in &self.catalog.types {
             let kind = Arc::new(t.clone());
             for zone in &t.zones {
                 for spot in [true, false] {
                     let key = (t.name.clone(), zone.clone(), spot);
-                    pools.push(Pool {
+                    pools.push(CapacityPool {
                         kind: kind.clone(),
                         zone: zone.as_str().into(),
                         spot,
@@ -126,21 +129,29 @@
                 }
             }
         }
-        self.steps += (self.coming.len() + self.empty.len()) as u64;
-        let coming = self.coming.iter().filter_map(|n| self.machines.get(n));
-        let empty = self.empty.iter().filter_map(|n| self.machines.get(n));
+        self.steps += (self.provisioning.len() + self.idle_machines.len()) as u64;
+        let coming = self
+            .provisioning
+            .iter()
+            .filter_map(|n| self.machines.get(n));
+        let empty = self
+            .idle_machines
+            .iter()
+            .filter_map(|n| self.machines.get(n));
         // Found by a test: what had just come up was neither on its way nor in use yet, and was ordered
         // once more.
-        let fresh = empty.filter(|m| m.takes_tasks() && now.since(m.up_since) < JUST_UP);
-        for m in coming.chain(fresh) {
-            let boots = m.phase == Phase::Unheard && !self.is_overdue(m, now);
-            if m.holds.is_empty() && (boots || m.phase == Phase::Up) {
-                if let Some(p) = find(&mut pools, &m.kind.name, &m.zone, m.spot) {
-                    p.bins.push(m.free());
+        let fresh =
+            empty.filter(|machine| machine.takes_tasks() && now.since(machine.up_since) < JUST_UP);
+        for machine in coming.chain(fresh) {
+            let boots =
+                machine.phase == MachinePhase::Unregistered && !self.is_overdue(machine, now);
+            if machine.allocations.is_empty() && (boots || machine.phase == MachinePhase::Up) {
+                if let Some(p) = find(&mut pools, &machine.kind.name, &machine.zone, machine.spot) {
+                    p.bins.push(machine.free());
                 }
             }
         }
-        for r in &self.rents {
+        for r in &self.scale_out_requests {
             if let Some(p) = find(&mut pools, &r.type_name, &r.zone, r.spot) {
                 let size = p.kind.size;
                 p.bins.extend(std::iter::repeat_n(size, r.count as usize));
@@ -149,7 +160,7 @@
         let stalled = self.stalled_zones(now);
         for p in &mut pools {
             p.stalled = stalled.contains(&p.zone);
-            p.max_new = Leader::order_limit(p.stalled, p.bins.len());
+            p.max_new = Scheduler::order_limit(p.stalled, p.bins.len());
             if p.stalled {
                 p.bins.clear();
             }
@@ -161,16 +172,16 @@
     /// done before them on `room` processors.
     fn unserved(
         &self,
-        no: JobNo,
+        number: JobNumber,
         want: u64,
         slack: Option<Micros>,
         room: u64,
         work: &mut u64,
     ) -> u64 {
-        let Some(job) = self.jobs.get(&no) else {
+        let Some(job) = self.jobs.get(&number) else {
             return 0;
         };
-        let drain = self.drain;
+        let drain = self.batch_completion_target;
         let time = slack.map_or(drain.times(3.0), |s| {
             s.max(drain.times(0.5)).min(drain.times(3.0))
         });
@@ -185,13 +196,19 @@
     }
 
     /// Puts `want` tasks into the room to come, adding machines to rent where that is short.
-    fn reserve(&self, no: JobNo, terms: &Terms, want: u64, pools: &mut [Pool]) {
-        let Some(job) = self.jobs.get(&no) else {
+    fn reserve_capacity(
+        &self,
+        number: JobNumber,
+        terms: &ScaleOutTerms,
+        want: u64,
+        pools: &mut [CapacityPool],
+    ) {
+        let Some(job) = self.jobs.get(&number) else {
             return;
         };
         let spec = &job.spec;
         let one = spec.one_zone;
-        let mut zones = Zones {
+        let mut zones = ZoneSpread {
             counts: (job.zones.iter())
                 .map(|(z, n)| (z.clone(), u64::from(*n)))
                 .collect(),
@@ -200,7 +217,7 @@
             cap: u64::from(spec.per_zone()),
         };
         let mut left = want;
-        let suits = |p: &Pool| {
+        let suits = |p: &CapacityPool| {
             spec.need.fits(&p.kind.size)
                 && (terms.spot || !p.spot)
                 && spec.allows(&p.kind.name, &p.zone, p.spot)
@@ -216,7 +233,7 @@
                 }
             }
         }
-        let price = |p: &Pool| {
+        let price = |p: &CapacityPool| {
             let per = spec.need.count_in(&p.kind.size).max(1);
             p.kind.price_of(p.spot) as f64 / per as f64
         };
@@ -224,8 +241,9 @@
         // The machine that holds a task of this job for the least money, of those that the cloud has
         // not just refused; between equals, the zone with less of it.
         while left > 0 {
-            let there =
-                |p: &Pool| self.fleet.by_zone.get(&p.zone).copied().unwrap_or(0) + p.new as usize;
+            let there = |p: &CapacityPool| {
+                self.index.by_zone.get(&p.zone).copied().unwrap_or(0) + p.new as usize
+            };
             let best = (pools.iter_mut())
                 .filter(|p| suits(p) && !p.refused && p.new < p.max_new && zones.room(&p.zone) > 0)
                 .filter(|p| price(p) <= cheapest * terms.dear || terms.pressing(p.kind.boot))
@@ -253,12 +271,14 @@
 
     /// Processors of ordinary machines beyond what production is expected to ask for before a
     /// machine could boot. Batch work there makes way for it.
-    pub(super) fn beyond_warm(&self, now: Micros) -> u64 {
+    pub(super) fn spare_above_warm_pool(&self, now: Micros) -> u64 {
         let boot = self.catalog.types.iter().map(|t| t.boot).max();
         let rate = self.faded_demand(now) / super::FADE.as_secs_f64();
         let keep = rate * boot.unwrap_or_default().as_secs_f64() * WARM;
-        let there: u64 = (self.fleet.groups.iter())
-            .filter(|g| !g.spot && !crate::placement::contested(&g.kind.size, &self.gpu_needs))
+        let there: u64 = (self.index.groups.iter())
+            .filter(|g| {
+                !g.spot && !crate::placement::contested(&g.kind.size, &self.accelerator_demands)
+            })
             .map(|g| g.batch)
             .sum();
         there.saturating_sub(keep as u64)
@@ -266,43 +286,53 @@
 
     /// How long an empty machine is kept: what the policy says; and while work with accelerators
     /// keeps coming, a machine for it as long again as its images would take to have elsewhere.
-    pub(super) fn keep(&self, m: &Machine, now: Micros) -> Micros {
-        let keep = self.fleet.groups[m.group].keep;
-        let comes = m.kind.size.gpu > 0 && now.since(self.gpu_asked) < keep;
-        keep.plus(if comes { m.image_worth() } else { Micros::ZERO })
+    pub(super) fn keep(&self, machine: &Machine, now: Micros) -> Micros {
+        let keep = self.index.groups[machine.group].keep;
+        let comes = machine.kind.size.gpu > 0 && now.since(self.accelerators_requested_at) < keep;
+        keep.plus(if comes {
+            machine.image_worth()
+        } else {
+            Micros::ZERO
+        })
     }
 
-    fn return_idle(&mut self, now: Micros) {
+    fn scale_in_idle(&mut self, now: Micros) {
         let mut back = Vec::new();
-        let mut spare = self.beyond_warm(now);
-        self.steps += self.empty.len() as u64;
-        for m in self.empty.iter().filter_map(|n| self.machines.get(n)) {
-            if !m.holds.is_empty() || m.has_live_strays() {
+        let mut spare = self.spare_above_warm_pool(now);
+        self.steps += self.idle_machines.len() as u64;
+        for machine in self
+            .idle_machines
+            .iter()
+            .filter_map(|n| self.machines.get(n))
+        {
+            if !machine.allocations.is_empty() || machine.has_running_unowned_tasks() {
                 continue;
             }
-            let idle = now.since(m.idle_since);
-            let keep = self.keep(m, now);
-            let stale = match m.phase {
-                Phase::Up => m.to_be_returned || idle > keep || now.since(m.wanted_at) > keep,
-                Phase::Unheard => self.is_given_up(m, now),
-                Phase::Returning(_) => false,
+            let idle = now.since(machine.idle_since);
+            let keep = self.keep(machine, now);
+            let stale = match machine.phase {
+                MachinePhase::Up => {
+                    machine.cordoned || idle > keep || now.since(machine.wanted_at) > keep
+                }
+                MachinePhase::Unregistered => self.is_given_up(machine, now),
+                MachinePhase::Returning(_) => false,
             };
-            let warm = m.phase == Phase::Up
-                && !m.to_be_returned
-                && !m.spot
-                && !crate::placement::contested(&m.kind.size, &self.gpu_needs);
+            let warm = machine.phase == MachinePhase::Up
+                && !machine.cordoned
+                && !machine.spot
+                && !crate::placement::contested(&machine.kind.size, &self.accelerator_demands);
             if stale && warm {
-                if spare < m.kind.size.cpu {
+                if spare < machine.kind.size.cpu {
                     continue;
                 }
-                spare -= m.kind.size.cpu;
+                spare -= machine.kind.size.cpu;
             }
             if stale {
-                back.push(m.name.clone());
+                back.push(machine.name.clone());
             }
         }
         for name in back {
-            self.give_back(&name, now);
+            self.scale_in(&name, now);
         }
     }
 }
--- a/crates/saltpitch-core/src/leader/pools.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_pools.rs
@@ -12,7 +12,7 @@
 
 /// Room to come in one type, zone and kind: machines that boot, are being rented, or are to be
 /// rented.
-pub(super) struct Pool {
+pub(super) struct CapacityPool {
     pub kind: Arc<MachineType>,
     pub zone: Arc<str>,
     pub spot: bool,
@@ -35,7 +35,7 @@
     pub max_new: u32,
 }
 
-impl Pool {
+impl CapacityPool {
     /// Takes room for up to `want` tasks; says for how many.
     pub fn take(&mut self, need: &Resources, want: u64) -> u64 {
         let mut left = want;
@@ -79,18 +79,18 @@
 }
 
 pub(super) fn find<'a>(
-    pools: &'a mut [Pool],
+    pools: &'a mut [CapacityPool],
     type_name: &str,
     zone: &str,
     spot: bool,
-) -> Option<&'a mut Pool> {
+) -> Option<&'a mut CapacityPool> {
     pools
         .iter_mut()
         .find(|p| p.kind.name == type_name && &*p.zone == zone && p.spot == spot)
 }
 
 /// On what terms machines are rented for a job.
-pub(super) struct Terms {
+pub(super) struct ScaleOutTerms {
     pub spot: bool,
     /// Machines that cost more than this many times the cheapest are for pressing work only.
     pub dear: f64,
@@ -99,7 +99,7 @@
     pub at: usize,
 }
 
-impl Terms {
+impl ScaleOutTerms {
     /// A machine rented now comes just in time: later it would be too late, and sooner there is
     /// still hope for cheaper room.
     pub fn pressing(&self, boot: Micros) -> bool {
@@ -109,14 +109,14 @@
 }
 
 /// How a job's tasks may be spread over zones, and how many it has in each.
-pub(super) struct Zones {
+pub(super) struct ZoneSpread {
     pub counts: BTreeMap<Arc<str>, u64>,
     pub fixed: Option<Arc<str>>,
     pub one: bool,
     pub cap: u64,
 }
 
-impl Zones {
+impl ZoneSpread {
     /// How many more tasks may go there.
     pub fn room(&self, zone: &Arc<str>) -> u64 {
         if self.fixed.as_ref().is_some_and(|z| z != zone) {
--- a/crates/saltpitch-core/src/leader/consolidate.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use super::{Leader, Seen};
+use super::{ObservedState, Scheduler};
 use crate::catalog::Resources;
 use crate::cluster::Machine;
-use crate::job::{Kind, Priority};
+use crate::job::{JobKind, Priority};
 use crate::time::Micros;
 
 /// Machines of one group looked at in one go, and machines emptied in one go.
@@ -18,60 +18,64 @@
 /// Room for a replica is looked for on this many machines of a group.
 const TARGETS: usize = 24;
 
-impl Leader {
+impl Scheduler {
     /// Empties the machines whose replicas cost most, a few at a time, if the others have room for
     /// them where their images are. Nothing may be waiting: room is not taken from anybody.
     pub(super) fn consolidate(&mut self, now: Micros) {
-        if !self.open.is_empty() {
-            self.waited_at = now;
+        if !self.unplaced_jobs.is_empty() {
+            self.last_waiting_at = now;
         }
-        if now.since(self.waited_at) < CALM || !self.consolidates() {
+        if now.since(self.last_waiting_at) < CALM || !self.consolidates() {
             return;
         }
         let mut parts = Vec::new();
-        for g in 0..self.fleet.groups.len() {
-            parts.extend(self.fleet.groups[g].next_part(LOOKS));
+        for g in 0..self.index.groups.len() {
+            parts.extend(self.index.groups[g].next_part(LOOKS));
         }
         self.steps += parts.len() as u64;
         let mut worst: Vec<(u64, Arc<str>)> = parts
             .into_iter()
             .filter_map(|name| {
-                let m = self.machines.get(&name)?;
-                self.movable(m, now).then(|| (unit_price(m), name))
+                let machine = self.machines.get(&name)?;
+                self.movable(machine, now)
+                    .then(|| (unit_price(machine), name))
             })
             .collect();
         worst.sort();
-        let mut spare = self.beyond_warm(now);
+        let mut spare = self.spare_above_warm_pool(now);
         for (price, name) in worst.into_iter().rev().take(MOVES) {
-            let size = self.machines.get(&name).map_or(0, |m| m.kind.size.cpu);
+            let size = self
+                .machines
+                .get(&name)
+                .map_or(0, |machine| machine.kind.size.cpu);
             if spare < size || !self.fits_elsewhere(&name, price) {
                 continue;
             }
             spare -= size;
-            let Some(m) = self.machines.get_mut(&name) else {
+            let Some(machine) = self.machines.get_mut(&name) else {
                 continue;
             };
-            m.to_be_returned = true;
-            let held: Vec<_> = m.holds.iter().copied().collect();
+            machine.cordoned = true;
+            let allocated: Vec<_> = machine.allocations.iter().copied().collect();
             self.reindex(&name);
-            for (no, task) in held {
-                self.stop(no, task, Micros::ZERO, now);
+            for (number, task) in allocated {
+                self.stop(number, task, Micros::ZERO, now);
             }
         }
     }
 
     /// Only replicas that have run for a while are here.
-    fn movable(&self, m: &Machine, now: Micros) -> bool {
-        m.takes_tasks()
-            && !m.holds.is_empty()
-            && m.used.cpu * 10 <= m.kind.size.cpu * 7
-            && m.holds.iter().all(|(no, task)| {
-                self.jobs.get(no).is_some_and(|j| {
-                    let place = j.tasks[*task as usize].place.as_deref();
-                    j.spec.kind == Kind::Service
-                        && j.spec.priority == Priority::Production
-                        && place.is_some_and(|p| {
-                            p.seen == Seen::Running
+    fn movable(&self, machine: &Machine, now: Micros) -> bool {
+        machine.takes_tasks()
+            && !machine.allocations.is_empty()
+            && machine.used.cpu * 10 <= machine.kind.size.cpu * 7
+            && machine.allocations.iter().all(|(number, task)| {
+                self.jobs.get(number).is_some_and(|job| {
+                    let allocation = job.tasks[*task as usize].allocation.as_deref();
+                    job.spec.kind == JobKind::Service
+                        && job.spec.priority == Priority::Production
+                        && allocation.is_some_and(|p| {
+                            p.observed == ObservedState::Running
                                 && p.stop.is_none()
                                 && now.since(p.since) > SETTLED
                         })
@@ -82,37 +86,37 @@
     /// Whether every replica of this machine has a place, with its image, on machines that are in
     /// use anyway and are better used or cheaper.
     fn fits_elsewhere(&mut self, name: &Arc<str>, price: u64) -> bool {
-        let Some(m) = self.machines.get(name) else {
+        let Some(machine) = self.machines.get(name) else {
             return false;
         };
-        let held: Vec<_> = m.holds.iter().copied().collect();
-        let zone = m.zone.clone();
+        let allocated: Vec<_> = machine.allocations.iter().copied().collect();
+        let zone = machine.zone.clone();
         let mut taken: Vec<(Arc<str>, Resources)> = Vec::new();
-        for (no, _) in held {
-            let Some(spec) = self.jobs.get(&no).map(|j| j.spec.clone()) else {
+        for (number, _) in allocated {
+            let Some(spec) = self.jobs.get(&number).map(|job| job.spec.clone()) else {
                 return false;
             };
             let mut found = None;
-            for g in 0..self.fleet.groups.len() {
-                let group = &mut self.fleet.groups[g];
+            for g in 0..self.index.groups.len() {
+                let group = &mut self.index.groups[g];
                 // In the same zone: what is spread stays spread.
                 if group.zone != zone
                     || !spec.need.fits(&group.kind.size)
                     || !spec.allows(&group.kind.name, &group.zone, group.spot)
-                    || self.contested_for(&spec, &self.fleet.groups[g].kind.size)
+                    || self.contested_for(&spec, &self.index.groups[g].kind.size)
                 {
                     continue;
                 }
-                let group = &mut self.fleet.groups[g];
+                let group = &mut self.index.groups[g];
                 let search = group.search(&spec.need, TARGETS);
                 self.steps += search.steps;
                 found = search.fits.into_iter().find(|n| {
                     let Some(t) = self.machines.get(n).filter(|_| n != name) else {
                         return false;
                     };
-                    let held = taken.iter().filter(|x| x.0 == *n);
-                    let free = held.fold(t.free(), |free, x| free.minus(&x.1));
-                    !t.holds.is_empty()
+                    let allocated = taken.iter().filter(|x| x.0 == *n);
+                    let free = allocated.fold(t.free(), |free, x| free.minus(&x.1));
+                    !t.allocations.is_empty()
                         && spec.need.fits(&free)
                         && t.has_image(&spec.image)
                         && unit_price(t) < price
@@ -131,6 +135,6 @@
 }
 
 /// What a processor in use costs on this machine.
-fn unit_price(m: &Machine) -> u64 {
-    m.kind.price_of(m.spot) * 1_000_000 / m.used.cpu.max(1)
+fn unit_price(machine: &Machine) -> u64 {
+    machine.kind.price_of(machine.spot) * 1_000_000 / machine.used.cpu.max(1)
 }
--- a/crates/saltpitch-core/src/leader/lending.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -1,15 +1,15 @@
 //! Jobs that another cell may run for this one, and jobs that this cell runs for others.
 //!
 //! A delegated job is in no queue: nothing of it is rented for, placed or preempted for. It becomes so by its record
-//! alone, whoever wrote it; [`Leader::reserve_for_lending`] only keeps the job from being placed while
+//! alone, whoever wrote it; [`Scheduler::reserve_for_delegation`] only keeps the job from being placed while
 //! that record is under way.
 
 use std::sync::Arc;
 
-use super::{Job, Leader};
-use crate::cluster::{JobNo, Machine};
-use crate::job::{JobSpec, JobState, Kind, Priority};
-use crate::records::{JobRecord, View};
+use super::{Job, Scheduler};
+use crate::cluster::{JobNumber, Machine};
+use crate::job::{JobKind, JobSpec, JobState, Priority};
+use crate::records::{JobRecord, RecordCache};
 use crate::time::Micros;
 
 /// Waiting jobs that are looked at in one search for candidates, the oldest first.
@@ -21,7 +21,7 @@
 
 /// Which cell a job is with, as far as this leader knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Owner {
+pub(crate) enum JobOwner {
     /// This one.
     #[default]
     Here,
@@ -33,7 +33,7 @@
 
 /// A waiting job that could be delegated.
 #[derive(Clone, Debug)]
-pub struct LendingCandidate {
+pub struct DelegationCandidate {
     /// The job.
     pub id: Arc<str>,
     /// Its description.
@@ -46,37 +46,37 @@
 
 impl Job {
     /// Nothing of it has been placed or done, so that it could go as a whole.
-    fn is_whole(&self) -> bool {
+    fn is_untouched(&self) -> bool {
         self.placed == 0 && self.done == 0 && self.deferred.is_empty()
     }
 
-    fn may_be_lent(&self) -> bool {
-        let batch = self.spec.kind != Kind::Service && self.spec.priority < Priority::Production;
-        batch && self.active() && self.is_whole() && self.guest.is_none() && !self.at_fault()
+    fn may_be_delegated(&self) -> bool {
+        let batch = self.spec.kind != JobKind::Service && self.spec.priority < Priority::Production;
+        batch && self.active() && self.is_untouched() && self.guest.is_none() && !self.at_fault()
     }
 
     /// Since when it has waited here.
-    fn waits_here_since(&self) -> Micros {
+    fn waits_locally_since(&self) -> Micros {
         self.queued.max(self.came_back_at)
     }
 }
 
-impl Leader {
+impl Scheduler {
     /// Up to `limit` jobs that have waited here for at least `waited` and could be delegated, the oldest
     /// first.
-    pub fn lending_candidates(
+    pub fn delegation_candidates(
         &self,
         waited: Micros,
         limit: usize,
         now: Micros,
-    ) -> Vec<LendingCandidate> {
-        let oldest = self.by_age.iter().take(LOOKS_FOR_CANDIDATES);
-        let jobs = oldest.filter_map(|(_, no)| self.jobs.get(no));
-        let long_enough = |job: &&Job| now.since(job.waits_here_since()) >= waited;
-        jobs.filter(|job| job.may_be_lent())
+    ) -> Vec<DelegationCandidate> {
+        let oldest = self.active_by_age.iter().take(LOOKS_FOR_CANDIDATES);
+        let jobs = oldest.filter_map(|(_, number)| self.jobs.get(number));
+        let long_enough = |job: &&Job| now.since(job.waits_locally_since()) >= waited;
+        jobs.filter(|job| job.may_be_delegated())
             .filter(long_enough)
             .take(limit)
-            .map(|job| LendingCandidate {
+            .map(|job| DelegationCandidate {
                 id: job.id.clone(),
                 spec: job.spec.clone(),
                 submitted: job.submitted,
@@ -95,44 +95,48 @@
 
     /// Takes a job out of the queue while its delegation is written. Returns the revision of its record;
     /// `None` if something of it is placed, on record or on its way there.
-    pub fn reserve_for_lending(&mut self, id: &str) -> Option<u64> {
-        let no = *self.by_id.get(id)?;
-        let job = self.jobs.get(&no)?;
-        let written = |task: u32| self.dirty.contains(no, task) || self.in_flight(no, task);
-        if !job.may_be_lent() || (0..job.spec.tasks).any(written) {
+    pub fn reserve_for_delegation(&mut self, id: &str) -> Option<u64> {
+        let number = *self.job_numbers.get(id)?;
+        let job = self.jobs.get(&number)?;
+        let written =
+            |task: u32| self.unsaved.contains(number, task) || self.is_in_flight(number, task);
+        if !job.may_be_delegated() || (0..job.spec.tasks).any(written) {
             return None;
         }
-        self.close(no);
-        let job = self.jobs.get_mut(&no)?;
-        job.owner = Owner::Reserved;
+        self.dequeue(number);
+        let job = self.jobs.get_mut(&number)?;
+        job.owner = JobOwner::Reserved;
         Some(job.rev)
     }
 
     /// The delegation was not written: the job goes back to the queue.
     pub fn release_reservation(&mut self, id: &str, now: Micros) {
-        let Some(&no) = self.by_id.get(id) else {
+        let Some(&number) = self.job_numbers.get(id) else {
             return;
         };
-        let Some(job) = self.jobs.get_mut(&no) else {
+        let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        if job.owner == Owner::Reserved {
-            job.owner = Owner::Here;
+        if job.owner == JobOwner::Reserved {
+            job.owner = JobOwner::Here;
             job.came_back_at = now;
-            self.enqueue(no, now);
+            self.enqueue(number, now);
         }
     }
 
     /// Whether a job that is with another cell could begin here now: nothing else waits, its team's limit
     /// has room, and there are machines for all of it or the cloud is not known to refuse them.
-    pub fn could_begin_here(&mut self, id: &str, now: Micros) -> bool {
-        let job = self.by_id.get(id).and_then(|no| self.jobs.get(no));
+    pub fn could_start_locally(&mut self, id: &str, now: Micros) -> bool {
+        let job = self
+            .job_numbers
+            .get(id)
+            .and_then(|number| self.jobs.get(number));
         let Some((spec, team)) = job.map(|job| (job.spec.clone(), job.team)) else {
             return false;
         };
         let at_a_time = match spec.kind {
-            Kind::Array => 1,
-            Kind::Gang | Kind::Service => u64::from(spec.tasks),
+            JobKind::Array => 1,
+            JobKind::Gang | JobKind::Service => u64::from(spec.tasks),
         };
         if self.queue_is_long(now) || self.quota.more(team, &spec.need) < at_a_time {
             return false;
@@ -142,15 +146,15 @@
 
     /// Whether a job of this cell's own waits for longer than a moment.
     fn queue_is_long(&self, now: Micros) -> bool {
-        let open = self.open.iter().take(LOOKS_FOR_CANDIDATES);
-        let mut jobs = open.filter_map(|no| self.jobs.get(no));
-        let waits = |job: &Job| now.since(job.waits_here_since()) > QUEUE_IS_SHORT;
+        let open = self.unplaced_jobs.iter().take(LOOKS_FOR_CANDIDATES);
+        let mut jobs = open.filter_map(|number| self.jobs.get(number));
+        let waits = |job: &Job| now.since(job.waits_locally_since()) > QUEUE_IS_SHORT;
         jobs.any(|job| job.active() && job.guest.is_none() && !job.at_fault() && waits(job))
     }
 
     fn has_free_room(&mut self, spec: &JobSpec) -> bool {
         let mut room = 0;
-        for group in &mut self.fleet.groups {
+        for group in &mut self.index.groups {
             if !spec.allows(&group.kind.name, &group.zone, group.spot) {
                 continue;
             }
@@ -184,8 +188,8 @@
     }
 
     /// A job's record changed: it may have gone to another cell, or come back.
-    pub(super) fn owner_changed(&mut self, no: JobNo, record: &JobRecord, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&no) else {
+    pub(super) fn job_owner_changed(&mut self, number: JobNumber, record: &JobRecord, now: Micros) {
+        let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
         if record.state != JobState::Active {
@@ -193,34 +197,39 @@
         }
         let before = job.owner;
         if record.is_delegated() {
-            job.owner = Owner::Elsewhere;
-            self.close(no);
-        } else if before == Owner::Elsewhere {
-            job.owner = Owner::Here;
+            job.owner = JobOwner::Elsewhere;
+            self.dequeue(number);
+        } else if before == JobOwner::Elsewhere {
+            job.owner = JobOwner::Here;
             job.came_back_at = now;
-            self.enqueue(no, now);
+            self.enqueue(number, now);
         }
     }
 
     /// The host cell completed the job and its final record is written: it leaves memory.
-    pub(super) fn completed_elsewhere(&mut self, no: JobNo, view: &View, now: Micros) {
-        let elsewhere = |job: &&Job| job.owner == Owner::Elsewhere;
-        let Some(job) = self.jobs.get(&no).filter(elsewhere) else {
+    pub(super) fn completed_by_host(
+        &mut self,
+        number: JobNumber,
+        records: &RecordCache,
+        now: Micros,
+    ) {
+        let elsewhere = |job: &&Job| job.owner == JobOwner::Elsewhere;
+        let Some(job) = self.jobs.get(&number).filter(elsewhere) else {
             return;
         };
-        let record = view.jobs.get(&*job.id).map(|entry| &entry.record);
+        let record = records.jobs.get(&*job.id).map(|entry| &entry.record);
         if record.is_some_and(|record| record.state == JobState::Done && record.spec.is_none()) {
-            self.finish_job(no, now);
+            self.finish_job(number, now);
         }
     }
 
     /// Whether a job may use this machine as far as guests go. A guest for which nothing may be rented
     /// keeps no machine either: it goes only where work of this cell's own is.
-    pub(super) fn welcomes(&self, job: &Job, machine: &Machine) -> bool {
+    pub(super) fn admits_guest(&self, job: &Job, machine: &Machine) -> bool {
         let Some(guest) = &job.guest else {
             return true;
         };
-        let own = |no: &JobNo| self.jobs.get(no).is_some_and(|job| job.guest.is_none());
-        guest.may_rent || machine.holds.iter().any(|(no, _)| own(no))
+        let own = |number: &JobNumber| self.jobs.get(number).is_some_and(|job| job.guest.is_none());
+        guest.may_rent || machine.allocations.iter().any(|(number, _)| own(number))
     }
 }
--- a/crates/saltpitch-core/src/leader/pipeline.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -4,49 +4,49 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::{Job, Leader, FADE};
-use crate::cluster::JobNo;
+use super::{Job, Scheduler, FADE};
+use crate::cluster::JobNumber;
 use crate::job::JobState;
-use crate::records::View;
+use crate::records::RecordCache;
 use crate::time::Micros;
 
 /// Between two jobs of a pipeline: the outcome goes on record, the next is placed and has its image.
 const HANDOVER: Micros = Micros::from_secs(5);
 
-impl Leader {
+impl Scheduler {
     /// The job is in the queue from now on, or again after a change of leader.
-    pub(super) fn enqueue(&mut self, no: JobNo, now: Micros) {
-        let Some(job) = self.jobs.get(&no).filter(|j| j.active()) else {
+    pub(super) fn enqueue(&mut self, number: JobNumber, now: Micros) {
+        let Some(job) = self.jobs.get(&number).filter(|job| job.active()) else {
             return;
         };
         let (spec, queued) = (job.spec.clone(), job.queued);
         let idle = !job.idle.is_empty();
         if spec.need.gpu > 0 {
-            self.gpu_needs.insert(spec.need);
-            self.gpu_asked = self.gpu_asked.max(queued);
+            self.accelerator_demands.insert(spec.need);
+            self.accelerators_requested_at = self.accelerators_requested_at.max(queued);
         }
         if now.since(queued) < FADE {
             self.note_demand(&spec, now);
         }
-        self.by_age.insert((queued, no));
+        self.active_by_age.insert((queued, number));
         if idle {
-            self.open.insert(no);
+            self.unplaced_jobs.insert(number);
         }
-        self.schedule_wanted = true;
+        self.pass_requested = true;
     }
 
     /// Which of the jobs that this one needs are not done on record. Done is final, so that much may be
     /// believed of any copy of the records; what is not known there is not done.
-    pub(super) fn find_needs(
+    pub(super) fn resolve_dependencies(
         &mut self,
         job: &mut Job,
-        no: JobNo,
-        view: &View,
+        number: JobNumber,
+        records: &RecordCache,
         now: Micros,
         wall: Micros,
     ) {
-        for need in &job.spec.needs {
-            let record = view.jobs.get(need).map(|e| &e.record);
+        for need in &job.spec.dependencies {
+            let record = records.jobs.get(need).map(|e| &e.record);
             match record.filter(|r| r.state == JobState::Done) {
                 Some(r) => {
                     let at = r
@@ -56,23 +56,23 @@
                 }
                 None => {
                     let need: Arc<str> = need.as_str().into();
-                    job.unmet.insert(need.clone());
-                    self.dependents.entry(need).or_default().push(no);
+                    job.unmet_dependencies.insert(need.clone());
+                    self.dependents.entry(need).or_default().push(number);
                 }
             }
         }
     }
 
     /// This job is done on record since `at`: those that waited for it alone are released.
-    pub(super) fn need_met(&mut self, id: &str, at: Micros, now: Micros) {
-        for no in self.dependents.remove(id).unwrap_or_default() {
-            let Some(job) = self.jobs.get_mut(&no) else {
+    pub(super) fn dependency_completed(&mut self, id: &str, at: Micros, now: Micros) {
+        for number in self.dependents.remove(id).unwrap_or_default() {
+            let Some(job) = self.jobs.get_mut(&number) else {
                 continue;
             };
-            if job.unmet.remove(id) {
+            if job.unmet_dependencies.remove(id) {
                 job.queued = job.queued.max(at);
-                if job.unmet.is_empty() {
-                    self.enqueue(no, now);
+                if job.unmet_dependencies.is_empty() {
+                    self.enqueue(number, now);
                 }
             }
         }
@@ -80,14 +80,14 @@
 
     /// This job is cancelled: so is whatever needs it, directly or through others. None of them has
     /// started.
-    pub(super) fn need_cancelled(&mut self, id: &str, now: Micros) {
-        for no in self.dependents.remove(id).unwrap_or_default() {
-            let Some(job) = self.jobs.get_mut(&no) else {
+    pub(super) fn dependency_cancelled(&mut self, id: &str, now: Micros) {
+        for number in self.dependents.remove(id).unwrap_or_default() {
+            let Some(job) = self.jobs.get_mut(&number) else {
                 continue;
             };
             if job.state == JobState::Active {
                 job.state = JobState::Cancelled;
-                self.cancel(no, now);
+                self.cancel(number, now);
             }
         }
     }
@@ -95,20 +95,24 @@
     /// Users set priority and deadline on the last job of a pipeline. Each job that it needs, directly
     /// or through others, counts as urgent as it is, and is due when the rest of the chain still has to
     /// begin.
-    pub(super) fn carry_back(&mut self, no: JobNo) {
-        let mut next = BTreeSet::from([no]);
-        while let Some(no) = next.pop_last() {
-            let Some(job) = self.jobs.get(&no).filter(|j| j.state == JobState::Active) else {
+    pub(super) fn inherit_urgency(&mut self, number: JobNumber) {
+        let mut next = BTreeSet::from([number]);
+        while let Some(number) = next.pop_last() {
+            let Some(job) = self
+                .jobs
+                .get(&number)
+                .filter(|job| job.state == JobState::Active)
+            else {
                 continue;
             };
             let run = self.estimate(job).times(1.3).plus(HANDOVER);
             let own = job.spec.deadline.map(|d| job.submitted.plus(d));
             let due = own.into_iter().chain(job.due).min().map(|d| d.since(run));
             let priority = job.priority;
-            let needs: Vec<JobNo> = (job.unmet.iter())
-                .filter_map(|id| self.by_id.get(id).copied())
+            let dependencies: Vec<JobNumber> = (job.unmet_dependencies.iter())
+                .filter_map(|id| self.job_numbers.get(id).copied())
                 .collect();
-            for need in needs {
+            for need in dependencies {
                 let Some(job) = self.jobs.get_mut(&need) else {
                     continue;
                 };
--- a/crates/saltpitch-core/src/leader/gangs.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -3,70 +3,75 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::service_order::Waiting;
-use super::{Job, Leader};
+use super::queue_order::QueuedJob;
+use super::{Job, Scheduler};
 use crate::catalog::Resources;
-use crate::cluster::JobNo;
+use crate::cluster::JobNumber;
 use crate::gang::{permit, pre_enqueue, Gang, Permit};
-use crate::job::Kind;
+use crate::job::JobKind;
 use crate::time::Micros;
 
 /// How long a gang keeps the room that it found while jobs of its team are stuck.
 const MAX_HOLD: Micros = Micros::from_secs(25);
 
-impl Leader {
+impl Scheduler {
     /// Whether a gang keeps the room that it found beyond the barrier's wait: its turn has come. Not for
     /// ever, though: where the machines for the rest are not to be had, jobs of its team would wait
     /// beside free room, since what the gang holds counts against the team's limit.
-    pub(super) fn keeps_barrier(&self, no: JobNo, since: Micros, now: Micros) -> bool {
-        let Some(job) = self.jobs.get(&no).filter(|job| self.aged(job, now)) else {
+    pub(super) fn keeps_waiting_at_barrier(
+        &self,
+        number: JobNumber,
+        since: Micros,
+        now: Micros,
+    ) -> bool {
+        let Some(job) = self.jobs.get(&number).filter(|job| self.is_aged(job, now)) else {
             return false;
         };
         let blocked = |other: &Job| {
             other.team == job.team
-                && other.spec.kind == Kind::Array
+                && other.spec.kind == JobKind::Array
                 && !other.idle.is_empty()
                 && !other.at_fault()
-                && self.stuck(other, now)
+                && self.is_blocked(other, now)
         };
         now.since(since) < MAX_HOLD || !self.jobs.values().any(blocked)
     }
 
     /// What its team has left is kept for a gang that has waited too long: nothing behind that one
     /// takes of the same kind until it has started.
-    pub(super) fn kept_from(&self, job: &Job) -> bool {
-        self.kept_for
+    pub(super) fn is_quota_reserved(&self, job: &Job) -> bool {
+        self.reserved_quota
             .iter()
             .any(|(team, only_gpu)| *team == job.team && (!only_gpu || job.spec.need.gpu > 0))
     }
 
     /// Takes back the room of all gangs at the barrier, so that this pass deals it out anew, oldest
     /// first: two gangs must not each hold what the other lacks.
-    pub(super) fn loosen(&mut self, now: Micros) {
-        let holding: Vec<(JobNo, Micros)> = (self.at_barrier.iter())
-            .filter_map(|no| match self.jobs.get(no)?.gang {
-                Gang::Holding { since } => Some((*no, since)),
+    pub(super) fn release_barriers(&mut self, now: Micros) {
+        let holding: Vec<(JobNumber, Micros)> = (self.gangs_at_barrier.iter())
+            .filter_map(|number| match self.jobs.get(number)?.gang {
+                Gang::Holding { since } => Some((*number, since)),
                 _ => None,
             })
             .collect();
-        self.at_barrier.clear();
-        for (no, since) in holding {
-            self.park(no, now);
-            self.hold_barrier(no, since);
+        self.gangs_at_barrier.clear();
+        for (number, since) in holding {
+            self.park(number, now);
+            self.wait_at_barrier(number, since);
         }
     }
 
     /// The gang's members found so far hold their room.
-    pub(super) fn hold_barrier(&mut self, no: JobNo, since: Micros) {
-        if let Some(job) = self.jobs.get_mut(&no) {
+    pub(super) fn wait_at_barrier(&mut self, number: JobNumber, since: Micros) {
+        if let Some(job) = self.jobs.get_mut(&number) {
             job.gang = Gang::Holding { since };
-            self.at_barrier.insert(no);
+            self.gangs_at_barrier.insert(number);
         }
     }
 
     /// One pass over a gang: gate, assumption, barrier.
-    pub(super) fn schedule_gang(&mut self, w: Waiting, now: Micros) {
-        let Some(job) = self.jobs.get(&w.no) else {
+    pub(super) fn schedule_gang(&mut self, w: QueuedJob, now: Micros) {
+        let Some(job) = self.jobs.get(&w.number) else {
             return;
         };
         let n = job.spec.tasks;
@@ -82,56 +87,56 @@
         let need = job.spec.need;
         let idle = job.idle.len() as u64;
         if self.quota.more(job.team, &need) < idle {
-            if self.starved(job, now) && !job.at_fault() && self.can_become_free(job) {
+            if self.is_starved(job, now) && !job.at_fault() && self.can_become_free(job) {
                 // Of processors, everybody's tasks take; of accelerators, only some.
                 let cpu = Resources { gpu: 0, ..need };
                 let only_gpu = self.quota.more(job.team, &cpu) >= idle;
-                self.kept_for.push((job.team, only_gpu));
+                self.reserved_quota.push((job.team, only_gpu));
             }
-            return self.park(w.no, now);
+            return self.park(w.number, now);
         }
         let one_zone = job.spec.one_zone;
         let zone = if one_zone {
             match job.zones.keys().next().cloned() {
                 Some(z) => Some(z),
-                None => self.best_zone(w.no, now),
+                None => self.best_zone(w.number, now),
             }
         } else {
             None
         };
         if !one_zone || zone.is_some() {
-            self.assume(w.no, zone.as_deref(), now);
+            self.assume_members(w.number, zone.as_deref(), now);
         }
-        let Some(spec) = self.jobs.get(&w.no).map(|j| j.spec.clone()) else {
+        let Some(spec) = self.jobs.get(&w.number).map(|job| job.spec.clone()) else {
             return;
         };
         let wait = self.gang_hold(&spec);
-        let Some(job) = self.jobs.get_mut(&w.no) else {
+        let Some(job) = self.jobs.get_mut(&w.number) else {
             return;
         };
         match permit(job.placed, n, since, now, wait) {
             Permit::Allow => {
                 job.gang = Gang::Committing;
                 job.served_at = now;
-                self.at_barrier.remove(&w.no);
+                self.gangs_at_barrier.remove(&w.number);
                 for task in 0..n {
-                    self.dirty.placement(w.no, task, &spec, now);
+                    self.unsaved.placement(w.number, task, &spec, now);
                 }
             }
             Permit::Wait => {
                 let left = u64::from(n - job.placed);
                 if job.placed > 0 {
-                    self.hold_barrier(w.no, since);
+                    self.wait_at_barrier(w.number, since);
                 }
                 self.preempt(w, left, now);
             }
-            Permit::Drop if self.keeps_barrier(w.no, since, now) => {
+            Permit::Drop if self.keeps_waiting_at_barrier(w.number, since, now) => {
                 // It keeps what it found: its turn has come.
-                self.hold_barrier(w.no, since);
+                self.wait_at_barrier(w.number, since);
             }
             Permit::Drop => {
-                self.park(w.no, now);
-                if let Some(job) = self.jobs.get_mut(&w.no) {
+                self.park(w.number, now);
+                if let Some(job) = self.jobs.get_mut(&w.number) {
                     job.gang = Gang::Parked {
                         until: now.plus(Micros::from_secs(1)),
                     };
@@ -147,17 +152,17 @@
         let services = self
             .jobs
             .values()
-            .filter(|j| j.team == job.team && j.spec.kind == Kind::Service);
-        let lasting = services.fold(Resources::default(), |sum, j| {
-            sum.plus(&j.spec.need.times(u64::from(j.placed)))
+            .filter(|other| other.team == job.team && other.spec.kind == JobKind::Service);
+        let lasting = services.fold(Resources::default(), |sum, service| {
+            sum.plus(&service.spec.need.times(u64::from(service.placed)))
         });
         let team = self.quota.team(job.team);
         team.is_some_and(|t| t.more(&lasting, &job.spec.need) >= u64::from(job.spec.tasks))
     }
 
     /// Drops the room of a gang that is not complete: nothing of it has gone on record.
-    pub(super) fn park(&mut self, no: JobNo, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&no) else {
+    pub(super) fn park(&mut self, number: JobNumber, now: Micros) {
+        let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
         job.gang = Gang::Parked { until: now };
@@ -165,13 +170,13 @@
             return;
         }
         for task in 0..job.spec.tasks {
-            self.clear(no, task, now);
+            self.release(number, task, now);
         }
     }
 
     /// Assumes the gang's idle members, one by one, on the present snapshot.
-    pub(super) fn assume(&mut self, no: JobNo, zone: Option<&str>, now: Micros) {
-        let Some(job) = self.jobs.get(&no) else {
+    pub(super) fn assume_members(&mut self, number: JobNumber, zone: Option<&str>, now: Micros) {
+        let Some(job) = self.jobs.get(&number) else {
             return;
         };
         let need = job.spec.need;
@@ -181,28 +186,30 @@
             job.next_attempt(0)
         };
         let want = job.idle.len() as u64;
-        for name in self.candidates(no, zone, want, now) {
-            while let (Some(job), Some(m)) = (self.jobs.get(&no), self.machines.get(&name)) {
+        for name in self.candidates(number, zone, want, now) {
+            while let (Some(job), Some(machine)) =
+                (self.jobs.get(&number), self.machines.get(&name))
+            {
                 let Some(&task) = job.idle.first() else {
                     return;
                 };
-                if !need.fits(&m.free()) || !Self::zone_allows(job, &m.zone) {
+                if !need.fits(&machine.free()) || !Self::zone_allows(job, &machine.zone) {
                     break;
                 }
-                let session = m.session;
-                self.hold(no, task, name.clone(), session, attempt, false, now);
+                let agent_epoch = machine.agent_epoch;
+                self.allocate(number, task, name.clone(), agent_epoch, attempt, false, now);
             }
         }
     }
 
     /// The zone that holds most members of a gang now.
-    pub(super) fn best_zone(&mut self, no: JobNo, now: Micros) -> Option<Arc<str>> {
-        let job = self.jobs.get(&no)?;
+    pub(super) fn best_zone(&mut self, number: JobNumber, now: Micros) -> Option<Arc<str>> {
+        let job = self.jobs.get(&number)?;
         let (need, all) = (job.spec.need, u64::from(job.spec.tasks));
         let mut rooms: BTreeMap<Arc<str>, u64> = BTreeMap::new();
-        for name in self.candidates(no, None, all, now) {
-            if let Some(m) = self.machines.get(&name) {
-                *rooms.entry(m.zone.clone()).or_default() += need.count_in(&m.free());
+        for name in self.candidates(number, None, all, now) {
+            if let Some(machine) = self.machines.get(&name) {
+                *rooms.entry(machine.zone.clone()).or_default() += need.count_in(&machine.free());
             }
         }
         rooms
--- a/crates/saltpitch-core/src/leader/interface.rs
+++ b/crates/saltpitch-core/src/scheduler/interface.rs
@@ -4,17 +4,17 @@
 
 use std::sync::Arc;
 
-use crate::cluster::Order;
+use crate::cluster::Command;
 use crate::policy::Policy;
 use crate::quota::TeamLimits;
 use crate::time::Micros;
 
 /// What the settings say, as far as the core needs it.
 #[derive(Clone, Debug)]
-pub struct Config {
-    /// The interval between a worker's reports.
-    pub report: Micros,
-    /// A worker's lease.
+pub struct SchedulerConfig {
+    /// The interval between an agent's heartbeats.
+    pub heartbeat_interval: Micros,
+    /// An agent's lease.
     pub lease: Micros,
     /// How long a gang's task runs on after another one is gone.
     pub gang_peer: Micros,
@@ -22,24 +22,24 @@
     pub cancel: Micros,
     /// Controllers in all.
     pub nodes: usize,
-    /// Direct orders, and probes, that may be under way at a time: they must not crowd out reports
+    /// Direct commands, and probes, that may be under way at a time: they must not crowd out heartbeats
     /// and users, and yet reach the many machines that may be lost at once.
     pub calls: usize,
     /// The most changes in one transaction.
-    pub txn_ops: usize,
+    pub max_transaction_writes: usize,
     /// Changes a second that a leader may write.
     pub write_rate: f64,
     /// The same once the store's next limits are in force.
     pub next_write_rate: f64,
     /// The smaller of the store's present and next limits: nothing larger is written.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Rentals a second that a leader may ask the cloud for; twice as many at once.
-    pub rent_rate: f64,
+    pub scale_out_rate: f64,
     /// Keys that the log's segments go round in: at ten segments a second, most batch jobs should
     /// be over before what was said of them has to be said again in a checkpoint.
-    pub log_ring: u64,
+    pub log_segments: u64,
     /// Bytes that one transaction may hold, with room to spare.
-    pub txn_bytes: usize,
+    pub max_transaction_bytes: usize,
     /// Guarantees and limits of the teams.
     pub teams: Vec<TeamLimits>,
     /// What is expected of classes of jobs.
@@ -56,20 +56,48 @@
     /// The class.
     pub class: String,
     /// When its jobs should start or be done.
-    pub aim: Aim,
+    pub target: ObjectiveTarget,
 }
 
 /// When a job should start or be done.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Aim {
+pub enum ObjectiveTarget {
     /// Started within this time.
-    Wait(Micros),
+    Started(Micros),
     /// Done within this time.
     Finished(Micros),
     /// Done by this many times the job's own deadline.
     Deadline(f64),
 }
 
+/// The revision that a key must have for a transaction to be carried out; 0: the key must not exist.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Precondition {
+    /// The key.
+    pub key: String,
+    /// Its expected revision.
+    pub revision: u64,
+}
+
+impl Precondition {
+    /// The key must have this revision.
+    pub fn new(key: impl Into<String>, revision: u64) -> Precondition {
+        Precondition {
+            key: key.into(),
+            revision,
+        }
+    }
+}
+
+/// A compare-and-swap: all writes are carried out if all preconditions hold, and none otherwise.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Transaction {
+    /// What must hold.
+    pub preconditions: Vec<Precondition>,
+    /// What is written then.
+    pub writes: Vec<Write>,
+}
+
 /// One write of a transaction; no value deletes the key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
@@ -82,37 +110,32 @@
 /// What the shell round the core is to do.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Answer with [`super::Leader::committed`].
-    Txn {
-        /// Conditions: keys and their revisions.
-        when: Vec<(String, u64)>,
-        /// The writes.
-        writes: Vec<Write>,
-    },
-    /// Read the records anew and answer with [`super::Leader::refreshed`].
-    Refresh,
-    /// Answer with [`super::Leader::ordered`].
-    Orders {
+    /// Answer with [`super::Scheduler::committed`].
+    Commit(Transaction),
+    /// Read the records anew and answer with [`super::Scheduler::refreshed`].
+    ReloadRecords,
+    /// Answer with [`super::Scheduler::command_ended`].
+    SendCommands {
         /// The machine.
         machine: Arc<str>,
         /// Its address.
         addr: String,
-        /// The session that the orders are for.
-        session: u64,
+        /// The epoch that the commands are for.
+        agent_epoch: u64,
         /// The fencing token.
-        token: u64,
-        /// The orders, to be executed in this sequence.
-        orders: Vec<Order>,
+        fencing_token: u64,
+        /// The commands, to be executed in this sequence.
+        commands: Vec<Command>,
     },
-    /// Ask a machine for its report; what it says goes to [`super::Leader::heard_directly`].
+    /// Ask a machine for its heartbeat; what it says goes to [`super::Scheduler::probe_answered`].
     Probe {
         /// The machine.
         machine: Arc<str>,
         /// Its address.
         addr: String,
     },
-    /// Answer with [`super::Leader::rented`].
-    Rent {
+    /// Answer with [`super::Scheduler::rented`].
+    ScaleOut {
         /// The id of the request; a repetition rents nothing more.
         request: String,
         /// The type.
@@ -124,8 +147,8 @@
         /// How many.
         count: u32,
     },
-    /// Answer with [`super::Leader::returned`].
-    Return {
+    /// Answer with [`super::Scheduler::returned`].
+    ScaleIn {
         /// The machines.
         names: Vec<Arc<str>>,
     },
