--- a/crates/saltpitch-core/src/leader/failures.rs
+++ b/crates/saltpitch-core/src/scheduler/job_failures.rs
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{Job, Leader};
-use crate::cluster::JobNo;
-use crate::job::Kind;
+use super::{Job, Scheduler};
+use crate::cluster::JobNumber;
+use crate::job::JobKind;
 use crate::time::Micros;
 
 /// How long a job avoids a machine on which a task of it failed.
@@ -64,7 +64,7 @@
     /// When the last round was noticed: what was placed before that belongs to it.
     round_at: Micros,
     /// The records show many attempts and no task that completed.
-    recalled: bool,
+    restored: bool,
 }
 
 /// What a failure says.
@@ -79,7 +79,7 @@
     /// Whether the job itself seems to be at fault.
     pub fn at_fault(&self, tasks: u32) -> bool {
         let several_tasks = self.failed_tasks.len() >= TASKS_AGAINST_JOB.min(tasks as usize);
-        self.recalled || (several_tasks && self.machines.len() >= MACHINES_AGAINST_JOB)
+        self.restored || (several_tasks && self.machines.len() >= MACHINES_AGAINST_JOB)
     }
 
     /// Whether the job avoids this machine now.
@@ -135,13 +135,13 @@
         self.failed_tasks.clear();
         self.rounds = 0;
         self.round_at = Micros::ZERO;
-        self.recalled = false;
+        self.restored = false;
     }
 
     /// What the records show of an array's earlier attempts.
-    pub fn recall(&mut self, attempts: impl Iterator<Item = u32>) {
+    pub fn restore(&mut self, attempts: impl Iterator<Item = u32>) {
         let many = attempts.filter(|attempt| *attempt >= RECALLED_ATTEMPTS);
-        self.recalled = many.take(TASKS_AGAINST_JOB).count() == TASKS_AGAINST_JOB;
+        self.restored = many.take(TASKS_AGAINST_JOB).count() == TASKS_AGAINST_JOB;
     }
 }
 
@@ -181,37 +181,39 @@
     }
 }
 
-impl Leader {
+impl Scheduler {
     /// A task failed on its machine. The wait before the task is tried again.
-    pub(super) fn task_failed(&mut self, no: JobNo, task: u32, now: Micros) -> Micros {
-        let Some(job) = self.jobs.get_mut(&no) else {
+    pub(super) fn task_failed(&mut self, number: JobNumber, task: u32, now: Micros) -> Micros {
+        let Some(job) = self.jobs.get_mut(&number) else {
             return Micros::ZERO;
         };
-        let Some(place) = job.tasks[task as usize].place.as_deref() else {
+        let Some(allocation) = job.tasks[task as usize].allocation.as_deref() else {
             return Micros::ZERO;
         };
-        let machine = place.machine.clone();
-        let placed_at = place.since;
-        let ran = place.running_since.map_or(Micros::ZERO, |at| now.since(at));
-        if job.spec.kind == Kind::Service && ran >= PROVEN_REPLICA {
+        let machine = allocation.machine.clone();
+        let placed_at = allocation.since;
+        let ran = allocation
+            .running_since
+            .map_or(Micros::ZERO, |at| now.since(at));
+        if job.spec.kind == JobKind::Service && ran >= PROVEN_REPLICA {
             job.failures.completed(task);
         }
         let was_at_fault = job.at_fault();
         job.failures
             .avoid(&machine, now.plus(AVOID_AFTER_FAILURE), now);
         let blame = job.failures.note(task, job.spec.tasks, &machine);
-        let of_job = job.at_fault() || job.spec.kind == Kind::Gang;
+        let of_job = job.at_fault() || job.spec.kind == JobKind::Gang;
         if of_job && placed_at >= job.failures.round_at {
             job.failures.rounds += 1;
             job.failures.round_at = now;
             job.not_before = now.plus(backoff(job.failures.rounds));
         }
         if job.at_fault() && !was_at_fault {
-            self.faulty_jobs.push(job.id.clone());
+            self.failing_jobs.push(job.id.clone());
         }
         let failures = job.failures.tasks.get(&task).map_or(0, |t| t.count);
         let wait = match job.spec.kind {
-            Kind::Gang => Micros::ZERO,
+            JobKind::Gang => Micros::ZERO,
             _ => backoff(failures),
         };
         if !blame.machine && !job.at_fault() {
@@ -222,35 +224,35 @@
             job.failures.avoided.remove(&machine);
         }
         if blame.machine {
-            self.set_failed_job(no, &machine, true);
+            self.set_failed_job(number, &machine, true);
         }
         for cleared in &blame.cleared {
-            self.set_failed_job(no, cleared, false);
+            self.set_failed_job(number, cleared, false);
         }
         wait
     }
 
     /// A job's failure counts for or no longer counts against a machine.
-    fn set_failed_job(&mut self, no: JobNo, machine: &Arc<str>, counts: bool) {
+    fn set_failed_job(&mut self, number: JobNumber, machine: &Arc<str>, counts: bool) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
         let was_at_fault = m.failed_jobs.len() >= JOBS_AGAINST_MACHINE;
         if counts {
-            m.failed_jobs.insert(no);
+            m.failed_jobs.insert(number);
         } else {
-            m.failed_jobs.remove(&no);
+            m.failed_jobs.remove(&number);
         }
         let at_fault = m.failed_jobs.len() >= JOBS_AGAINST_MACHINE;
         if was_at_fault != at_fault {
-            m.to_be_returned = at_fault;
+            m.cordoned = at_fault;
             self.reindex(machine);
         }
     }
 
     /// A machine refused a task of this job: it goes elsewhere for the moment.
-    pub(super) fn task_refused(&mut self, no: JobNo, machine: &Arc<str>, now: Micros) {
-        if let Some(job) = self.jobs.get_mut(&no) {
+    pub(super) fn task_refused(&mut self, number: JobNumber, machine: &Arc<str>, now: Micros) {
+        if let Some(job) = self.jobs.get_mut(&number) {
             let until = now.plus(Micros::from_secs(10));
             job.failures.avoid(machine, until, now);
             job.not_before = job.not_before.max(now.plus(Micros::from_secs(1)));
@@ -258,8 +260,8 @@
     }
 
     /// Takes a task that failed out of the job's idle tasks for this long.
-    pub(super) fn defer_task(&mut self, no: JobNo, task: u32, wait: Micros, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&no) else {
+    pub(super) fn defer_task(&mut self, number: JobNumber, task: u32, wait: Micros, now: Micros) {
+        let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
         if !job.idle.remove(&task) {
@@ -267,37 +269,37 @@
         }
         job.deferred.insert(task);
         if job.idle.is_empty() {
-            self.open.remove(&no);
+            self.unplaced_jobs.remove(&number);
         }
-        self.retries.insert((now.plus(wait), no, task));
+        self.retries.insert((now.plus(wait), number, task));
     }
 
     /// Makes the tasks idle whose wait after a failure is over.
     pub(super) fn retry_deferred(&mut self, now: Micros) {
-        while let Some(&(due, no, task)) = self.retries.first() {
+        while let Some(&(due, number, task)) = self.retries.first() {
             if due > now {
                 return;
             }
             self.retries.pop_first();
             self.steps += 1;
-            let Some(job) = self.jobs.get_mut(&no) else {
+            let Some(job) = self.jobs.get_mut(&number) else {
                 continue;
             };
             let waits = job.deferred.remove(&task);
             let state = &job.tasks[task as usize];
-            if !waits || state.done || state.place.is_some() {
+            if !waits || state.done || state.allocation.is_some() {
                 continue;
             }
             job.idle.insert(task);
             if job.active() {
-                self.open.insert(no);
-                self.schedule_wanted = true;
+                self.unplaced_jobs.insert(number);
+                self.pass_requested = true;
             }
         }
     }
 
     /// Jobs that were found to be at fault since this was asked last, for the log.
-    pub fn take_faulty_jobs(&mut self) -> Vec<Arc<str>> {
-        std::mem::take(&mut self.faulty_jobs)
+    pub fn take_failing_jobs(&mut self) -> Vec<Arc<str>> {
+        std::mem::take(&mut self.failing_jobs)
     }
 }
--- a/crates/saltpitch-core/src/leader/job_state.rs
+++ b/crates/saltpitch-core/src/scheduler/job_state.rs
@@ -3,35 +3,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::failures::FailureHistory;
-use super::lending::Owner;
+use super::delegation::JobOwner;
+use super::job_failures::FailureHistory;
 use crate::gang::Gang;
-use crate::job::{JobSpec, JobState, Kind, Priority};
+use crate::job::{JobKind, JobSpec, JobState, Priority};
 use crate::records::Guest;
 use crate::time::Micros;
 
 /// A place that a task has, or is assumed to have.
 #[derive(Clone, Debug)]
-pub(crate) struct Place {
+pub(crate) struct Allocation {
     pub machine: Arc<str>,
-    pub session: u64,
+    pub agent_epoch: u64,
     pub attempt: u32,
     /// On record.
     pub committed: bool,
     /// Part of the transaction under way.
-    pub in_txn: bool,
-    pub seen: Seen,
-    /// The report whose answer last carried the start.
-    pub sent_seq: u64,
-    pub sent: bool,
+    pub in_transaction: bool,
+    pub observed: ObservedState,
+    /// The heartbeat whose answer last carried the start.
+    pub start_sequence: u64,
+    pub start_sent: bool,
     pub since: Micros,
     pub running_since: Option<Micros>,
-    pub stop: Option<Stop>,
+    pub stop: Option<StopRequest>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Seen {
-    No,
+pub(crate) enum ObservedState {
+    Unseen,
     Fetching,
     Waiting,
     Running,
@@ -39,7 +39,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Stop {
+pub(crate) struct StopRequest {
     pub grace: Micros,
     pub since: Micros,
 }
@@ -48,7 +48,7 @@
 pub(crate) struct Task {
     pub attempt: u32,
     pub done: bool,
-    pub place: Option<Box<Place>>,
+    pub allocation: Option<Box<Allocation>>,
 }
 
 pub(crate) struct Job {
@@ -60,7 +60,7 @@
     pub rev: u64,
     pub state: JobState,
     /// Which cell it is with.
-    pub owner: Owner,
+    pub owner: JobOwner,
     /// When it last came back from another cell.
     pub came_back_at: Micros,
     /// The cell that it is run for, if that is another one.
@@ -71,7 +71,7 @@
     pub queued: Micros,
     /// Jobs that it needs and that are not done yet. As long as there are any, it is in no queue and
     /// holds nothing of its team's limit or guarantee.
-    pub unmet: BTreeSet<Arc<str>>,
+    pub unmet_dependencies: BTreeSet<Arc<str>>,
     /// The highest priority of this job and of those that need it, and until when it must be done for
     /// their deadlines.
     pub priority: Priority,
@@ -97,7 +97,7 @@
     /// Not before then is room to be made for it again.
     pub search_after: Micros,
     /// Room is being made where its image is: it waits for that until then.
-    pub room_by: Option<Micros>,
+    pub room_awaited_until: Option<Micros>,
     /// All tasks were placed at one time.
     pub started: bool,
     pub zones: BTreeMap<Arc<str>, u32>,
@@ -108,18 +108,20 @@
 impl Job {
     /// Every task has completed.
     pub(super) fn complete(&self) -> bool {
-        self.spec.kind != Kind::Service && self.done == self.spec.tasks
+        self.spec.kind != JobKind::Service && self.done == self.spec.tasks
     }
 
     pub(super) fn active(&self) -> bool {
-        let here = self.owner == Owner::Here;
-        here && self.state == JobState::Active && !self.complete() && self.unmet.is_empty()
+        let here = self.owner == JobOwner::Here;
+        here && self.state == JobState::Active
+            && !self.complete()
+            && self.unmet_dependencies.is_empty()
     }
 
     /// Started work, or work to come, per task.
     pub(super) fn next_attempt(&self, task: u32) -> u32 {
         match self.spec.kind {
-            Kind::Gang => self.tasks.iter().map(|t| t.attempt).max().unwrap_or(0) + 1,
+            JobKind::Gang => self.tasks.iter().map(|t| t.attempt).max().unwrap_or(0) + 1,
             _ => self.tasks[task as usize].attempt + 1,
         }
     }
--- a/crates/saltpitch-core/src/leader/jobs.rs
+++ b/crates/saltpitch-core/src/scheduler/jobs.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::failures::FailureHistory;
-use super::lending::Owner;
-use super::{Class, Job, Leader, Task, FADE};
-use crate::cluster::JobNo;
+use super::delegation::JobOwner;
+use super::job_failures::FailureHistory;
+use super::{Class, Job, Scheduler, Task, FADE};
+use crate::cluster::JobNumber;
 use crate::gang::Gang;
-use crate::job::{JobSpec, JobState, Kind, Priority};
-use crate::records::{View, CHUNK};
+use crate::job::{JobKind, JobSpec, JobState, Priority};
+use crate::records::{RecordCache, CHUNK};
 use crate::time::Micros;
 
 /// Where a job's time went, as far as this leader saw it; all times count from the submission.
@@ -36,60 +36,64 @@
     }
 }
 
-impl Leader {
+impl Scheduler {
     /// Where the job's time went, if it runs or has ended a short while ago.
     pub fn timeline(&self, id: &str) -> Option<JobTimeline> {
-        let running = self.by_id.get(id).and_then(|no| self.jobs.get(no));
+        let running = self
+            .job_numbers
+            .get(id)
+            .and_then(|number| self.jobs.get(number));
         if let Some(job) = running {
             return Some(JobTimeline::of(job));
         }
-        let ended = self.ended.iter().find(|(ended, _)| **ended == *id);
+        let ended = self.ended_jobs.iter().find(|(ended, _)| **ended == *id);
         ended.map(|(_, timeline)| *timeline)
     }
 
     /// Its final record is written, which this node's copy of the records has yet to show.
     pub(super) fn remember_timeline(&mut self, job: &Job) {
-        if self.ended.len() >= MAX_ENDED {
-            self.ended.pop_front();
+        if self.ended_jobs.len() >= MAX_ENDED {
+            self.ended_jobs.pop_front();
         }
-        self.ended.push_back((job.id.clone(), JobTimeline::of(job)));
+        self.ended_jobs
+            .push_back((job.id.clone(), JobTimeline::of(job)));
     }
 
     /// Another node's word: this job is cancelled, although the records that this node has don't show
     /// it. What runs is stopped and nothing more is placed; the record catches up later.
-    pub fn called_off(&mut self, id: &str, now: Micros) {
-        match self.by_id.get(id) {
-            Some(&no) => {
-                let Some(job) = self.jobs.get_mut(&no) else {
+    pub fn cancelled_by_peer(&mut self, id: &str, now: Micros) {
+        match self.job_numbers.get(id) {
+            Some(&number) => {
+                let Some(job) = self.jobs.get_mut(&number) else {
                     return;
                 };
                 if job.state == JobState::Active {
                     job.state = JobState::Cancelled;
-                    self.cancel(no, now);
+                    self.cancel(number, now);
                 }
             }
             // Accepted and cancelled since this node read the records last.
             None => {
-                self.called_off.insert(id.to_owned());
+                self.cancelled_by_peer.insert(id.to_owned());
             }
         }
     }
 
     /// A job's record appeared or changed.
-    pub fn job_changed(&mut self, view: &View, id: &str, now: Micros, wall: Micros) {
-        let Some(entry) = view.jobs.get(id) else {
+    pub fn job_changed(&mut self, records: &RecordCache, id: &str, now: Micros, wall: Micros) {
+        let Some(entry) = records.jobs.get(id) else {
             return;
         };
         match entry.record.state {
             JobState::Done => {
                 let at = entry.record.finished.map(|f| now.since(wall.since(f)));
-                self.need_met(id, at.unwrap_or(now), now);
+                self.dependency_completed(id, at.unwrap_or(now), now);
             }
-            JobState::Cancelled => self.need_cancelled(id, now),
+            JobState::Cancelled => self.dependency_cancelled(id, now),
             JobState::Active => {}
         }
-        if let Some(&no) = self.by_id.get(id) {
-            let Some(job) = self.jobs.get_mut(&no) else {
+        if let Some(&number) = self.job_numbers.get(id) {
+            let Some(job) = self.jobs.get_mut(&number) else {
                 return;
             };
             if entry.rev <= job.rev {
@@ -98,10 +102,10 @@
             job.rev = entry.rev;
             if entry.record.state == JobState::Cancelled && job.state == JobState::Active {
                 job.state = JobState::Cancelled;
-                self.cancel(no, now);
+                self.cancel(number, now);
             }
-            self.owner_changed(no, &entry.record, now);
-            self.completed_elsewhere(no, view, now);
+            self.job_owner_changed(number, &entry.record, now);
+            self.completed_by_host(number, records, now);
             return;
         }
         let Some(spec) = entry.record.spec.clone() else {
@@ -111,15 +115,16 @@
         if entry.record.state == JobState::Done {
             return;
         }
-        let off = self.called_off.remove(id) || view.state(id) == Some(JobState::Cancelled);
+        let off =
+            self.cancelled_by_peer.remove(id) || records.state(id) == Some(JobState::Cancelled);
         let state = if off {
             JobState::Cancelled
         } else {
             entry.record.state
         };
         let n = spec.tasks as usize;
-        let no = self.next_job;
-        self.next_job += 1;
+        let number = self.next_job_number;
+        self.next_job_number += 1;
         let class = self.class(&spec.class);
         let c = &mut self.classes[class];
         let weight = if c.mean_tasks > 0.0 { 0.03 } else { 1.0 };
@@ -131,14 +136,14 @@
             rev: entry.rev,
             state,
             owner: match entry.record.is_delegated() {
-                true => Owner::Elsewhere,
-                false => Owner::Here,
+                true => JobOwner::Elsewhere,
+                false => JobOwner::Here,
             },
             came_back_at: Micros::ZERO,
             guest: entry.record.guest.clone(),
             submitted: now.since(wall.since(entry.record.submitted)),
             queued: now.since(wall.since(entry.record.submitted)),
-            unmet: BTreeSet::new(),
+            unmet_dependencies: BTreeSet::new(),
             priority: spec.priority,
             due: None,
             done_at: None,
@@ -154,29 +159,29 @@
             failures: FailureHistory::default(),
             deferred: BTreeSet::new(),
             search_after: Micros::ZERO,
-            room_by: None,
+            room_awaited_until: None,
             started: false,
             zones: BTreeMap::new(),
             rank: u8::MAX,
             spec,
         };
-        let mut places = Vec::new();
-        for (&c, at) in view.chunks.get(id).into_iter().flatten() {
+        let mut allocations = Vec::new();
+        for (&c, at) in records.chunks.get(id).into_iter().flatten() {
             if let Some(slot) = job.chunks.get_mut(c as usize) {
                 *slot = (at.rev, at.upto);
             }
         }
-        let known = view.tasks.get(id).map_or(&[][..], |t| &t.tasks);
+        let known = records.tasks.get(id).map_or(&[][..], |t| &t.tasks);
         for (i, (t, rec)) in job.tasks.iter_mut().zip(known).enumerate() {
             t.attempt = rec.attempt;
             t.done = rec.done;
-            if let Some(place) = &rec.place {
-                places.push((i as u32, place.0.clone(), place.1));
+            if let Some(allocation) = &rec.allocation {
+                allocations.push((i as u32, allocation.0.clone(), allocation.1));
             }
         }
         job.done = job.tasks.iter().filter(|t| t.done).count() as u32;
-        if job.spec.kind == Kind::Array && job.done == 0 {
-            job.failures.recall(job.tasks.iter().map(|t| t.attempt));
+        if job.spec.kind == JobKind::Array && job.done == 0 {
+            job.failures.restore(job.tasks.iter().map(|t| t.attempt));
         }
         let done: Vec<u32> = (0..n as u32)
             .filter(|i| job.tasks[*i as usize].done)
@@ -185,63 +190,67 @@
             job.idle.remove(&i);
         }
         if job.state == JobState::Active {
-            self.find_needs(&mut job, no, view, now, wall);
+            self.resolve_dependencies(&mut job, number, records, now, wall);
         }
-        let released = job.unmet.is_empty();
-        self.by_id.insert(job.id.clone(), no);
-        self.jobs.insert(no, job);
+        let released = job.unmet_dependencies.is_empty();
+        self.job_numbers.insert(job.id.clone(), number);
+        self.jobs.insert(number, job);
         if released {
-            self.enqueue(no, now);
+            self.enqueue(number, now);
         }
-        self.carry_back(no);
+        self.inherit_urgency(number);
         // Those that need it may have been read before it.
         for d in self.dependents.get(id).cloned().unwrap_or_default() {
-            self.carry_back(d);
+            self.inherit_urgency(d);
         }
         let mut lost = false;
-        for (task, machine, session) in places {
+        for (task, machine, agent_epoch) in allocations {
             // A machine's record is written before anything is placed on it and deleted only once
             // the machine is proven gone: no record, no task.
-            match self.machines.get(machine.as_str()).map(|m| m.name.clone()) {
+            match self
+                .machines
+                .get(machine.as_str())
+                .map(|machine| machine.name.clone())
+            {
                 Some(name) if (task as usize) < n => {
-                    let attempt = self.jobs[&no].tasks[task as usize].attempt;
-                    self.hold(no, task, name, session, attempt, true, now);
+                    let attempt = self.jobs[&number].tasks[task as usize].attempt;
+                    self.allocate(number, task, name, agent_epoch, attempt, true, now);
                 }
                 _ => {
                     lost = true;
-                    self.dirty.outcome(no, task, now);
+                    self.unsaved.outcome(number, task, now);
                 }
             }
         }
-        let Some(job) = self.jobs.get_mut(&no) else {
+        let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        if job.spec.kind == Kind::Gang && job.placed > 0 {
+        if job.spec.kind == JobKind::Gang && job.placed > 0 {
             job.gang = if lost || job.placed < job.spec.tasks {
                 Gang::Stopping
             } else {
                 Gang::Allowed
             };
             if job.gang == Gang::Stopping {
-                self.stop_all(no, Micros::ZERO, now);
+                self.stop_all(number, Micros::ZERO, now);
             }
         }
-        if self.jobs[&no].state == JobState::Cancelled {
-            self.cancel(no, now);
+        if self.jobs[&number].state == JobState::Cancelled {
+            self.cancel(number, now);
         } else {
-            self.check_complete(no);
+            self.check_complete(number);
         }
-        self.schedule_wanted = true;
+        self.pass_requested = true;
     }
 
     /// The job was cancelled: whatever was never sent is dropped, the rest is stopped.
-    pub(super) fn cancel(&mut self, no: JobNo, now: Micros) {
-        self.close(no);
-        self.stop_all(no, Micros::ZERO, now);
-        self.check_complete(no);
-        self.schedule_wanted = true;
-        if let Some(id) = self.jobs.get(&no).map(|j| j.id.clone()) {
-            self.need_cancelled(&id, now);
+    pub(super) fn cancel(&mut self, number: JobNumber, now: Micros) {
+        self.dequeue(number);
+        self.stop_all(number, Micros::ZERO, now);
+        self.check_complete(number);
+        self.pass_requested = true;
+        if let Some(id) = self.jobs.get(&number).map(|job| job.id.clone()) {
+            self.dependency_cancelled(&id, now);
         }
     }
 
@@ -249,21 +258,21 @@
     pub(super) fn note_demand(&mut self, spec: &JobSpec, now: Micros) {
         if spec.priority == Priority::Production {
             let more = spec.need.cpu as f64 * f64::from(spec.tasks);
-            self.demand = (self.faded_demand(now) + more, now);
+            self.production_demand = (self.faded_demand(now) + more, now);
         }
     }
 
     pub(super) fn faded_demand(&self, now: Micros) -> f64 {
-        let (level, at) = self.demand;
+        let (level, at) = self.production_demand;
         level * (-now.since(at).as_secs_f64() / FADE.as_secs_f64()).exp()
     }
 
     /// Nothing more of this job is to be placed.
-    pub(super) fn close(&mut self, no: JobNo) {
-        self.open.remove(&no);
-        if let Some(job) = self.jobs.get_mut(&no) {
+    pub(super) fn dequeue(&mut self, number: JobNumber) {
+        self.unplaced_jobs.remove(&number);
+        if let Some(job) = self.jobs.get_mut(&number) {
             job.rank = u8::MAX;
-            self.by_age.remove(&(job.queued, no));
+            self.active_by_age.remove(&(job.queued, number));
         }
     }
 
@@ -272,10 +281,10 @@
         if let Some(at) = self.classes.iter().position(|c| c.name == name) {
             return at;
         }
-        let aims = self.cfg.objectives.iter().filter(|o| o.class == name);
+        let objectives = self.config.objectives.iter().filter(|o| o.class == name);
         self.classes.push(Class {
             name: name.to_owned(),
-            aims: aims.map(|o| o.aim).collect(),
+            objectives: objectives.map(|objective| objective.target).collect(),
             ratio: 1.0,
             mean_tasks: 0.0,
         });
--- a/crates/saltpitch-core/src/leader/blocks.rs
+++ b/crates/saltpitch-core/src/scheduler/machine_blocks.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use super::transaction::{json, Batch, Pending};
-use super::{Config, Leader};
-use crate::cluster::{Machine, Phase};
-use crate::records::{block_key, BlockRecord, MachineRecord, View, BLOCK};
+use super::transaction::{json, TransactionBuilder, TransactionContents};
+use super::{Scheduler, SchedulerConfig};
+use crate::cluster::{Machine, MachinePhase};
+use crate::records::{block_key, BlockRecord, MachineRecord, RecordCache, BLOCK};
 use crate::time::Micros;
 
 /// Machines of one type, zone and kind that share a record.
@@ -19,41 +19,49 @@
     rev: u64,
     /// Blocks that took over machines of this one: they must be on record before this one is written
     /// without those, or else a leader that comes in between would take them for gone.
-    heirs: Vec<u32>,
+    successors: Vec<u32>,
 }
 
 /// The machines' records.
-pub(super) struct Blocks {
+pub(super) struct MachineBlocks {
     all: BTreeMap<u32, Block>,
     /// The block that takes the next machine of a type, zone and kind.
-    open: HashMap<(String, Arc<str>, bool), u32>,
+    unfilled: HashMap<(String, Arc<str>, bool), u32>,
     next: u32,
     due: BTreeMap<u32, Micros>,
     max_bytes: usize,
 }
 
-impl Blocks {
-    pub fn new(view: &View, cfg: &Config) -> Blocks {
-        let mut b = Blocks {
+impl MachineBlocks {
+    pub fn new(records: &RecordCache, config: &SchedulerConfig) -> MachineBlocks {
+        let mut b = MachineBlocks {
             all: BTreeMap::new(),
-            open: HashMap::new(),
+            unfilled: HashMap::new(),
             next: 1,
             due: BTreeMap::new(),
-            max_bytes: cfg.value_bytes * 3 / 4,
+            max_bytes: config.max_value_bytes * 3 / 4,
         };
-        for (no, (rev, rec)) in &view.blocks {
-            b.next = b.next.max(no + 1);
-            let members = rec.machines.iter().map(|m| m.0.as_str().into()).collect();
+        for (number, (rev, rec)) in &records.machine_blocks {
+            b.next = b.next.max(number + 1);
+            let members = rec
+                .machines
+                .iter()
+                .map(|machine| machine.0.as_str().into())
+                .collect();
             b.all.insert(
-                *no,
+                *number,
                 Block {
                     type_name: rec.type_name.clone(),
                     zone: rec.zone.as_str().into(),
                     spot: rec.spot,
                     members,
-                    bytes: rec.machines.iter().map(|m| bytes_of(&m.0, &m.1)).sum(),
+                    bytes: rec
+                        .machines
+                        .iter()
+                        .map(|machine| bytes_of(&machine.0, &machine.1))
+                        .sum(),
                     rev: *rev,
-                    heirs: Vec::new(),
+                    successors: Vec::new(),
                 },
             );
         }
@@ -73,50 +81,50 @@
     }
 
     /// A block's record was written.
-    pub fn written(&mut self, no: u32, rev: u64) {
-        if let Some(block) = self.all.get_mut(&no) {
+    pub fn written(&mut self, number: u32, rev: u64) {
+        if let Some(block) = self.all.get_mut(&number) {
             block.rev = rev;
         }
     }
 
-    pub fn drop_empty(&mut self, no: u32) {
-        if self.all.get(&no).is_some_and(|b| b.members.is_empty()) {
-            self.all.remove(&no);
+    pub fn drop_empty(&mut self, number: u32) {
+        if self.all.get(&number).is_some_and(|b| b.members.is_empty()) {
+            self.all.remove(&number);
         }
     }
 
     /// Takes the blocks' revisions from the records.
-    pub fn read_anew(&mut self, view: &View) {
-        for (no, block) in &mut self.all {
-            block.rev = view.blocks.get(no).map_or(0, |b| b.0);
+    pub fn read_anew(&mut self, records: &RecordCache) {
+        for (number, block) in &mut self.all {
+            block.rev = records.machine_blocks.get(number).map_or(0, |b| b.0);
         }
     }
 
     /// Moves machines out of a block that is too large for one value, into new ones; says which
     /// machines went where.
-    fn split(&mut self, no: u32, now: Micros) -> Vec<(Arc<str>, u32)> {
-        let Some(old) = self.all.get_mut(&no) else {
+    fn split(&mut self, number: u32, now: Micros) -> Vec<(Arc<str>, u32)> {
+        let Some(old) = self.all.get_mut(&number) else {
             return Vec::new();
         };
         let mut bytes = 0;
-        let mut part = no;
+        let mut part = number;
         let mut moves: Vec<(Arc<str>, u32)> = Vec::new();
         for name in old.members.iter() {
             let more = bytes_of(name, "255.255.255.255:65535");
             if bytes + more > self.max_bytes {
-                part = if part == no { self.next } else { part + 1 };
+                part = if part == number { self.next } else { part + 1 };
                 bytes = 0;
             }
             bytes += more;
-            if part != no {
+            if part != number {
                 moves.push((name.clone(), part));
             }
         }
         let (type_name, zone, spot) = (old.type_name.clone(), old.zone.clone(), old.spot);
         for (name, to) in &moves {
             old.members.remove(name);
-            if !old.heirs.contains(to) {
-                old.heirs.push(*to);
+            if !old.successors.contains(to) {
+                old.successors.push(*to);
             }
         }
         old.bytes = old.members.len() * bytes_of("vm-000000", "255.255.255.255:65535");
@@ -129,78 +137,82 @@
                 members: BTreeSet::new(),
                 bytes: 0,
                 rev: 0,
-                heirs: Vec::new(),
+                successors: Vec::new(),
             });
             block.members.insert(name.clone());
             block.bytes += bytes_of(name, "255.255.255.255:65535");
             self.mark(*to, now);
         }
-        self.mark(no, now);
+        self.mark(number, now);
         moves
     }
 
-    pub fn dirty(&self) -> usize {
+    pub fn unsaved(&self) -> usize {
         self.due.len()
     }
 
-    pub fn mark(&mut self, no: u32, due: Micros) {
-        let slot = self.due.entry(no).or_insert(due);
+    pub fn mark(&mut self, number: u32, due: Micros) {
+        let slot = self.due.entry(number).or_insert(due);
         *slot = (*slot).min(due);
     }
 
     /// The machine's record is to be written, together with others that change soon.
-    pub fn changed(&mut self, m: &mut Machine, due: Micros) {
-        let no = match m.block {
-            Some(no) => no,
+    pub fn changed(&mut self, machine: &mut Machine, due: Micros) {
+        let number = match machine.block {
+            Some(number) => number,
             None => {
-                let no = self.place(m);
-                m.block = Some(no);
-                no
+                let number = self.assign(machine);
+                machine.block = Some(number);
+                number
             }
         };
-        self.mark(no, due);
+        self.mark(number, due);
     }
 
-    fn place(&mut self, m: &Machine) -> u32 {
-        let key = (m.kind.name.clone(), m.zone.clone(), m.spot);
+    fn assign(&mut self, machine: &Machine) -> u32 {
+        let key = (
+            machine.kind.name.clone(),
+            machine.zone.clone(),
+            machine.spot,
+        );
         // The address is not known yet: a usual one's length is set aside.
-        let bytes = bytes_of(&m.name, "255.255.255.255:65535");
-        if let Some((no, b)) = self
-            .open
+        let bytes = bytes_of(&machine.name, "255.255.255.255:65535");
+        if let Some((number, b)) = self
+            .unfilled
             .get(&key)
-            .and_then(|no| self.all.get_mut(no).map(|b| (*no, b)))
+            .and_then(|number| self.all.get_mut(number).map(|b| (*number, b)))
         {
             if b.members.len() < BLOCK && b.bytes + bytes <= self.max_bytes {
-                b.members.insert(m.name.clone());
+                b.members.insert(machine.name.clone());
                 b.bytes += bytes;
-                return no;
+                return number;
             }
         }
-        let no = self.next;
+        let number = self.next;
         self.next += 1;
         self.all.insert(
-            no,
+            number,
             Block {
                 type_name: key.0.clone(),
                 zone: key.1.clone(),
                 spot: key.2,
-                members: BTreeSet::from([m.name.clone()]),
+                members: BTreeSet::from([machine.name.clone()]),
                 bytes,
                 rev: 0,
-                heirs: Vec::new(),
+                successors: Vec::new(),
             },
         );
-        self.open.insert(key, no);
-        no
+        self.unfilled.insert(key, number);
+        number
     }
 
     /// The machine is proven gone.
-    pub fn leave(&mut self, m: &Machine, now: Micros) {
-        let Some(no) = m.block else { return };
-        if let Some(b) = self.all.get_mut(&no) {
-            b.members.remove(&m.name);
+    pub fn leave(&mut self, machine: &Machine, now: Micros) {
+        let Some(number) = machine.block else { return };
+        if let Some(b) = self.all.get_mut(&number) {
+            b.members.remove(&machine.name);
             // What was freed is not counted on: addresses differ in length.
-            self.mark(no, now.plus(Micros::from_secs(1)));
+            self.mark(number, now.plus(Micros::from_secs(1)));
         }
     }
 }
@@ -209,29 +221,29 @@
     name.len() + addr.len() + 40
 }
 
-impl Leader {
+impl Scheduler {
     pub(super) fn add_blocks(
         &mut self,
-        b: &mut Batch,
-        p: &mut Pending,
+        b: &mut TransactionBuilder,
+        p: &mut TransactionContents,
         ops: usize,
         max: usize,
         now: Micros,
     ) {
-        let due: Vec<u32> = (self.blocks.due.iter())
+        let due: Vec<u32> = (self.machine_blocks.due.iter())
             .filter(|d| *d.1 <= now)
             .map(|d| *d.0)
             .rev()
             .collect();
         // The newest first: a block that was split comes after those that took over its machines.
-        for no in due {
-            let Some(block) = self.blocks.all.get(&no) else {
-                self.blocks.due.remove(&no);
+        for number in due {
+            let Some(block) = self.machine_blocks.all.get(&number) else {
+                self.machine_blocks.due.remove(&number);
                 continue;
             };
-            let waits = (block.heirs.iter()).any(|h| {
-                let there = self.blocks.all.get(h).is_none_or(|x| x.rev > 0);
-                !there && !p.blocks.iter().any(|w| w.0 == *h)
+            let waits = (block.successors.iter()).any(|h| {
+                let there = self.machine_blocks.all.get(h).is_none_or(|x| x.rev > 0);
+                !there && !p.machine_blocks.iter().any(|w| w.0 == *h)
             });
             if waits {
                 continue;
@@ -243,16 +255,16 @@
                 machines: Vec::with_capacity(block.members.len()),
             };
             let mut members = Vec::with_capacity(block.members.len());
-            for m in block.members.iter().filter_map(|n| self.machines.get(n)) {
-                let returning = matches!(m.phase, Phase::Returning(_));
-                let (name, addr) = (m.name.to_string(), m.addr.clone());
+            for machine in block.members.iter().filter_map(|n| self.machines.get(n)) {
+                let returning = matches!(machine.phase, MachinePhase::Returning(_));
+                let (name, addr) = (machine.name.to_string(), machine.addr.clone());
                 rec.machines.push(MachineRecord(
                     name,
                     addr,
                     returning,
-                    self.wall_of(m.born, now),
+                    self.wall_of(machine.created_at, now),
                 ));
-                members.push((m.name.clone(), returning));
+                members.push((machine.name.clone(), returning));
             }
             let value = if rec.machines.is_empty() {
                 None
@@ -260,29 +272,30 @@
                 json(&rec)
             };
             let bytes = value.as_ref().map_or(0, String::len);
-            if self.narrow && bytes > self.cfg.value_bytes && rec.machines.len() > 1 {
-                for (name, to) in self.blocks.split(no, now) {
-                    if let Some(m) = self.machines.get_mut(&name) {
-                        m.block = Some(to);
+            if self.reduced_limits && bytes > self.config.max_value_bytes && rec.machines.len() > 1
+            {
+                for (name, to) in self.machine_blocks.split(number, now) {
+                    if let Some(machine) = self.machines.get_mut(&name) {
+                        machine.block = Some(to);
                     }
                 }
-                self.next_txn = now;
+                self.next_transaction_at = now;
                 continue;
             }
             if !b.fits(ops, 1, bytes + 200, max) {
                 return;
             }
-            self.blocks.due.remove(&no);
+            self.machine_blocks.due.remove(&number);
             // A transaction of ours that is applied late must not undo a later one.
-            b.when(block_key(no), block.rev);
+            b.require(block_key(number), block.rev);
             if value.is_none() {
                 let key = (block.type_name.clone(), block.zone.clone(), block.spot);
-                if self.blocks.open.get(&key) == Some(&no) {
-                    self.blocks.open.remove(&key);
+                if self.machine_blocks.unfilled.get(&key) == Some(&number) {
+                    self.machine_blocks.unfilled.remove(&key);
                 }
             }
-            b.write(block_key(no), value);
-            p.blocks.push((no, members));
+            b.write(block_key(number), value);
+            p.machine_blocks.push((number, members));
         }
     }
 }
--- a/crates/saltpitch-core/src/leader/schedule.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use super::{preemption::SEARCHES_PER_PASS, Job, Leader};
-use crate::cluster::JobNo;
-use crate::job::{Kind, Priority};
+use super::{preemption::SEARCHES_PER_PASS, Job, Scheduler};
+use crate::cluster::JobNumber;
+use crate::job::{JobKind, Priority};
 use crate::placement;
 use crate::time::Micros;
 
@@ -13,26 +13,26 @@
 /// Machines of one group that a pass looks at for one job, beyond those that it needs.
 const LOOKS: usize = 48;
 
-impl Leader {
-    pub(super) fn schedule(&mut self, now: Micros) {
-        self.loosen(now);
-        self.searches = SEARCHES_PER_PASS;
-        self.kept_for.clear();
-        for w in self.waiting(now) {
-            let Some(job) = self.jobs.get(&w.no) else {
+impl Scheduler {
+    pub(super) fn run_pass(&mut self, now: Micros) {
+        self.release_barriers(now);
+        self.preemption_searches_left = SEARCHES_PER_PASS;
+        self.reserved_quota.clear();
+        for w in self.queued_jobs(now) {
+            let Some(job) = self.jobs.get(&w.number) else {
                 continue;
             };
-            if job.not_before > now || self.kept_from(job) {
+            if job.not_before > now || self.is_quota_reserved(job) {
                 continue;
             }
             match job.spec.kind {
-                Kind::Gang => self.schedule_gang(w, now),
+                JobKind::Gang => self.schedule_gang(w, now),
                 _ => {
                     let urgent = job.spec.priority == Priority::Production && !job.at_fault();
-                    if urgent && self.clears_near_image(w, now) {
+                    if urgent && self.preempts_near_image(w, now) {
                         continue;
                     }
-                    let left = self.fill(w.no, now);
+                    let left = self.place_tasks(w.number, now);
                     if left > 0 {
                         self.preempt(w, left, now);
                     }
@@ -45,56 +45,56 @@
     /// group only as many are looked at as may be of use, the fullest first.
     pub(super) fn candidates(
         &mut self,
-        no: JobNo,
+        number: JobNumber,
         zone: Option<&str>,
         want: u64,
         now: Micros,
     ) -> Vec<Arc<str>> {
-        let Some(job) = self.jobs.get(&no) else {
+        let Some(job) = self.jobs.get(&number) else {
             return Vec::new();
         };
-        let stuck = self.stuck(job, now);
+        let stuck = self.is_blocked(job, now);
         let spec = job.spec.clone();
         let limit = LOOKS + want.min(1_000) as usize;
         let mut found = Vec::new();
-        for g in 0..self.fleet.groups.len() {
-            let group = &self.fleet.groups[g];
+        for g in 0..self.index.groups.len() {
+            let group = &self.index.groups[g];
             if zone.is_some_and(|z| z != &*group.zone)
                 || !(stuck || self.ever_suits(&spec, &group.kind.size))
                 || !spec.allows(&group.kind.name, &group.zone, group.spot)
             {
                 continue;
             }
-            let group = &mut self.fleet.groups[g];
+            let group = &mut self.index.groups[g];
             let search = group.search(&spec.need, limit);
             self.steps += search.steps;
             found.extend(search.fits);
         }
-        let Some(job) = self.jobs.get(&no) else {
+        let Some(job) = self.jobs.get(&number) else {
             return Vec::new();
         };
-        let holders = self.fleet.holders(&spec.image) as u64;
+        let holders = self.index.holders(&spec.image) as u64;
         let waited = now.since(job.queued.max(job.parked_at));
         // How soon the machines that have its image become free for it, one after the other.
         let soon = match spec.kind {
-            Kind::Gang if holders > 0 => self.estimate(job).0 * u64::from(spec.tasks) / holders,
+            JobKind::Gang if holders > 0 => self.estimate(job).0 * u64::from(spec.tasks) / holders,
             _ => u64::MAX,
         };
         let mut list: Vec<(u64, Arc<str>)> = found
             .into_iter()
             .filter_map(|name| {
-                let m = self.machines.get(&name)?;
+                let machine = self.machines.get(&name)?;
                 // A large image takes as long to fetch as the gang may soon find a machine that has
                 // it; and this machine may have what another gang needs.
-                if !m.has_image(&spec.image) {
-                    let patience = m.kind.fetch_time(spec.image_mb).times(PATIENCE);
+                if !machine.has_image(&spec.image) {
+                    let patience = machine.kind.fetch_time(spec.image_mb).times(PATIENCE);
                     if soon < patience.0 && waited < patience {
                         return None;
                     }
                 }
-                let avoided = job.failures.avoids(&name, now) || !self.welcomes(job, m);
-                (!avoided && (stuck || self.may_borrow(&spec, m, now)))
-                    .then(|| (placement::score(&spec, m), name))
+                let avoided = job.failures.avoids(&name, now) || !self.admits_guest(job, machine);
+                (!avoided && (stuck || self.may_share_accelerators(&spec, machine, now)))
+                    .then(|| (placement::score(&spec, machine), name))
             })
             .collect();
         list.sort();
@@ -111,8 +111,8 @@
 
     /// Places as many idle tasks of an array or a service as go; says how many are left over that
     /// the team's limit would allow.
-    pub(super) fn fill(&mut self, no: JobNo, now: Micros) -> u64 {
-        let Some(job) = self.jobs.get(&no) else {
+    pub(super) fn place_tasks(&mut self, number: JobNumber, now: Micros) -> u64 {
+        let Some(job) = self.jobs.get(&number) else {
             return 0;
         };
         let spec = job.spec.clone();
@@ -123,25 +123,27 @@
             return 0;
         }
         // Beside what suits it, an array that is stuck takes room for a single task of it.
-        let single = spec.kind == Kind::Array && self.stuck(job, now);
-        for name in self.candidates(no, None, more, now) {
+        let single = spec.kind == JobKind::Array && self.is_blocked(job, now);
+        for name in self.candidates(number, None, more, now) {
             while more > 0 {
-                let (Some(job), Some(m)) = (self.jobs.get(&no), self.machines.get(&name)) else {
+                let (Some(job), Some(machine)) = (self.jobs.get(&number), self.machines.get(&name))
+                else {
                     break;
                 };
                 let Some(&task) = job.idle.first() else {
                     return 0;
                 };
-                if !spec.need.fits(&m.free()) || !Self::zone_allows(job, &m.zone) {
+                if !spec.need.fits(&machine.free()) || !Self::zone_allows(job, &machine.zone) {
                     break;
                 }
-                let suits = self.ever_suits(&spec, &m.kind.size) && self.may_borrow(&spec, m, now);
+                let suits = self.ever_suits(&spec, &machine.kind.size)
+                    && self.may_share_accelerators(&spec, machine, now);
                 if single && !suits && job.placed > 0 {
                     break;
                 }
-                let (session, attempt) = (m.session, job.next_attempt(task));
-                self.hold(no, task, name.clone(), session, attempt, false, now);
-                self.dirty.placement(no, task, &spec, now);
+                let (agent_epoch, attempt) = (machine.agent_epoch, job.next_attempt(task));
+                self.allocate(number, task, name.clone(), agent_epoch, attempt, false, now);
+                self.unsaved.placement(number, task, &spec, now);
                 more -= 1;
             }
         }
--- a/crates/saltpitch-core/src/leader/rules.rs
+++ b/crates/saltpitch-core/src/scheduler/policy_bindings.rs
@@ -1,8 +1,8 @@
 //! The operators' policy, applied to jobs, machine types and the site.
 
-use super::Leader;
+use super::Scheduler;
 use crate::catalog::MachineType;
-use crate::job::{JobSpec, Kind, Priority};
+use crate::job::{JobKind, JobSpec, Priority};
 use crate::policy::Value;
 use crate::time::Micros;
 
@@ -29,9 +29,9 @@
         "job.class" => Value::Text(s.class.clone()),
         "job.team" => Value::Text(s.team.clone()),
         "job.kind" => word(match s.kind {
-            Kind::Array => "array",
-            Kind::Gang => "gang",
-            Kind::Service => "service",
+            JobKind::Array => "array",
+            JobKind::Gang => "gang",
+            JobKind::Service => "service",
         }),
         "job.priority" => word(match s.priority {
             Priority::Production => "production",
@@ -48,7 +48,7 @@
     })
 }
 
-impl Leader {
+impl Scheduler {
     fn cluster(&self) -> impl Fn(&str) -> Option<Value> {
         let (machines, jobs) = (self.machines.len() as f64, self.jobs.len() as f64);
         move |name| match name {
@@ -61,9 +61,9 @@
     /// Evaluates the rules that don't hang on a single job.
     pub(super) fn apply_policy(&mut self) {
         let cluster = self.cluster();
-        let policy = &mut self.cfg.policy;
-        self.drain = Micros::from_secs_f64(policy.number("drain_s", &cluster));
-        for g in &mut self.fleet.groups {
+        let policy = &mut self.config.policy;
+        self.batch_completion_target = Micros::from_secs_f64(policy.number("drain_s", &cluster));
+        for g in &mut self.index.groups {
             let scope = |n: &str| type_value(&g.kind, g.spot, n).or_else(|| cluster(n));
             g.keep = Micros::from_secs_f64(policy.number("idle_keep_s", &scope));
         }
@@ -72,23 +72,23 @@
     pub(super) fn gang_hold(&mut self, spec: &JobSpec) -> Micros {
         let cluster = self.cluster();
         let scope = |n: &str| job_value(spec, n).or_else(|| cluster(n));
-        Micros::from_secs_f64(self.cfg.policy.number("gang_wait_s", &scope))
+        Micros::from_secs_f64(self.config.policy.number("gang_wait_s", &scope))
     }
 
     pub(super) fn spot_wanted(&mut self, spec: &JobSpec) -> bool {
         let cluster = self.cluster();
         let scope = |n: &str| job_value(spec, n).or_else(|| cluster(n));
-        spec.spot && self.cfg.policy.flag("use_spot", &scope)
+        spec.spot && self.config.policy.flag("use_spot", &scope)
     }
 
     pub(super) fn dear_ratio(&mut self, spec: &JobSpec) -> f64 {
         let cluster = self.cluster();
         let scope = |n: &str| job_value(spec, n).or_else(|| cluster(n));
-        self.cfg.policy.number("dear_ratio", &scope)
+        self.config.policy.number("dear_ratio", &scope)
     }
 
     pub(super) fn consolidates(&mut self) -> bool {
         let cluster = self.cluster();
-        self.cfg.policy.flag("consolidate", &cluster)
+        self.config.policy.flag("consolidate", &cluster)
     }
 }
--- a/crates/saltpitch-core/src/leader/preemption.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use super::service_order::Waiting;
-use super::{Aim, Job, Leader, Seen};
-use crate::cluster::JobNo;
-use crate::job::{JobSpec, Kind, Priority};
+use super::queue_order::QueuedJob;
+use super::{Job, ObjectiveTarget, ObservedState, Scheduler};
+use crate::cluster::JobNumber;
+use crate::job::{JobKind, JobSpec, Priority};
 use crate::preemption::{choose, loss, Victim};
 use crate::time::Micros;
 
@@ -18,31 +18,36 @@
 pub(super) const SEARCHES_PER_PASS: u32 = 3;
 
 /// How room for one task can be made on a machine.
-pub(super) struct RoomOption {
+pub(super) struct PreemptionOption {
     loss: u64,
     machine: Arc<str>,
-    victims: Vec<(JobNo, u32)>,
+    victims: Vec<(JobNumber, u32)>,
 }
 
-impl Leader {
+impl Scheduler {
     /// A replica starts at once where its image is, and only after a fetch elsewhere: once for each
     /// job, lesser work is stopped on machines that have the image. True while that room is awaited.
-    pub(super) fn clears_near_image(&mut self, w: Waiting, now: Micros) -> bool {
-        let Some(job) = self.jobs.get(&w.no) else {
+    pub(super) fn preempts_near_image(&mut self, w: QueuedJob, now: Micros) -> bool {
+        let Some(job) = self.jobs.get(&w.number) else {
             return false;
         };
         // Looked for again while there is hope: a fetch takes longer than that.
-        if let Some(until) = job.room_by {
-            let aims = self.classes.get(job.class).map_or(&[][..], |c| &c.aims);
+        if let Some(until) = job.room_awaited_until {
+            let objectives = self
+                .classes
+                .get(job.class)
+                .map_or(&[][..], |c| &c.objectives);
             // Where a fetch would be in time, there is no more to hope for than that.
             let fetch = (self.catalog.types.iter())
                 .filter(|t| job.spec.need.fits(&t.size) && !self.contested_for(&job.spec, &t.size))
                 .map(|t| t.fetch_time(job.spec.image_mb).times(1.3))
                 .min()
                 .unwrap_or_default();
-            let start = aims.iter().filter_map(|a| match a {
-                Aim::Wait(w) if fetch < *w => Some(w.since(fetch).since(Micros::from_secs(1))),
-                Aim::Wait(w) => Some(w.times(0.5)),
+            let start = objectives.iter().filter_map(|a| match a {
+                ObjectiveTarget::Started(w) if fetch < *w => {
+                    Some(w.since(fetch).since(Micros::from_secs(1)))
+                }
+                ObjectiveTarget::Started(w) => Some(w.times(0.5)),
                 _ => None,
             });
             let hope = start.min().unwrap_or(NEAR).min(NEAR);
@@ -52,16 +57,16 @@
         }
         let spec = job.spec.clone();
         let idle = job.idle.len() as u64;
-        let near = self.candidates(w.no, None, idle, now);
-        let has = |l: &Leader, name: &Arc<str>| {
-            let m = l.machines.get(name);
-            m.is_some_and(|m| m.has_image(&spec.image))
+        let near = self.candidates(w.number, None, idle, now);
+        let has = |l: &Scheduler, name: &Arc<str>| {
+            let machine = l.machines.get(name);
+            machine.is_some_and(|machine| machine.has_image(&spec.image))
         };
         let ready: u64 = near
             .iter()
             .filter(|name| has(self, name))
             .filter_map(|name| self.machines.get(name))
-            .map(|m| spec.need.count_in(&m.free()))
+            .map(|machine| spec.need.count_in(&machine.free()))
             .sum();
         let missing = idle.saturating_sub(ready) as usize;
         let mut options = Vec::new();
@@ -72,21 +77,21 @@
             options.truncate(missing);
         }
         let awaited = !options.is_empty();
-        if let Some(job) = self.jobs.get_mut(&w.no) {
-            job.room_by = Some(if awaited {
+        if let Some(job) = self.jobs.get_mut(&w.number) {
+            job.room_awaited_until = Some(if awaited {
                 now.plus(Micros::from_millis(700))
             } else {
                 now
             });
         }
         let victims = options.into_iter().flat_map(|o| o.victims).collect();
-        self.stop_victims(victims, true, now);
+        self.preempt_tasks(victims, true, now);
         awaited
     }
 
     /// Stops less urgent work for up to `left` tasks of this job, the cheapest loss first.
-    pub(super) fn preempt(&mut self, w: Waiting, left: u64, now: Micros) {
-        let Some(job) = self.jobs.get(&w.no) else {
+    pub(super) fn preempt(&mut self, w: QueuedJob, left: u64, now: Micros) {
+        let Some(job) = self.jobs.get(&w.number) else {
             return;
         };
         let spec = job.spec.clone();
@@ -102,11 +107,11 @@
         if spec.priority < Priority::High && !w.guaranteed && w.slack.is_none() {
             return;
         }
-        if self.searches == 0 {
+        if self.preemption_searches_left == 0 {
             return;
         }
-        self.searches -= 1;
-        let mut stops: Vec<(JobNo, u32)> = Vec::new();
+        self.preemption_searches_left -= 1;
+        let mut stops: Vec<(JobNumber, u32)> = Vec::new();
         let mut left = left;
         let mut options = self.preemption_options(w, &spec, now);
         options.sort_by_key(|o| o.loss);
@@ -119,21 +124,26 @@
         }
         // What was found is given time to show its effect; what was not may turn up elsewhere.
         // The more jobs wait, the later it is another one's turn.
-        let turn = 300 * (self.open.len() as u64 / 8).clamp(1, 8);
+        let turn = 300 * (self.unplaced_jobs.len() as u64 / 8).clamp(1, 8);
         let wait = if stops.is_empty() { turn } else { 2_000 };
-        if let Some(job) = self.jobs.get_mut(&w.no) {
+        if let Some(job) = self.jobs.get_mut(&w.number) {
             job.search_after = now.plus(Micros::from_millis(wait));
         }
         if stops.is_empty() {
             return;
         }
-        self.stop_victims(stops, spec.priority == Priority::Production, now);
+        self.preempt_tasks(stops, spec.priority == Priority::Production, now);
     }
 
     /// Stops these tasks, at once or with time to save.
-    pub(super) fn stop_victims(&mut self, stops: Vec<(JobNo, u32)>, at_once: bool, now: Micros) {
-        for (no, task) in stops {
-            let Some(victim) = self.jobs.get(&no) else {
+    pub(super) fn preempt_tasks(
+        &mut self,
+        stops: Vec<(JobNumber, u32)>,
+        at_once: bool,
+        now: Micros,
+    ) {
+        for (number, task) in stops {
+            let Some(victim) = self.jobs.get(&number) else {
                 continue;
             };
             let grace = if victim.spec.saves() && !at_once {
@@ -141,10 +151,10 @@
             } else {
                 Micros::ZERO
             };
-            if victim.spec.kind == Kind::Gang {
-                self.stop_gang(no, grace, now);
+            if victim.spec.kind == JobKind::Gang {
+                self.stop_whole_gang(number, grace, now);
             } else {
-                self.stop(no, task, grace, now);
+                self.stop(number, task, grace, now);
             }
         }
     }
@@ -153,14 +163,14 @@
     /// group a bounded part is looked at, and the next search goes on from there.
     pub(super) fn preemption_options(
         &mut self,
-        w: Waiting,
+        w: QueuedJob,
         spec: &JobSpec,
         now: Micros,
-    ) -> Vec<RoomOption> {
+    ) -> Vec<PreemptionOption> {
         let mut options = Vec::new();
         let mut looked: Vec<Arc<str>> = Vec::new();
-        for g in 0..self.fleet.groups.len() {
-            let group = &self.fleet.groups[g];
+        for g in 0..self.index.groups.len() {
+            let group = &self.index.groups[g];
             if !spec.need.fits(&group.kind.size)
                 || !spec.allows(&group.kind.name, &group.zone, group.spot)
                 || self.contested_for(spec, &group.kind.size)
@@ -168,48 +178,50 @@
             {
                 continue;
             }
-            let group = &mut self.fleet.groups[g];
+            let group = &mut self.index.groups[g];
             let part = group.next_part(MACHINES_PER_SEARCH);
             looked.extend(part);
         }
         self.steps += looked.len() as u64;
-        let Some(job) = self.jobs.get(&w.no) else {
+        let Some(job) = self.jobs.get(&w.number) else {
             return options;
         };
-        for m in looked.iter().filter_map(|n| self.machines.get(n)) {
-            if !m.takes_tasks()
-                || !Self::zone_allows(job, &m.zone)
-                || job.failures.avoids(&m.name, now)
+        for machine in looked.iter().filter_map(|n| self.machines.get(n)) {
+            if !machine.takes_tasks()
+                || !Self::zone_allows(job, &machine.zone)
+                || job.failures.avoids(&machine.name, now)
             {
                 continue;
             }
-            let mut free = m.free();
+            let mut free = machine.free();
             let mut victims = Vec::new();
-            for &(no, task) in &m.holds {
-                let Some(other) = self.jobs.get(&no) else {
+            for &(number, task) in &machine.allocations {
+                let Some(other) = self.jobs.get(&number) else {
                     continue;
                 };
-                let Some(place) = other.tasks[task as usize].place.as_ref() else {
+                let Some(allocation) = other.tasks[task as usize].allocation.as_ref() else {
                     continue;
                 };
-                if place.stop.is_some() {
+                if allocation.stop.is_some() {
                     free = free.plus(&other.spec.need);
                     continue;
                 }
-                if !self.may_stop(w, spec, other) {
+                if !self.may_preempt(w, spec, other) {
                     continue;
                 }
                 // A start that is undone soon counts for nothing, and neither does work that
                 // can't be saved: both are only worth it for urgent work and guarantees.
-                let settled = now.since(place.since) > Micros::from_secs(40)
+                let settled = now.since(allocation.since) > Micros::from_secs(40)
                     && other.spec.saves()
-                    && place.seen == Seen::Running;
+                    && allocation.observed == ObservedState::Running;
                 if spec.priority < Priority::High && !w.guaranteed && !settled {
                     continue;
                 }
-                let ran = match place.seen {
-                    Seen::Running => now.since(place.running_since.unwrap_or(place.since)),
-                    _ => now.since(place.since).times(0.2),
+                let ran = match allocation.observed {
+                    ObservedState::Running => {
+                        now.since(allocation.running_since.unwrap_or(allocation.since))
+                    }
+                    _ => now.since(allocation.since).times(0.2),
                 };
                 // Production waits for nobody's save: what is lost then is the time since the last
                 // checkpoint. Guests go first, whatever they lose: this cell's own work is never stopped
@@ -221,16 +233,16 @@
                     _ => ran,
                 };
                 victims.push(Victim {
-                    id: (no, task),
+                    id: (number, task),
                     need: other.spec.need,
                     loss: loss(other.spec.need.cpu, lost),
                 });
             }
             // No victims: room is being made here already, which covers one of the tasks.
             if let Some((loss, victims)) = choose(&spec.need, free, &mut victims) {
-                options.push(RoomOption {
+                options.push(PreemptionOption {
                     loss,
-                    machine: m.name.clone(),
+                    machine: machine.name.clone(),
                     victims,
                 });
             }
@@ -240,7 +252,7 @@
 
     /// The protocol's terms: higher priority over lower; a guarantee over what another team runs
     /// beyond its own.
-    pub(super) fn may_stop(&self, w: Waiting, spec: &JobSpec, other: &Job) -> bool {
+    pub(super) fn may_preempt(&self, w: QueuedJob, spec: &JobSpec, other: &Job) -> bool {
         // What borrows a machine with accelerators makes way for work that needs them, wherever it
         // stands in the order: it can't take that room back. A job counts as urgent as the most urgent
         // job that needs it, here as in the order of service: otherwise an early stage of an urgent
@@ -249,7 +261,7 @@
             return true;
         }
         // Only what is served later anyway: otherwise two jobs could stop each other in turn.
-        let own = self.jobs.get(&w.no).map_or(u8::MAX, |j| j.rank);
+        let own = self.jobs.get(&w.number).map_or(u8::MAX, |job| job.rank);
         if other.rank <= own {
             return false;
         }
--- a/crates/saltpitch-core/src/leader/boots.rs
+++ b/crates/saltpitch-core/src/scheduler/provisioning_times.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-use super::Leader;
+use super::Scheduler;
 use crate::catalog::MachineType;
-use crate::cluster::{Machine, Phase};
+use crate::cluster::{Machine, MachinePhase};
 use crate::time::Micros;
 
 /// A machine is overdue after this many times its type's boot time, unless others took longer.
@@ -15,7 +15,7 @@
 const MAX_RATIO: f64 = 4.0;
 /// Beyond the longest boot seen.
 const RATIO_MARGIN: f64 = 1.1;
-/// Until a machine that is up is heard, beyond the report interval.
+/// Until a machine that is up is heard, beyond the heartbeat interval.
 const FIRST_REPORT_MARGIN: Micros = Micros::from_secs(2);
 /// After this many times its boot time, and a while, a machine is given up whatever the others do.
 const GIVEN_UP_RATIO: f64 = 4.0;
@@ -30,7 +30,7 @@
 
 /// A machine that came up.
 #[derive(Clone, Copy, Debug)]
-struct Boot {
+struct Provisioned {
     ordered_at: Micros,
     up_at: Micros,
     /// How long it took, in boot times of its type.
@@ -39,125 +39,143 @@
 
 /// The machines that came up lately.
 #[derive(Debug, Default)]
-pub(super) struct BootTimes {
+pub(super) struct ProvisioningTimes {
     /// By type and zone.
-    seen: HashMap<(String, Arc<str>), VecDeque<Boot>>,
+    observed: HashMap<(String, Arc<str>), VecDeque<Provisioned>>,
 }
 
 /// What is known of one zone's machines that are on their way.
 #[derive(Clone, Copy, Debug, Default)]
-struct ZoneBoots {
+struct OverdueInZone {
     overdue: usize,
     /// When the first of the overdue machines was ordered.
     first_overdue: Micros,
 }
 
-impl BootTimes {
+impl ProvisioningTimes {
     /// A machine was heard for the first time.
     fn joined(&mut self, kind: &MachineType, zone: &Arc<str>, ordered_at: Micros, now: Micros) {
         let took = now.since(ordered_at);
         let ratio = took.as_secs_f64() / kind.boot.as_secs_f64().max(0.001);
-        let boots = self.seen.entry((kind.name.clone(), zone.clone()));
+        let boots = self.observed.entry((kind.name.clone(), zone.clone()));
         let boots = boots.or_default();
         if boots.len() >= REMEMBERED {
             boots.pop_front();
         }
-        boots.push_back(Boot {
+        boots.push_back(Provisioned {
             ordered_at,
             up_at: now,
             ratio,
         });
     }
 
-    fn lately(
+    fn recent(
         &self,
         kind: &MachineType,
         zone: &Arc<str>,
         now: Micros,
-    ) -> impl Iterator<Item = &Boot> {
-        let boots = self.seen.get(&(kind.name.clone(), zone.clone()));
-        let is_recent = move |boot: &&Boot| now.since(boot.up_at) < REMEMBERED_FOR;
+    ) -> impl Iterator<Item = &Provisioned> {
+        let boots = self.observed.get(&(kind.name.clone(), zone.clone()));
+        let is_recent = move |boot: &&Provisioned| now.since(boot.up_at) < REMEMBERED_FOR;
         boots.into_iter().flatten().filter(is_recent)
     }
 
     /// The time by which a machine of this kind is up.
     fn expected(&self, kind: &MachineType, zone: &Arc<str>, now: Micros) -> Micros {
-        let ratios = self.lately(kind, zone, now).map(|boot| boot.ratio);
+        let ratios = self.recent(kind, zone, now).map(|boot| boot.ratio);
         let longest = ratios.fold(USUAL_RATIO, f64::max).min(MAX_RATIO);
         kind.boot.times(longest * RATIO_MARGIN)
     }
 
     /// Whether a machine of this kind that was ordered later is up.
-    fn overtaken(&self, m: &Machine, now: Micros) -> bool {
-        let mut boots = self.lately(&m.kind, &m.zone, now);
-        boots.any(|boot| boot.ordered_at > m.born)
+    fn is_overtaken(&self, machine: &Machine, now: Micros) -> bool {
+        let mut boots = self.recent(&machine.kind, &machine.zone, now);
+        boots.any(|boot| boot.ordered_at > machine.created_at)
     }
 
     /// When the last of a zone's machines that came up had been ordered.
     fn last_ordered(&self, zone: &Arc<str>) -> Micros {
-        let of_zone = self.seen.iter().filter(|((_, z), _)| z == zone);
+        let of_zone = self.observed.iter().filter(|((_, z), _)| z == zone);
         let boots = of_zone.flat_map(|(_, boots)| boots);
         boots.map(|boot| boot.ordered_at).max().unwrap_or_default()
     }
 }
 
-impl Leader {
+impl Scheduler {
     /// A machine that this leader ordered is heard for the first time.
-    pub(super) fn note_boot(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(m) = self.machines.get(name) else {
+    pub(super) fn note_provisioned(&mut self, name: &Arc<str>, now: Micros) {
+        let Some(machine) = self.machines.get(name) else {
             return;
         };
         // Others may have been up for long, unheard by this leader.
-        if m.born > self.took_office && m.born < now {
-            self.boots.joined(&m.kind, &m.zone, m.born, now);
+        if machine.created_at > self.elected_at && machine.created_at < now {
+            self.provisioning_times
+                .joined(&machine.kind, &machine.zone, machine.created_at, now);
         }
     }
 
     /// Whether a machine that has not been heard should have been by now: it is no longer counted as room
     /// to come, and what it was ordered for is ordered elsewhere.
-    pub(super) fn is_overdue(&self, m: &Machine, now: Micros) -> bool {
-        let age = now.since(m.born);
+    pub(super) fn is_overdue(&self, machine: &Machine, now: Micros) -> bool {
+        let age = now.since(machine.created_at);
         // Most are not, and need no look at the others.
-        if m.phase != Phase::Unheard || age <= m.kind.boot.times(USUAL_RATIO) {
+        if machine.phase != MachinePhase::Unregistered
+            || age <= machine.kind.boot.times(USUAL_RATIO)
+        {
             return false;
         }
-        let expected = self.boots.expected(&m.kind, &m.zone, now);
-        let first_report = self.cfg.report.plus(FIRST_REPORT_MARGIN);
+        let expected = self
+            .provisioning_times
+            .expected(&machine.kind, &machine.zone, now);
+        let first_report = self.config.heartbeat_interval.plus(FIRST_REPORT_MARGIN);
         age > expected.plus(first_report)
     }
 
     /// Whether to give up a machine that has not been heard. As long as no later one of its kind is up,
     /// all of them may be late, and giving them up would only begin the wait anew.
-    pub(super) fn is_given_up(&self, m: &Machine, now: Micros) -> bool {
+    pub(super) fn is_given_up(&self, machine: &Machine, now: Micros) -> bool {
         // It may be up, and known to an earlier leader alone: it has to find this one first.
-        let settled = self.cfg.lease.plus(self.cfg.report.times(2.0));
-        let known_for = now.since(self.took_office);
-        if m.phase != Phase::Unheard || (m.born <= self.took_office && known_for < settled) {
+        let settled = self
+            .config
+            .lease
+            .plus(self.config.heartbeat_interval.times(2.0));
+        let known_for = now.since(self.elected_at);
+        if machine.phase != MachinePhase::Unregistered
+            || (machine.created_at <= self.elected_at && known_for < settled)
+        {
             return false;
         }
-        let limit = m.kind.boot.times(GIVEN_UP_RATIO).plus(GIVEN_UP_MARGIN);
-        let never = now.since(m.born) > limit;
-        never || (self.is_overdue(m, now) && self.boots.overtaken(m, now))
+        let limit = machine
+            .kind
+            .boot
+            .times(GIVEN_UP_RATIO)
+            .plus(GIVEN_UP_MARGIN);
+        let never = now.since(machine.created_at) > limit;
+        never
+            || (self.is_overdue(machine, now) && self.provisioning_times.is_overtaken(machine, now))
     }
 
     /// Zones in which machines are overdue and none that was ordered later has come up: a few are ordered
     /// there at a time, to see whether it boots again, and the others elsewhere.
     pub(super) fn stalled_zones(&self, now: Micros) -> Vec<Arc<str>> {
-        let mut zones: BTreeMap<&Arc<str>, ZoneBoots> = BTreeMap::new();
-        let coming = self.coming.iter().filter_map(|n| self.machines.get(n));
+        let mut zones: BTreeMap<&Arc<str>, OverdueInZone> = BTreeMap::new();
+        let coming = self
+            .provisioning
+            .iter()
+            .filter_map(|n| self.machines.get(n));
         // Machines of an earlier leader may be up.
-        let own = coming.filter(|m| m.born > self.took_office);
-        for m in own.filter(|m| self.is_overdue(m, now)) {
-            let zone = zones.entry(&m.zone).or_insert(ZoneBoots {
+        let own = coming.filter(|machine| machine.created_at > self.elected_at);
+        for machine in own.filter(|machine| self.is_overdue(machine, now)) {
+            let zone = zones.entry(&machine.zone).or_insert(OverdueInZone {
                 overdue: 0,
-                first_overdue: m.born,
+                first_overdue: machine.created_at,
             });
             zone.overdue += 1;
-            zone.first_overdue = zone.first_overdue.min(m.born);
+            zone.first_overdue = zone.first_overdue.min(machine.created_at);
         }
         let stalled = zones.into_iter().filter(|(zone, boots)| {
             boots.overdue >= OVERDUE_IN_STALLED_ZONE
-                && self.boots.last_ordered(zone) < boots.first_overdue
+                && self.provisioning_times.last_ordered(zone) < boots.first_overdue
         });
         stalled.map(|(zone, _)| zone.clone()).collect()
     }
--- a/crates/saltpitch-core/src/leader/rentals.rs
+++ b/crates/saltpitch-core/src/scheduler/scale_out.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use super::pools::Pool;
-use super::{Effect, Leader};
+use super::capacity_pools::CapacityPool;
+use super::{Effect, Scheduler};
 use crate::cluster::Machine;
 use crate::time::Micros;
 
@@ -13,7 +13,7 @@
 const RUSH: Micros = Micros::from_secs(10);
 /// Calls that production's machines get in one turn, where others get one.
 const PRODUCTION_CALLS: u32 = 3;
-/// The most machines of one rental.
+/// The most machines of one scale-out request.
 const RENTAL: u32 = 50;
 
 /// What the cloud refused, and until when not to ask again.
@@ -23,9 +23,9 @@
     pub times: u32,
 }
 
-/// A rental under way.
+/// A scale-out request under way.
 #[derive(Clone, Debug)]
-pub(super) struct Renting {
+pub(super) struct ScaleOutRequest {
     pub request: String,
     pub type_name: String,
     pub zone: String,
@@ -37,9 +37,9 @@
     pub after: Micros,
 }
 
-/// How a rental request ended.
+/// How a scale-out request request ended.
 #[derive(Clone, Debug)]
-pub enum Rented {
+pub enum ScaleOutOutcome {
     Machines(Vec<String>),
     NoCapacity,
     /// Refused without effect for another reason: throttled, outage, not sent.
@@ -48,16 +48,19 @@
     Unknown,
 }
 
-impl Leader {
+impl Scheduler {
     /// Plans the requests for the pools' new machines, by turns: calls are scarce, and a rush that
     /// takes dozens of them for one type must not keep others waiting for theirs. Production gets
     /// more calls than others in a turn.
-    pub(super) fn rent(&mut self, pools: &[Pool], now: Micros) {
+    pub(super) fn plan_scale_out(&mut self, pools: &[CapacityPool], now: Micros) {
         let mut planned = Vec::new();
         for p in pools.iter().filter(|p| p.new > 0) {
             let key = (p.kind.name.clone(), p.zone.to_string(), p.spot);
-            let lately = self.rents_asked.get(&key).filter(|a| now.since(a.1) < RUSH);
-            let before = lately.map_or(0, |a| a.0);
+            let recent = self
+                .recent_scale_outs
+                .get(&key)
+                .filter(|a| now.since(a.1) < RUSH);
+            let before = recent.map_or(0, |a| a.0);
             let weight = if p.production { PRODUCTION_CALLS } else { 1 };
             for call in 0..p.new.div_ceil(RENTAL).min(MAX_RENTS) {
                 let count = (p.new - call * RENTAL).min(RENTAL);
@@ -69,7 +72,7 @@
             // A request's name is never used again: the term is this leader's alone.
             let request = format!("t{}-{}", self.term, self.next_request);
             self.next_request += 1;
-            self.rents.push(Renting {
+            self.scale_out_requests.push(ScaleOutRequest {
                 request,
                 type_name: p.kind.name.clone(),
                 zone: p.zone.to_string(),
@@ -83,9 +86,11 @@
     }
 
     /// Asks for what was planned, as far as the cloud's rate goes.
-    pub(super) fn ask_for_rents(&mut self, now: Micros) {
-        let mut calls = self.rent_pace.level(self.cfg.rent_rate * 2.0, now);
-        for r in &mut self.rents {
+    pub(super) fn send_scale_outs(&mut self, now: Micros) {
+        let mut calls = self
+            .scale_out_budget
+            .level(self.config.scale_out_rate * 2.0, now);
+        for r in &mut self.scale_out_requests {
             if r.out || now < r.after {
                 continue;
             }
@@ -93,18 +98,18 @@
                 return;
             }
             calls -= 1.0;
-            self.rent_pace.spend(1.0);
+            self.scale_out_budget.spend(1.0);
             r.out = true;
             r.sent = true;
             let key = (r.type_name.clone(), r.zone.clone(), r.spot);
-            let asked = self.rents_asked.entry(key).or_default();
+            let asked = self.recent_scale_outs.entry(key).or_default();
             let before = if now.since(asked.1) < RUSH {
                 asked.0
             } else {
                 0
             };
             *asked = (before + 1, now);
-            self.effects.push(Effect::Rent {
+            self.effects.push(Effect::ScaleOut {
                 request: r.request.clone(),
                 type_name: r.type_name.clone(),
                 zone: r.zone.clone(),
@@ -114,16 +119,20 @@
         }
     }
 
-    /// The answer to [`Effect::Rent`].
-    pub fn rented(&mut self, request: &str, end: Rented, now: Micros) {
-        let Some(at) = self.rents.iter().position(|r| r.request == request) else {
+    /// The answer to [`Effect::ScaleOut`].
+    pub fn rented(&mut self, request: &str, end: ScaleOutOutcome, now: Micros) {
+        let Some(at) = self
+            .scale_out_requests
+            .iter()
+            .position(|r| r.request == request)
+        else {
             return;
         };
-        let r = self.rents[at].clone();
+        let r = self.scale_out_requests[at].clone();
         let key = (r.type_name.clone(), r.zone.clone(), r.spot);
         match end {
-            Rented::Machines(names) => {
-                self.rents.remove(at);
+            ScaleOutOutcome::Machines(names) => {
+                self.scale_out_requests.remove(at);
                 if (names.len() as u32) < r.count {
                     self.refuse(key, now);
                 } else {
@@ -138,18 +147,18 @@
                     if self.machines.contains_key(n.as_str()) {
                         continue;
                     }
-                    let mut m = Machine::new(&n, kind.clone(), zone.clone(), r.spot, "", now);
-                    self.blocks
-                        .changed(&mut m, now.plus(Micros::from_millis(300)));
-                    self.add_machine(m);
+                    let mut machine = Machine::new(&n, kind.clone(), zone.clone(), r.spot, "", now);
+                    self.machine_blocks
+                        .changed(&mut machine, now.plus(Micros::from_millis(300)));
+                    self.add_machine(machine);
                 }
             }
-            Rented::NoCapacity => {
-                self.rents.remove(at);
+            ScaleOutOutcome::NoCapacity => {
+                self.scale_out_requests.remove(at);
                 self.refuse(key, now);
             }
-            Rented::Later => {
-                self.rents.remove(at);
+            ScaleOutOutcome::Later => {
+                self.scale_out_requests.remove(at);
                 self.refusals.insert(
                     key,
                     Refusal {
@@ -158,8 +167,8 @@
                     },
                 );
             }
-            Rented::Unknown => {
-                if let Some(r) = self.rents.get_mut(at) {
+            ScaleOutOutcome::Unknown => {
+                if let Some(r) = self.scale_out_requests.get_mut(at) {
                     r.out = false;
                     r.after = now.plus(Micros::from_secs(2));
                 }
--- a/crates/saltpitch-core/src/leader/summary.rs
+++ b/crates/saltpitch-core/src/scheduler/summary.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::Leader;
+use super::Scheduler;
 use crate::catalog::Resources;
 
 /// The machines of one type, for the log.
@@ -25,20 +25,20 @@
     }
 }
 
-impl Leader {
+impl Scheduler {
     /// What the machines that are up give and how much of it is in use, by type.
     fn usage(&self) -> BTreeMap<&str, TypeUsage<'_>> {
         let mut by_type: BTreeMap<&str, TypeUsage> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.is_up()) {
-            let usage = by_type.entry(&m.kind.name).or_insert(TypeUsage {
-                name: &m.kind.name,
+        for machine in self.machines.values().filter(|machine| machine.is_up()) {
+            let usage = by_type.entry(&machine.kind.name).or_insert(TypeUsage {
+                name: &machine.kind.name,
                 machines: 0,
                 used: Resources::default(),
                 all: Resources::default(),
             });
             usage.machines += 1;
-            usage.used = usage.used.plus(&m.used);
-            usage.all = usage.all.plus(&m.kind.size);
+            usage.used = usage.used.plus(&machine.used);
+            usage.all = usage.all.plus(&machine.kind.size);
         }
         by_type
     }
@@ -48,15 +48,19 @@
         let idle: usize = self
             .jobs
             .values()
-            .filter(|j| j.active())
-            .map(|j| j.idle.len())
+            .filter(|job| job.active())
+            .map(|job| job.idle.len())
             .sum();
-        let placed: u32 = self.jobs.values().map(|j| j.placed).sum();
+        let placed: u32 = self.jobs.values().map(|job| job.placed).sum();
         let lost = self
             .machines
             .values()
-            .filter(|m| m.is_up() && !m.takes_tasks());
-        let up = self.machines.values().filter(|m| m.is_up()).count();
+            .filter(|machine| machine.is_up() && !machine.takes_tasks());
+        let up = self
+            .machines
+            .values()
+            .filter(|machine| machine.is_up())
+            .count();
         let room: Vec<String> = self.usage().values().map(TypeUsage::to_string).collect();
         format!(
             "term {} jobs {} waiting {} placed {} machines {} up {} ({} closed) [{}] dirty {} log {} free {} paused {}",
@@ -68,10 +72,10 @@
             up,
             lost.count(),
             room.join(", "),
-            self.dirty.len() + self.final_jobs.len() + self.blocks.dirty(),
-            self.log.next(),
-            self.log.room(),
-            self.paused
+            self.unsaved.len() + self.finished_jobs.len() + self.machine_blocks.unsaved(),
+            self.placement_log.next(),
+            self.placement_log.room(),
+            self.outcome_unknown
         )
     }
 }
--- a/crates/saltpitch-core/src/leader/transaction.rs
+++ b/crates/saltpitch-core/src/scheduler/transaction.rs
@@ -5,12 +5,12 @@
 
 use serde::Serialize;
 
-use super::{Leader, Place, Task, Write};
-use crate::cluster::JobNo;
+use super::{Allocation, Precondition, Scheduler, Task, Write};
+use crate::cluster::JobNumber;
 use crate::gang::Gang;
 use crate::job::JobState;
 use crate::records::{
-    chunk_key, job_key, log_key, ChunkRecord, Entry, JobRecord, LogRecord, PlaceRecord, CHUNK,
+    chunk_key, job_key, log_key, AllocationRecord, ChunkRecord, Entry, JobRecord, LogRecord, CHUNK,
     TERM_KEY,
 };
 use crate::time::Micros;
@@ -22,16 +22,17 @@
 
 /// What became of a transaction.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
-    Done(u64),
+pub enum TransactionOutcome {
+    /// Carried out, at this revision.
+    Committed(u64),
     /// These keys were not as expected.
-    Failed(Vec<String>),
+    Conflict(Vec<String>),
     /// Not carried out: refused, or no connection.
-    Refused,
+    Unavailable,
     /// Not carried out: more changes than the store takes now.
-    Throttled,
+    RateLimited,
     /// Never to be carried out as it stands: larger than the store takes.
-    Rejected,
+    TooLarge,
     /// No answer: it may have been carried out, or may yet be.
     Unknown,
 }
@@ -41,46 +42,46 @@
 
 /// The transaction under way.
 #[derive(Default)]
-pub(super) struct Pending {
+pub(super) struct TransactionContents {
     /// The segment's key and the tasks that it speaks of.
     pub segment: Option<u32>,
-    pub tasks: BTreeSet<(JobNo, u32)>,
-    pub chunks: Vec<(JobNo, u32)>,
-    pub finals: Vec<JobNo>,
-    pub blocks: Vec<(u32, Members)>,
-    pub leftovers: Vec<String>,
+    pub tasks: BTreeSet<(JobNumber, u32)>,
+    pub chunks: Vec<(JobNumber, u32)>,
+    pub finished: Vec<JobNumber>,
+    pub machine_blocks: Vec<(u32, Members)>,
+    pub obsolete_keys: Vec<String>,
 }
 
 /// Collects a transaction's parts within its limits.
-pub(super) struct Batch {
-    pub when: Vec<(String, u64)>,
+pub(super) struct TransactionBuilder {
+    pub preconditions: Vec<Precondition>,
     pub writes: Vec<Write>,
     bytes: usize,
     /// The most conditions, whatever the number of writes.
-    max_when: usize,
+    max_preconditions: usize,
 }
 
-impl Batch {
+impl TransactionBuilder {
     /// A transaction on condition of the term, with at most so many conditions.
-    pub fn new(term_revision: u64, max_when: usize) -> Batch {
-        Batch {
-            when: vec![(TERM_KEY.to_owned(), term_revision)],
+    pub fn new(term_revision: u64, max_preconditions: usize) -> TransactionBuilder {
+        TransactionBuilder {
+            preconditions: vec![Precondition::new(TERM_KEY, term_revision)],
             writes: Vec::new(),
             bytes: OVERHEAD_BYTES,
-            max_when,
+            max_preconditions,
         }
     }
 
     pub fn fits(&self, ops: usize, writes: usize, bytes: usize, max: usize) -> bool {
         self.writes.len() + writes <= ops
-            && self.when.len() + 2 * writes <= self.max_when
+            && self.preconditions.len() + 2 * writes <= self.max_preconditions
             && self.bytes + bytes <= max
     }
 
-    pub fn when(&mut self, key: String, rev: u64) {
-        if !self.when.iter().any(|w| w.0 == key) {
+    pub fn require(&mut self, key: String, revision: u64) {
+        if !self.preconditions.iter().any(|known| known.key == key) {
             self.bytes += key.len() + 40;
-            self.when.push((key, rev));
+            self.preconditions.push(Precondition { key, revision });
         }
     }
 
@@ -94,18 +95,18 @@
     serde_json::to_string(v).ok()
 }
 
-impl Leader {
+impl Scheduler {
     /// Adds the final records of jobs that are over.
     pub(super) fn add_finals(
         &mut self,
-        batch: &mut Batch,
-        pending: &mut Pending,
+        batch: &mut TransactionBuilder,
+        pending: &mut TransactionContents,
         ops: usize,
         max: usize,
     ) {
-        while let Some(&no) = self.final_jobs.first() {
-            let Some(job) = self.jobs.get(&no) else {
-                self.final_jobs.remove(&no);
+        while let Some(&number) = self.finished_jobs.first() {
+            let Some(job) = self.jobs.get(&number) else {
+                self.finished_jobs.remove(&number);
                 continue;
             };
             if !batch.fits(ops, 1, 400, max) {
@@ -117,89 +118,90 @@
             };
             let finished = job.done_at.map(|at| self.wall_offset.plus(at));
             let finished = finished.filter(|_| state == JobState::Done);
-            batch.when(job_key(&job.id), job.rev);
+            batch.require(job_key(&job.id), job.rev);
             batch.write(job_key(&job.id), json(&JobRecord::over(state, finished)));
-            self.final_jobs.remove(&no);
+            self.finished_jobs.remove(&number);
             for task in 0..job.spec.tasks {
-                self.dirty.remove(no, task);
+                self.unsaved.remove(number, task);
             }
-            pending.finals.push(no);
+            pending.finished.push(number);
         }
     }
 
     /// Adds a segment with all that is dirty, what is due first, as far as it goes in one value.
     pub(super) fn add_segment(
         &mut self,
-        batch: &mut Batch,
-        pending: &mut Pending,
+        batch: &mut TransactionBuilder,
+        pending: &mut TransactionContents,
         ops: usize,
         max: usize,
         now: Micros,
     ) {
-        if self.dirty.queue.first().is_none_or(|d| d.0 > now) {
+        if self.unsaved.queue.first().is_none_or(|d| d.0 > now) {
             return;
         }
         if !self.slot_is_free() {
-            self.log_state.blocked_since.get_or_insert(now);
+            self.placement_log_alerts.blocked_since.get_or_insert(now);
             return;
         }
-        self.log_state.blocked_since = None;
-        let limit = (self.cfg.value_bytes * 7 / 8)
+        self.placement_log_alerts.blocked_since = None;
+        let limit = (self.config.max_value_bytes * 7 / 8)
             .min(SEGMENT_BYTES)
             .min(max / 2);
-        let mut entries: BTreeMap<JobNo, Vec<Entry>> = BTreeMap::new();
+        let mut entries: BTreeMap<JobNumber, Vec<Entry>> = BTreeMap::new();
         let mut bytes = 60;
         // Placements are on condition of their job. The segment's own key and the other writes need
         // conditions as well.
         let spare = batch
-            .max_when
-            .saturating_sub(batch.when.len() + 2 * ops)
+            .max_preconditions
+            .saturating_sub(batch.preconditions.len() + 2 * ops)
             .max(1);
-        let mut placed: BTreeSet<JobNo> = BTreeSet::new();
-        while let Some(&(_, no, task)) = self.dirty.queue.first() {
-            let Some(job) = self.jobs.get_mut(&no) else {
-                self.dirty.remove(no, task);
+        let mut placed: BTreeSet<JobNumber> = BTreeSet::new();
+        while let Some(&(_, number, task)) = self.unsaved.queue.first() {
+            let Some(job) = self.jobs.get_mut(&number) else {
+                self.unsaved.remove(number, task);
                 continue;
             };
-            let head = if entries.contains_key(&no) {
+            let head = if entries.contains_key(&number) {
                 0
             } else {
                 job.id.len() + 8
             };
-            let places = job.tasks[task as usize].place.is_some() && !placed.contains(&no);
-            let name = job.tasks[task as usize].place.as_ref();
-            let size = name.map_or(0, |place| place.machine.len()) + 32;
-            if bytes + head + size > limit || (places && placed.len() >= spare) {
+            let allocations =
+                job.tasks[task as usize].allocation.is_some() && !placed.contains(&number);
+            let name = job.tasks[task as usize].allocation.as_ref();
+            let size = name.map_or(0, |allocation| allocation.machine.len()) + 32;
+            if bytes + head + size > limit || (allocations && placed.len() >= spare) {
                 break;
             }
-            if places {
-                placed.insert(no);
+            if allocations {
+                placed.insert(number);
             }
-            self.dirty.remove(no, task);
+            self.unsaved.remove(number, task);
             let entry = entry_of(task, &mut job.tasks[task as usize], job.gang);
             bytes += head + size;
-            entries.entry(no).or_default().push(entry);
-            pending.tasks.insert((no, task));
+            entries.entry(number).or_default().push(entry);
+            pending.tasks.insert((number, task));
         }
         if entries.is_empty() {
             return;
         }
         let mut rec = LogRecord {
-            no: self.log.next,
+            number: self.placement_log.next,
             entries: Vec::with_capacity(entries.len()),
         };
-        for (no, list) in entries {
-            if let Some(job) = self.jobs.get(&no) {
+        for (number, list) in entries {
+            if let Some(job) = self.jobs.get(&number) {
                 // Nothing is placed for a job that was cancelled meanwhile.
                 if list.iter().any(|e| !e.2.is_empty()) {
-                    batch.when(job_key(&job.id), job.rev);
+                    batch.require(job_key(&job.id), job.rev);
                 }
                 rec.entries.push((job.id.to_string(), list));
             }
         }
-        let slot = self.log.slot();
-        let rev = self.log.revs.get(&slot).copied().unwrap_or(0);
-        batch.when(log_key(slot), rev);
+        let slot = self.placement_log.slot();
+        let rev = self.placement_log.revs.get(&slot).copied().unwrap_or(0);
+        batch.require(log_key(slot), rev);
         batch.write(log_key(slot), json(&rec));
         pending.segment = Some(slot);
     }
@@ -207,74 +209,76 @@
     /// Adds checkpoints of what the oldest segments speak of, before these are overwritten.
     pub(super) fn add_checkpoints(
         &mut self,
-        batch: &mut Batch,
-        pending: &mut Pending,
+        batch: &mut TransactionBuilder,
+        pending: &mut TransactionContents,
         ops: usize,
         max: usize,
     ) {
-        self.forget_segments();
-        let upto = self.log.next - u64::from(pending.segment.is_none());
+        self.drop_obsolete_segments();
+        let upto = self.placement_log.next - u64::from(pending.segment.is_none());
         // Some way ahead of the segment that is overwritten next: what is placed in a rush and stays,
         // as services do, would otherwise need hundreds of checkpoints at once.
-        let ahead = self.log.next + self.log.ring / 4 + 1;
-        let old: Vec<(JobNo, u32)> = (self.log.live.iter())
-            .take_while(|(no, _)| **no + self.log.ring < ahead)
+        let ahead = self.placement_log.next + self.placement_log.ring / 4 + 1;
+        let old: Vec<(JobNumber, u32)> = (self.placement_log.live.iter())
+            .take_while(|(number, _)| **number + self.placement_log.ring < ahead)
             .take(64)
-            .flat_map(|(no, chunks)| chunks.iter().map(move |c| (*no, *c)))
-            .filter(|(no, (job, c))| self.needs(*no, *job, *c))
+            .flat_map(|(number, chunks)| chunks.iter().map(move |c| (*number, *c)))
+            .filter(|(number, (job, c))| self.dependencies(*number, *job, *c))
             .map(|(_, chunk)| chunk)
             .take(ops * 2)
             .collect();
-        for (no, c) in old {
-            if pending.chunks.contains(&(no, c)) || self.log.again.contains_key(&(no, c)) {
+        for (number, c) in old {
+            if pending.chunks.contains(&(number, c))
+                || self.placement_log.rewritten.contains_key(&(number, c))
+            {
                 continue;
             }
-            let Some(job) = self.jobs.get_mut(&no) else {
+            let Some(job) = self.jobs.get_mut(&number) else {
                 continue;
             };
             let lo = c * CHUNK;
             let hi = (lo + CHUNK).min(job.spec.tasks);
             let rec = chunk_record(&job.tasks[lo as usize..hi as usize], job.gang, upto);
             let Some(value) = json(&rec) else { continue };
-            if value.len() > self.cfg.value_bytes {
-                let from = self.log.next + u64::from(pending.segment.is_some());
+            if value.len() > self.config.max_value_bytes {
+                let from = self.placement_log.next + u64::from(pending.segment.is_some());
                 for (task, t) in (lo..hi).zip(&job.tasks[lo as usize..hi as usize]) {
                     if t.attempt > 0 || t.done {
-                        self.dirty.mark(no, task, self.polled_at);
+                        self.unsaved.mark(number, task, self.polled_at);
                     }
                 }
-                self.log.again.insert((no, c), from);
+                self.placement_log.rewritten.insert((number, c), from);
                 continue;
             }
             if !batch.fits(ops, 1, value.len() + 200, max) {
                 return;
             }
-            batch.when(job_key(&job.id), job.rev);
+            batch.require(job_key(&job.id), job.rev);
             let key = chunk_key(&job.id, c);
-            batch.when(key.clone(), job.chunks[c as usize].0);
+            batch.require(key.clone(), job.chunks[c as usize].0);
             batch.write(key, Some(value));
             for task in lo..hi {
                 // The checkpoint says it as well.
-                self.dirty.remove(no, task);
+                self.unsaved.remove(number, task);
                 entry_of(task, &mut job.tasks[task as usize], job.gang);
             }
-            pending.chunks.push((no, c));
+            pending.chunks.push((number, c));
         }
     }
 }
 
 /// A gang's members go on record at quorum, not before.
-fn on_record(place: &Place, gang: Gang) -> bool {
-    place.committed || !matches!(gang, Gang::Holding { .. })
+fn on_record(allocation: &Allocation, gang: Gang) -> bool {
+    allocation.committed || !matches!(gang, Gang::Holding { .. })
 }
 
 /// What the log says of a task; its place is part of the transaction from now on.
 fn entry_of(task: u32, t: &mut Task, gang: Gang) -> Entry {
     let mut entry = Entry(task, t.attempt, String::new(), 0, u8::from(t.done));
-    if let Some(place) = t.place.as_mut().filter(|p| on_record(p, gang)) {
-        place.in_txn = true;
-        entry.2 = place.machine.to_string();
-        entry.3 = place.session;
+    if let Some(allocation) = t.allocation.as_mut().filter(|p| on_record(p, gang)) {
+        allocation.in_transaction = true;
+        entry.2 = allocation.machine.to_string();
+        entry.3 = allocation.agent_epoch;
     }
     entry
 }
@@ -289,9 +293,12 @@
         if t.done {
             rec.add_done(i as u32);
         }
-        if let Some(p) = t.place.as_ref().filter(|p| on_record(p, gang)) {
-            rec.places
-                .push(PlaceRecord(i as u32, p.machine.to_string(), p.session));
+        if let Some(p) = t.allocation.as_ref().filter(|p| on_record(p, gang)) {
+            rec.allocations.push(AllocationRecord(
+                i as u32,
+                p.machine.to_string(),
+                p.agent_epoch,
+            ));
         }
     }
     rec
--- a/crates/saltpitch-core/tests/borrowing.rs
+++ b/crates/saltpitch-core/tests/accelerator_sharing.rs
@@ -21,12 +21,12 @@
         team.cpu_max = 0;
         team.gpu_max = 0;
     }
-    let harness = LeaderHarness::of(config, accelerators(), |_| {}, secs(0));
+    let harness = SchedulerHarness::of(config, accelerators(), |_| {}, secs(0));
     Site::of_type("accel", harness, 4)
 }
 
 fn training(tasks: u32) -> JobSpec {
-    let mut spec = spec(Kind::Gang, tasks, 2);
+    let mut spec = spec(JobKind::Gang, tasks, 2);
     spec.need.gpu = 2_000;
     spec
 }
@@ -48,7 +48,7 @@
         checkpoint: secs(10),
         save: secs(1),
         priority: Priority::Low,
-        ..spec(Kind::Array, 12, 2)
+        ..spec(JobKind::Array, 12, 2)
     };
     site.harness.submit("simulation", simulation);
     // Another one has its machines elsewhere, so that others only borrow here.
@@ -72,7 +72,7 @@
         checkpoint: secs(10),
         save: secs(1),
         priority: Priority::Low,
-        ..spec(Kind::Array, 4, 2)
+        ..spec(JobKind::Array, 4, 2)
     };
     for round in 0..6 {
         site.harness.submit(&format!("train-{round}"), training(4));
--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -1,12 +1,12 @@
 //! The controller's state machine: what heartbeats prove, what peers of either version are told, and
-//! until when a leader may answer workers.
+//! until when a leader may answer agents.
 
 mod harness;
 
 use std::sync::Arc;
 
-use harness::{catalog, config, job_key, secs, Config, JobRecord, JobSpec, JobState};
-use harness::{Kind, Micros, RawValue, View};
+use harness::{catalog, config, job_key, secs, JobRecord, JobSpec, JobState, SchedulerConfig};
+use harness::{JobKind, Micros, RawValue, RecordCache};
 use saltpitch_core::controller::{
     Candidacy, Controller, ControllerConfig, LossReason, Notice, PeerIdentity, StoreHealth,
 };
@@ -20,11 +20,11 @@
     last_success_at: Some(START),
 };
 
-fn scheduler_config() -> Config {
-    Config {
-        txn_ops: 8,
+fn scheduler_config() -> SchedulerConfig {
+    SchedulerConfig {
+        max_transaction_writes: 8,
         nodes: 2,
-        log_ring: 64,
+        log_segments: 64,
         teams: Vec::new(),
         objectives: Vec::new(),
         ..config()
@@ -32,7 +32,7 @@
 }
 
 /// A controller "n0" in the east with one peer "n1" in the west, and the revision of its records.
-fn controller(records: &[(&str, &str)]) -> Controller {
+fn controller(stored: &[(&str, &str)]) -> Controller {
     let config = ControllerConfig {
         knows_delegations: false,
         name: "n0".to_owned(),
@@ -44,13 +44,13 @@
         scheduler: scheduler_config(),
     };
     let mut controller = Controller::new(config, 7, 1);
-    let mut view = View::default();
-    for (key, value) in records {
-        view.put(key, &raw(value), 1).expect("readable");
+    let mut records = RecordCache::default();
+    for (key, value) in stored {
+        records.put(key, &raw(value), 1).expect("readable");
     }
-    view.rev = 1;
+    records.rev = 1;
     controller
-        .replace_records(view, START, START)
+        .replace_records(records, START, START)
         .expect("the present layout");
     controller.set_catalog(catalog());
     let announcement = controller.announcement().expect("not announced");
@@ -61,15 +61,17 @@
 /// The same, elected at [`START`].
 fn leader() -> Controller {
     let mut controller = controller(&[]);
-    let bid = controller.bid(START).expect("the leadership is vacant");
-    let writes = bid.writes.clone();
+    let campaign = controller
+        .campaign(START)
+        .expect("the leadership is vacant");
+    let writes = campaign.transaction.writes.clone();
     let changes = writes.into_iter().map(|write| RecordChange {
         value: write.value.as_deref().map(raw),
         key: write.key,
         revision: 2,
     });
     controller.apply_changes(1, changes, 2, START, START);
-    assert!(controller.elected(bid, 5, 2, START, START, START));
+    assert!(controller.elected(campaign, 5, 2, START, START, START));
     controller
 }
 
@@ -92,10 +94,10 @@
     }
 }
 
-fn open_zones(controller: &mut Controller, now: Micros) -> Vec<String> {
+fn reachable_zones(controller: &mut Controller, now: Micros) -> Vec<String> {
     controller.poll(now);
-    let leader = controller.leader().expect("leads");
-    leader.open_zones.iter().cloned().collect()
+    let leader = controller.scheduler().expect("leads");
+    leader.reachable_zones.iter().cloned().collect()
 }
 
 /// What lay in this process's sockets while it stood still is read late: an answer is as old as its
@@ -105,17 +107,17 @@
     let mut controller = leader();
     let epoch = controller.epoch();
     let woke = START.plus(secs(12));
-    controller.heartbeat_answered(status_of_peer(), START, epoch, woke);
-    assert_eq!(open_zones(&mut controller, woke), ["east"]);
+    controller.peer_heartbeat_answered(status_of_peer(), START, epoch, woke);
+    assert_eq!(reachable_zones(&mut controller, woke), ["east"]);
     // Nor does the peer's own heartbeat, which may have waited as long.
-    controller.heartbeat_received(status_of_peer(), DOWN, woke);
-    assert_eq!(open_zones(&mut controller, woke), ["east"]);
-    controller.heartbeat_answered(status_of_peer(), woke, epoch, woke);
-    assert_eq!(open_zones(&mut controller, woke), ["east", "west"]);
+    controller.peer_heartbeat_received(status_of_peer(), DOWN, woke);
+    assert_eq!(reachable_zones(&mut controller, woke), ["east"]);
+    controller.peer_heartbeat_answered(status_of_peer(), woke, epoch, woke);
+    assert_eq!(reachable_zones(&mut controller, woke), ["east", "west"]);
     // An older answer that comes late takes nothing back.
     let later = woke.plus(secs(1));
-    controller.heartbeat_received(status_of_peer(), DOWN, later);
-    assert_eq!(open_zones(&mut controller, later), ["east", "west"]);
+    controller.peer_heartbeat_received(status_of_peer(), DOWN, later);
+    assert_eq!(reachable_zones(&mut controller, later), ["east", "west"]);
 }
 
 /// An acknowledgement counts from its request, for the leadership that asked for it, and only if it comes
@@ -130,17 +132,17 @@
     assert!(controller.may_answer(end.since(Micros(1))));
     assert!(!controller.may_answer(end));
     let asked_at = START.plus(secs(10));
-    let heartbeat = controller.heartbeat("n1", DOWN, asked_at);
-    assert!(heartbeat.ack_request.is_some());
-    let mut answer = peer.heartbeat_received(heartbeat, DOWN, asked_at);
+    let peer_heartbeat = controller.peer_heartbeat("n1", DOWN, asked_at);
+    assert!(peer_heartbeat.ack_request.is_some());
+    let mut answer = peer.peer_heartbeat_received(peer_heartbeat, DOWN, asked_at);
     answer.node = "n1".to_owned();
     answer.term = 0;
     assert!(answer.ack.is_some());
     let read_at = asked_at.plus(secs(9));
     let other_epoch = epoch + 1;
-    controller.heartbeat_answered(answer.clone(), asked_at, other_epoch, read_at);
+    controller.peer_heartbeat_answered(answer.clone(), asked_at, other_epoch, read_at);
     assert!(!controller.may_answer(end));
-    controller.heartbeat_answered(answer, asked_at, epoch, read_at);
+    controller.peer_heartbeat_answered(answer, asked_at, epoch, read_at);
     assert!(controller.may_answer(asked_at.plus(bound).since(Micros(1))));
     assert!(!controller.may_answer(asked_at.plus(bound)));
 }
@@ -150,14 +152,14 @@
 fn only_a_process_that_has_read_the_records_acknowledges() {
     let config = controller(&[]).config().clone();
     let mut restarted = Controller::new(config, 8, 2);
-    let request = leader().heartbeat("n1", DOWN, START);
-    let answer = restarted.heartbeat_received(request, DOWN, START);
+    let request = leader().peer_heartbeat("n1", DOWN, START);
+    let answer = restarted.peer_heartbeat_received(request, DOWN, START);
     assert_eq!(answer.ack, None);
     assert_eq!(restarted.candidacy(START, 0), Candidacy::No);
 }
 
 fn one_task() -> JobSpec {
-    harness::spec(Kind::Array, 1, 1)
+    harness::spec(JobKind::Array, 1, 1)
 }
 
 fn cancelled_job(revision: u64) -> RecordChange {
@@ -177,7 +179,7 @@
 #[test]
 fn a_fresh_cancellation_is_not_hidden_from_a_leader_of_version_0() {
     let mut controller = controller(&[]);
-    let heartbeat = |version| PeerStatus {
+    let peer_heartbeat = |version| PeerStatus {
         protocol_version: version,
         ..status_of_peer()
     };
@@ -187,15 +189,15 @@
     };
     // Reading the records may have brought cancellations; long after that, nothing is fresh.
     let now = START.plus(secs(30));
-    let told = controller.heartbeat_received(heartbeat(0), store(START), now);
+    let told = controller.peer_heartbeat_received(peer_heartbeat(0), store(START), now);
     assert!(told.store_reachable);
-    let told = controller.heartbeat_received(heartbeat(0), store(now), now);
+    let told = controller.peer_heartbeat_received(peer_heartbeat(0), store(now), now);
     assert!(!told.store_reachable);
     controller.apply_own_write(&cancelled_job(2), now, now);
-    let told = controller.heartbeat_received(heartbeat(0), store(now), now);
+    let told = controller.peer_heartbeat_received(peer_heartbeat(0), store(now), now);
     assert!(told.store_reachable);
     // A peer of the present version is told the truth, and the cancellation itself.
-    let told = controller.heartbeat_received(heartbeat(1), store(now), now);
+    let told = controller.peer_heartbeat_received(peer_heartbeat(1), store(now), now);
     assert!(!told.store_reachable);
 }
 
@@ -208,9 +210,9 @@
         ..status_of_peer()
     };
     let epoch = controller.epoch();
-    controller.heartbeat_received(newer, DOWN, START);
+    controller.peer_heartbeat_received(newer, DOWN, START);
     assert!(!controller.may_answer(START));
-    assert!(controller.leader_in_epoch(epoch).is_none());
+    assert!(controller.scheduler_in_epoch(epoch).is_none());
     let lost = Notice::LeadershipLost {
         term: 1,
         reason: LossReason::NewerTerm,
@@ -228,8 +230,8 @@
         revision: 2,
     };
     controller.apply_changes(1, [change], 2, START, START);
-    assert!(!controller.view().jobs.contains_key("job-000009"));
-    assert_eq!(controller.view().rev, 2);
+    assert!(!controller.records().jobs.contains_key("job-000009"));
+    assert_eq!(controller.records().rev, 2);
     let notices = controller.take_notices();
     assert!(
         matches!(&notices[..], [Notice::UnreadableRecord { key, .. }] if key == "salt/j/job-000009"),
@@ -330,17 +332,23 @@
     }
 }
 
-/// What a controller answers users and takes over from the records, in an order of its own.
-fn summary(view: &View) -> Vec<String> {
-    let jobs = view.jobs.keys().map(|id| {
-        let (state, counts) = (view.state(id), view.counts(id));
+/// What a controller answers users and takes over from the records, in a command of its own.
+fn summary(records: &RecordCache) -> Vec<String> {
+    let jobs = records.jobs.keys().map(|id| {
+        let (state, counts) = (records.state(id), records.counts(id));
         format!("{id} {state:?} {counts:?}")
     });
-    let blocks = view.blocks.iter().map(|block| format!("{block:?}"));
-    let log = view.log.iter().map(|(slot, s)| format!("{slot} {}", s.no));
-    let mut all: Vec<String> = jobs.chain(blocks).chain(log).collect();
+    let machine_blocks = records
+        .machine_blocks
+        .iter()
+        .map(|block| format!("{block:?}"));
+    let log = records
+        .segments
+        .iter()
+        .map(|(slot, s)| format!("{slot} {}", s.number));
+    let mut all: Vec<String> = jobs.chain(machine_blocks).chain(log).collect();
     all.sort();
-    all.push(format!("segment {}", view.last_segment));
+    all.push(format!("segment {}", records.last_segment));
     all
 }
 
@@ -356,7 +364,7 @@
             history.change(&mut draw);
         }
         follower.apply_changes(1, history.since(1), history.revision(), START, START);
-        let mut view = View::default();
+        let mut records = RecordCache::default();
         let first_page = history.revision();
         let mut after = String::new();
         loop {
@@ -370,24 +378,24 @@
             let Some((last, _)) = page.last() else { break };
             after.clone_from(last);
             for (key, (revision, value)) in &page {
-                view.put(key, &raw(value), *revision).expect("readable");
+                records.put(key, &raw(value), *revision).expect("readable");
             }
             for _ in 0..draw.below(6) {
                 history.change(&mut draw);
             }
         }
-        view.rev = first_page;
+        records.rev = first_page;
         let mut late = controller(&[]);
-        late.replace_records(view, START, START)
+        late.replace_records(records, START, START)
             .expect("the present layout");
-        let from = late.view().rev;
+        let from = late.records().rev;
         late.apply_changes(from, history.since(from), history.revision(), START, START);
-        let from = follower.view().rev;
+        let from = follower.records().rev;
         follower.apply_changes(from, history.since(from), history.revision(), START, START);
-        assert_eq!(late.view().rev, follower.view().rev, "seed {seed}");
+        assert_eq!(late.records().rev, follower.records().rev, "seed {seed}");
         assert_eq!(
-            summary(late.view()),
-            summary(follower.view()),
+            summary(late.records()),
+            summary(follower.records()),
             "seed {seed}"
         );
     }
--- a/crates/saltpitch-core/tests/lending.rs
+++ b/crates/saltpitch-core/tests/delegation.rs
@@ -8,7 +8,7 @@
 use saltpitch_core::records::{Delegation, DelegationState, Guest};
 
 fn site(machines: u32) -> Site {
-    Site::new(LeaderHarness::new(|_| {}, secs(0)), machines)
+    Site::new(SchedulerHarness::new(|_| {}, secs(0)), machines)
 }
 
 fn runs_for_long(_: &str, _: u32, _: &str, ran: u64) -> Option<Cause> {
@@ -19,9 +19,9 @@
 fn write(site: &mut Site, id: &str, record: &JobRecord) {
     let harness = &mut site.harness;
     harness.rev += 1;
-    put(&mut harness.view, &job_key(id), record, harness.rev);
-    let (view, now) = (&harness.view, harness.now);
-    harness.leader.job_changed(view, id, now, now);
+    put(&mut harness.records, &job_key(id), record, harness.rev);
+    let (records, now) = (&harness.records, harness.now);
+    harness.scheduler.job_changed(records, id, now, now);
 }
 
 fn delegated(site: &Site, id: &str, state: DelegationState) -> JobRecord {
@@ -32,13 +32,13 @@
             state,
             cancel_requested: false,
         })),
-        ..site.harness.view.jobs[id].record.clone()
+        ..site.harness.records.jobs[id].record.clone()
     }
 }
 
 fn candidates(site: &Site) -> Vec<String> {
-    let leader = &site.harness.leader;
-    let found = leader.lending_candidates(secs(5), 10, site.harness.now);
+    let leader = &site.harness.scheduler;
+    let found = leader.delegation_candidates(secs(5), 10, site.harness.now);
     found.into_iter().map(|c| c.id.to_string()).collect()
 }
 
@@ -47,17 +47,25 @@
 #[test]
 fn a_reserved_job_is_not_placed_until_it_is_released() {
     let mut site = site(0);
-    site.harness.submit("job-1", spec(Kind::Array, 2, 2));
+    site.harness.submit("job-1", spec(JobKind::Array, 2, 2));
     site.steps(10, runs_for_long);
     assert_eq!(candidates(&site), ["job-1"]);
-    assert!(site.harness.leader.reserve_for_lending("job-1").is_some());
-    assert!(site.harness.leader.reserve_for_lending("job-1").is_none());
+    assert!(site
+        .harness
+        .scheduler
+        .reserve_for_delegation("job-1")
+        .is_some());
+    assert!(site
+        .harness
+        .scheduler
+        .reserve_for_delegation("job-1")
+        .is_none());
     site.join("vm-00", "east");
     site.steps(20, runs_for_long);
     assert_eq!(site.started("job-1"), 0);
     assert!(candidates(&site).is_empty());
     let now = site.harness.now;
-    site.harness.leader.release_reservation("job-1", now);
+    site.harness.scheduler.release_reservation("job-1", now);
     site.join("vm-01", "east");
     site.steps(10, runs_for_long);
     assert_eq!(site.started("job-1"), 2);
@@ -66,23 +74,31 @@
 #[test]
 fn what_is_placed_or_not_batch_work_is_no_candidate() {
     let mut site = site(1);
-    site.harness.submit("job-1", spec(Kind::Array, 2, 3));
+    site.harness.submit("job-1", spec(JobKind::Array, 2, 3));
     site.steps(10, runs_for_long);
     assert_eq!(site.started("job-1"), 2);
-    let mut service = spec(Kind::Service, 1, 8);
+    let mut service = spec(JobKind::Service, 1, 8);
     service.priority = Priority::Production;
     service.zone = Some("west".to_owned());
     site.harness.submit("job-2", service);
     site.steps(10, runs_for_long);
     assert!(candidates(&site).is_empty());
-    assert!(site.harness.leader.reserve_for_lending("job-1").is_none());
-    assert!(site.harness.leader.reserve_for_lending("job-2").is_none());
+    assert!(site
+        .harness
+        .scheduler
+        .reserve_for_delegation("job-1")
+        .is_none());
+    assert!(site
+        .harness
+        .scheduler
+        .reserve_for_delegation("job-2")
+        .is_none());
 }
 
 #[test]
 fn a_job_is_placed_only_while_its_record_says_that_it_is_here() {
     let mut site = site(0);
-    site.harness.submit("job-1", spec(Kind::Array, 2, 2));
+    site.harness.submit("job-1", spec(JobKind::Array, 2, 2));
     for state in [
         DelegationState::Offered,
         DelegationState::Accepted,
@@ -104,9 +120,9 @@
 #[test]
 fn a_job_that_was_done_elsewhere_releases_those_that_wait_for_it() {
     let mut site = site(0);
-    site.harness.submit("job-1", spec(Kind::Array, 2, 2));
-    let mut next = spec(Kind::Array, 1, 2);
-    next.needs = vec!["job-1".to_owned()];
+    site.harness.submit("job-1", spec(JobKind::Array, 2, 2));
+    let mut next = spec(JobKind::Array, 1, 2);
+    next.dependencies = vec!["job-1".to_owned()];
     site.harness.submit("job-2", next);
     let record = delegated(&site, "job-1", DelegationState::Running);
     write(&mut site, "job-1", &record);
@@ -124,7 +140,7 @@
             cell: "south".to_owned(),
             may_rent,
         })),
-        ..JobRecord::accepted(site.harness.now, Arc::new(spec(Kind::Array, 1, 4)))
+        ..JobRecord::accepted(site.harness.now, Arc::new(spec(JobKind::Array, 1, 4)))
     };
     write(site, id, &record);
 }
@@ -141,7 +157,7 @@
     );
     assert!(candidates(&site).is_empty(), "lent work is never lent on");
     // Room for one of the two beside a task of this cell's own.
-    let mut own = spec(Kind::Array, 1, 2);
+    let mut own = spec(JobKind::Array, 1, 2);
     own.priority = Priority::Low;
     site.harness.submit("job-1", own.clone());
     site.steps(3, runs_for_long);
--- a/crates/saltpitch-core/tests/delegation_records.rs
+++ b/crates/saltpitch-core/tests/delegation_records.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use saltpitch_core::catalog::Resources;
-use saltpitch_core::job::{JobSpec, JobState, Kind, Priority};
+use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::records::{
-    job_key, CancelStep, Delegation, DelegationState, Guest, JobRecord, NodeRecord, View,
+    job_key, CancelStep, Delegation, DelegationState, Guest, JobRecord, NodeRecord, RecordCache,
 };
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
@@ -14,7 +14,7 @@
     let spec = JobSpec {
         class: "night".to_owned(),
         team: "red".to_owned(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 2,
         need: Resources::default(),
@@ -29,7 +29,7 @@
         checkpoint: Micros::ZERO,
         save: Micros::ZERO,
         deadline: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     };
     JobRecord::accepted(Micros(7), Arc::new(spec))
 }
@@ -46,9 +46,11 @@
     }
 }
 
-fn put(view: &mut View, text: String, revision: u64) {
+fn put(records: &mut RecordCache, text: String, revision: u64) {
     let raw = RawValue::from_string(text).expect("JSON");
-    view.put(&job_key("job-1"), &raw, revision).expect("read");
+    records
+        .put(&job_key("job-1"), &raw, revision)
+        .expect("read");
 }
 
 /// What is stored is a published format: names may not change.
@@ -97,19 +99,19 @@
         r#"{"c":"south","n":2,"s":"damaged","w":3}"#,
     ];
     for damage in damages {
-        let mut view = View::default();
+        let mut records = RecordCache::default();
         put(
-            &mut view,
+            &mut records,
             format!("{},\"x\":{damage}}}", &plain[..plain.len() - 1]),
             1,
         );
-        assert_eq!(view.state("job-1"), Some(JobState::Active), "{damage}");
-        let record = &view.jobs["job-1"].record;
+        assert_eq!(records.state("job-1"), Some(JobState::Active), "{damage}");
+        let record = &records.jobs["job-1"].record;
         let state = record.delegation.as_ref().map(|d| d.state);
         assert_eq!(state, Some(DelegationState::Damaged), "{damage}");
         assert!(record.is_delegated());
         assert_eq!(record.cancel_step(), CancelStep::Await);
-        assert_eq!(view.delegated().collect::<Vec<_>>(), ["job-1"]);
+        assert_eq!(records.delegated().collect::<Vec<_>>(), ["job-1"]);
     }
 }
 
@@ -140,13 +142,17 @@
 
 #[test]
 fn the_view_follows_which_jobs_are_elsewhere() {
-    let mut view = View::default();
+    let mut records = RecordCache::default();
     let text = |record: &JobRecord| serde_json::to_string(record).expect("JSON");
-    put(&mut view, text(&delegated(DelegationState::Offered)), 1);
-    assert_eq!(view.delegated().count(), 1);
-    put(&mut view, text(&delegated(DelegationState::Returned)), 2);
-    assert_eq!(view.delegated().count(), 0);
-    put(&mut view, text(&delegated(DelegationState::Running)), 3);
-    put(&mut view, text(&JobRecord::over(JobState::Done, None)), 4);
-    assert_eq!(view.delegated().count(), 0);
+    put(&mut records, text(&delegated(DelegationState::Offered)), 1);
+    assert_eq!(records.delegated().count(), 1);
+    put(&mut records, text(&delegated(DelegationState::Returned)), 2);
+    assert_eq!(records.delegated().count(), 0);
+    put(&mut records, text(&delegated(DelegationState::Running)), 3);
+    put(
+        &mut records,
+        text(&JobRecord::over(JobState::Done, None)),
+        4,
+    );
+    assert_eq!(records.delegated().count(), 0);
 }
--- a/crates/saltpitch-core/tests/frame_samples.rs
+++ b/crates/saltpitch-core/tests/frame_samples.rs
@@ -144,8 +144,8 @@
         protocol_version: 0,
         ..plain_status()
     };
-    let heartbeat: PeerRequest = read(sample(&all, "ask-status-plain"));
-    assert_eq!(heartbeat, PeerRequest::Heartbeat(expected));
+    let peer_heartbeat: PeerRequest = read(sample(&all, "ask-status-plain"));
+    assert_eq!(peer_heartbeat, PeerRequest::Heartbeat(expected));
     for (name, message) in requests().into_iter().skip(2) {
         assert_eq!(read::<PeerRequest>(sample(&all, name)), message, "{name}");
     }
--- a/crates/saltpitch-core/tests/guests.rs
+++ b/crates/saltpitch-core/tests/guests.rs
@@ -16,7 +16,7 @@
         team.cpu_max = 0;
     }
     config.teams[1].cpu = 0;
-    Site::new(LeaderHarness::with(config, |_| {}, secs(0)), MACHINES)
+    Site::new(SchedulerHarness::with(config, |_| {}, secs(0)), MACHINES)
 }
 
 fn guest(tasks: u32) -> JobSpec {
@@ -24,7 +24,7 @@
         team: "blue".to_owned(),
         class: "guest".to_owned(),
         priority: Priority::Low,
-        ..spec(Kind::Array, tasks, 2)
+        ..spec(JobKind::Array, tasks, 2)
     }
 }
 
@@ -41,7 +41,7 @@
     site.harness.submit("guest", guest(25_000));
     site.steps(8, behaviour);
     assert_eq!(site.running("guest"), 48, "it takes what is left over");
-    site.harness.submit("own", spec(Kind::Array, 4, 2));
+    site.harness.submit("own", spec(JobKind::Array, 4, 2));
     site.steps(10, behaviour);
     assert_eq!(site.started("own"), 4);
     let stopped = site.stopped.get("guest").copied().unwrap_or(0);
@@ -62,7 +62,7 @@
         }
         site.step(behaviour);
     }
-    site.harness.submit("own", spec(Kind::Array, 4, 2));
+    site.harness.submit("own", spec(JobKind::Array, 4, 2));
     site.steps(10, behaviour);
     assert_eq!(site.started("own"), 4);
 }
@@ -77,7 +77,7 @@
         if second % 2 == 0 {
             let busy = JobSpec {
                 class: "busy".to_owned(),
-                ..spec(Kind::Array, 12, 2)
+                ..spec(JobKind::Array, 12, 2)
             };
             site.harness.submit(&format!("own-{second}"), busy);
         }
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A leader under test: its store takes every write at once, direct orders are lost before they are sent,
+//! A leader under test: its store takes every write at once, direct commands are lost before they are sent,
 //! and the test plays the machines.
 
 // Each test file uses a part of this.
@@ -10,16 +10,17 @@
 pub use std::sync::Arc;
 
 pub use saltpitch_core::catalog::{Catalog, MachineType, Resources};
-pub use saltpitch_core::cluster::{Cause, Order, Report, SeenTask, TaskState};
-pub use saltpitch_core::job::{JobSpec, JobState, Kind, Priority};
-pub use saltpitch_core::leader::{
-    Aim, Config, Effect, Leader, Objective, Ordered, Outcome, Rented, Write,
-};
+pub use saltpitch_core::cluster::{Cause, Command, Heartbeat, TaskState, TaskStatus};
+pub use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 pub use saltpitch_core::policy::Policy;
 pub use saltpitch_core::quota::TeamLimits;
 pub use saltpitch_core::records::{
-    block_key, chunk_key, job_key, log_key, BlockRecord, ChunkRecord, Entry, JobRecord, LogRecord,
-    MachineRecord, PlaceRecord, TermRecord, View, TERM_KEY,
+    block_key, chunk_key, job_key, log_key, AllocationRecord, BlockRecord, ChunkRecord, Entry,
+    JobRecord, LogRecord, MachineRecord, RecordCache, TermRecord, TERM_KEY,
+};
+pub use saltpitch_core::scheduler::{
+    CommandOutcome, Effect, Objective, ObjectiveTarget, ScaleOutOutcome, Scheduler,
+    SchedulerConfig, Transaction, TransactionOutcome, Write,
 };
 pub use saltpitch_core::Micros;
 pub use serde_json::value::{to_raw_value, RawValue};
@@ -28,22 +29,22 @@
     Micros::from_secs(s)
 }
 
-pub fn config() -> Config {
-    Config {
-        report: secs(2),
+pub fn config() -> SchedulerConfig {
+    SchedulerConfig {
+        heartbeat_interval: secs(2),
         lease: secs(14),
         gang_peer: secs(5),
         cancel: secs(44),
-        txn_ops: 16,
+        max_transaction_writes: 16,
         nodes: 3,
         calls: 24,
 
-        txn_bytes: 50_000,
+        max_transaction_bytes: 50_000,
         write_rate: 60.0,
         next_write_rate: 60.0,
-        value_bytes: 8 * 1024,
-        rent_rate: 5.0,
-        log_ring: 16,
+        max_value_bytes: 8 * 1024,
+        scale_out_rate: 5.0,
+        log_segments: 16,
         teams: ["red", "blue"]
             .iter()
             .map(|n| TeamLimits {
@@ -56,7 +57,7 @@
             .collect(),
         objectives: vec![Objective {
             class: "night".to_owned(),
-            aim: Aim::Finished(secs(200)),
+            target: ObjectiveTarget::Finished(secs(200)),
         }],
         guarantee_within: secs(15),
         policy: Policy::default(),
@@ -82,7 +83,7 @@
     })
 }
 
-pub fn spec(kind: Kind, tasks: u32, cpu: u64) -> JobSpec {
+pub fn spec(kind: JobKind, tasks: u32, cpu: u64) -> JobSpec {
     JobSpec {
         class: "night".to_owned(),
         team: "red".to_owned(),
@@ -105,35 +106,35 @@
         checkpoint: Micros::ZERO,
         save: Micros::ZERO,
         deadline: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
-pub fn put<T: serde::Serialize>(view: &mut View, key: &str, value: &T, rev: u64) {
+pub fn put<T: serde::Serialize>(records: &mut RecordCache, key: &str, value: &T, rev: u64) {
     let raw = to_raw_value(value).expect("json");
-    view.put(key, &raw, rev).expect("a record");
+    records.put(key, &raw, rev).expect("a record");
 }
 
 /// A record of a one-task job whose task is placed on `machine`.
-pub fn put_placed(view: &mut View, machine: &str) {
-    let rec = JobRecord::accepted(secs(900), Arc::new(spec(Kind::Array, 1, 2)));
-    put(view, &job_key("job-1"), &rec, 3);
+pub fn put_placed(records: &mut RecordCache, machine: &str) {
+    let rec = JobRecord::accepted(secs(900), Arc::new(spec(JobKind::Array, 1, 2)));
+    put(records, &job_key("job-1"), &rec, 3);
     let chunk = ChunkRecord {
         upto: 0,
         attempts: vec![1],
         done: Vec::new(),
-        places: vec![PlaceRecord(0, machine.to_owned(), 1)],
+        allocations: vec![AllocationRecord(0, machine.to_owned(), 1)],
     };
-    put(view, &chunk_key("job-1", 0), &chunk, 4);
+    put(records, &chunk_key("job-1", 0), &chunk, 4);
 }
 
 /// A leader with a store that takes every write at once.
-pub struct LeaderHarness {
-    pub view: View,
-    pub leader: Leader,
+pub struct SchedulerHarness {
+    pub records: RecordCache,
+    pub scheduler: Scheduler,
     pub now: Micros,
     pub rev: u64,
-    pub orders: Vec<(Arc<str>, Vec<Order>)>,
+    pub commands: Vec<(Arc<str>, Vec<Command>)>,
     pub returns: BTreeSet<String>,
     pub writes: usize,
     /// Of these, segments of the log.
@@ -144,7 +145,7 @@
     /// The cloud answers, and gives whatever it is asked for.
     pub cloud_answers: bool,
     /// The machines that it gave.
-    pub ordered: Vec<OrderedMachine>,
+    pub command_ended: Vec<OrderedMachine>,
 }
 
 /// A machine that the cloud gave.
@@ -155,50 +156,50 @@
     pub at: Micros,
 }
 
-impl LeaderHarness {
-    pub fn new(build: impl FnOnce(&mut View), old_silent_at: Micros) -> LeaderHarness {
-        LeaderHarness::with(config(), build, old_silent_at)
+impl SchedulerHarness {
+    pub fn new(build: impl FnOnce(&mut RecordCache), old_silent_at: Micros) -> SchedulerHarness {
+        SchedulerHarness::with(config(), build, old_silent_at)
     }
 
     pub fn with(
-        cfg: Config,
-        build: impl FnOnce(&mut View),
+        config: SchedulerConfig,
+        build: impl FnOnce(&mut RecordCache),
         old_silent_at: Micros,
-    ) -> LeaderHarness {
-        LeaderHarness::of(cfg, catalog(), build, old_silent_at)
+    ) -> SchedulerHarness {
+        SchedulerHarness::of(config, catalog(), build, old_silent_at)
     }
 
     pub fn of(
-        cfg: Config,
+        config: SchedulerConfig,
         catalog: Arc<Catalog>,
-        build: impl FnOnce(&mut View),
+        build: impl FnOnce(&mut RecordCache),
         old_silent_at: Micros,
-    ) -> LeaderHarness {
-        let mut view = View::default();
+    ) -> SchedulerHarness {
+        let mut records = RecordCache::default();
         let term = TermRecord {
             term: 5,
             node: "n0".to_owned(),
             incarnation: 1,
-            earlier_silent_at: Micros::ZERO,
+            earlier_leaders_fenced_at: Micros::ZERO,
         };
-        put(&mut view, TERM_KEY, &term, 1);
-        build(&mut view);
-        view.rev = 10;
+        put(&mut records, TERM_KEY, &term, 1);
+        build(&mut records);
+        records.rev = 10;
         let now = secs(1_000);
-        let leader = Leader::new(cfg, &view, catalog, old_silent_at, now, now);
-        LeaderHarness {
-            view,
-            leader,
+        let scheduler = Scheduler::new(config, &records, catalog, old_silent_at, now, now);
+        SchedulerHarness {
+            records,
+            scheduler,
             now,
             rev: 10,
-            orders: Vec::new(),
+            commands: Vec::new(),
             returns: BTreeSet::new(),
             writes: 0,
             segments: 0,
             rented: 0,
             asked: Vec::new(),
             cloud_answers: false,
-            ordered: Vec::new(),
+            command_ended: Vec::new(),
         }
     }
 
@@ -208,67 +209,77 @@
             match &write.value {
                 Some(value) => {
                     let raw = RawValue::from_string(value.clone()).expect("JSON");
-                    self.view.put(&write.key, &raw, self.rev).expect("readable");
+                    self.records
+                        .put(&write.key, &raw, self.rev)
+                        .expect("readable");
                 }
                 None => {
-                    self.view.delete(&write.key, self.rev);
+                    self.records.delete(&write.key, self.rev);
                 }
             }
         }
-        self.view.rev = self.rev;
+        self.records.rev = self.rev;
     }
 
     fn grant(&mut self, request: &str, zone: &str, count: u32) {
         let mut names = Vec::new();
         for _ in 0..count {
-            let name = format!("vm-r{:04}", self.ordered.len());
+            let name = format!("vm-r{:04}", self.command_ended.len());
             names.push(name.clone());
-            self.ordered.push(OrderedMachine {
+            self.command_ended.push(OrderedMachine {
                 name,
                 zone: zone.to_owned(),
                 at: self.now,
             });
         }
-        self.leader
-            .rented(request, Rented::Machines(names), self.now);
+        self.scheduler
+            .rented(request, ScaleOutOutcome::Machines(names), self.now);
     }
 
     pub fn submit(&mut self, id: &str, spec: JobSpec) {
         self.rev += 1;
         let rec = JobRecord::accepted(self.now, Arc::new(spec));
-        put(&mut self.view, &job_key(id), &rec, self.rev);
-        self.leader.job_changed(&self.view, id, self.now, self.now);
+        put(&mut self.records, &job_key(id), &rec, self.rev);
+        self.scheduler
+            .job_changed(&self.records, id, self.now, self.now);
     }
 
-    /// Lets time pass; transactions succeed, direct orders are lost before they are sent.
+    /// Lets time pass; transactions succeed, direct commands are lost before they are sent.
     pub fn pass(&mut self, wait: Micros) {
         let end = self.now.plus(wait);
         while self.now < end {
             self.now = self.now.plus(Micros::from_millis(100));
-            for e in self.leader.poll(self.now) {
+            for e in self.scheduler.poll(self.now) {
                 match e {
-                    Effect::Txn { writes, .. } => {
+                    Effect::Commit(Transaction { writes, .. }) => {
                         self.writes += writes.len();
                         let of_log = writes.iter().filter(|w| w.key.starts_with("salt/l/"));
                         self.segments += of_log.count();
                         self.rev += 1;
                         self.apply(&writes);
-                        self.leader.committed(Outcome::Done(self.rev), self.now);
+                        self.scheduler
+                            .committed(TransactionOutcome::Committed(self.rev), self.now);
                     }
-                    Effect::Orders {
+                    Effect::SendCommands {
                         machine,
-                        session,
-                        token,
-                        orders,
+                        agent_epoch,
+                        fencing_token,
+                        commands,
                         ..
                     } => {
-                        let starts = starts(&orders) > 0;
-                        self.orders.push((machine.clone(), orders));
-                        let end = Ordered::NotSent;
-                        self.leader
-                            .ordered(&machine, session, token, starts, end, self.now);
+                        let starts = starts(&commands) > 0;
+                        self.commands.push((machine.clone(), commands));
+                        let end = CommandOutcome::NotSent;
+                        self.scheduler.command_ended(
+                            &machine,
+                            agent_epoch,
+                            fencing_token,
+                            starts,
+                            end,
+                            self.now,
+                        );
                     }
-                    Effect::Rent {
+                    Effect::ScaleOut {
                         request,
                         count,
                         type_name,
@@ -281,10 +292,10 @@
                             self.grant(&request, &zone, count);
                         }
                     }
-                    Effect::Return { names } => {
+                    Effect::ScaleIn { names } => {
                         self.returns.extend(names.iter().map(|n| n.to_string()));
                         if self.cloud_answers {
-                            self.leader.returned(&names, self.now);
+                            self.scheduler.returned(&names, self.now);
                         }
                     }
                     _ => {}
@@ -293,36 +304,36 @@
         }
     }
 
-    pub fn report(
+    pub fn heartbeat(
         &mut self,
         machine: &str,
         zone: &str,
-        seq: u64,
-        tasks: &[SeenTask],
-    ) -> Vec<Order> {
-        self.leader
-            .report(report(machine, zone, seq, tasks), false, self.now)
+        sequence: u64,
+        tasks: &[TaskStatus],
+    ) -> Vec<Command> {
+        self.scheduler
+            .heartbeat(heartbeat(machine, zone, sequence, tasks), false, self.now)
             .expect("the report is answered")
     }
 }
 
-pub fn report(machine: &str, zone: &str, seq: u64, tasks: &[SeenTask]) -> Report {
-    Report {
+pub fn heartbeat(machine: &str, zone: &str, sequence: u64, tasks: &[TaskStatus]) -> Heartbeat {
+    Heartbeat {
         machine: machine.to_owned(),
         addr: machine.to_owned(),
         type_name: "plain".to_owned(),
         zone: zone.to_owned(),
         spot: false,
-        session: 1,
-        seq,
-        token: 5,
-        notice: None,
+        agent_epoch: 1,
+        sequence,
+        fencing_token: 5,
+        spot_notice: None,
         tasks: tasks.to_vec(),
     }
 }
 
-pub fn seen(job: &str, state: TaskState) -> SeenTask {
-    SeenTask {
+pub fn seen(job: &str, state: TaskState) -> TaskStatus {
+    TaskStatus {
         job: job.to_owned(),
         task: 0,
         attempt: 1,
@@ -330,15 +341,15 @@
     }
 }
 
-pub fn starts(orders: &[Order]) -> usize {
-    orders
+pub fn starts(commands: &[Command]) -> usize {
+    commands
         .iter()
-        .filter(|o| matches!(o, Order::Start { .. }))
+        .filter(|o| matches!(o, Command::Start { .. }))
         .count()
 }
 
-pub fn forgets(orders: &[Order]) -> bool {
-    orders.iter().any(|o| matches!(o, Order::Forget { .. }))
+pub fn forgets(commands: &[Command]) -> bool {
+    commands.iter().any(|o| matches!(o, Command::Forget { .. }))
 }
 
 pub const DONE: TaskState = TaskState::Exited {
--- a/crates/saltpitch-core/tests/harness/site.rs
+++ b/crates/saltpitch-core/tests/harness/site.rs
@@ -9,7 +9,7 @@
 
 /// A task on a machine, and for how many seconds it has run.
 struct OnMachine {
-    seen: SeenTask,
+    seen: TaskStatus,
     ran: u64,
 }
 
@@ -21,10 +21,10 @@
 
 /// A leader and its machines.
 pub struct Site {
-    pub harness: LeaderHarness,
+    pub harness: SchedulerHarness,
     type_name: &'static str,
     machines: BTreeMap<String, SiteMachine>,
-    seq: u64,
+    sequence: u64,
     /// Starts so far, by job.
     pub started: BTreeMap<String, u32>,
     /// Tasks that were told to stop, by job.
@@ -33,17 +33,17 @@
 
 impl Site {
     /// A site of `count` machines named `vm-00` and so on.
-    pub fn new(harness: LeaderHarness, count: u32) -> Site {
+    pub fn new(harness: SchedulerHarness, count: u32) -> Site {
         Site::of_type("plain", harness, count)
     }
 
     /// The same, all machines of this type.
-    pub fn of_type(type_name: &'static str, harness: LeaderHarness, count: u32) -> Site {
+    pub fn of_type(type_name: &'static str, harness: SchedulerHarness, count: u32) -> Site {
         let mut site = Site {
             harness,
             type_name,
             machines: BTreeMap::new(),
-            seq: 0,
+            sequence: 0,
             started: BTreeMap::new(),
             stopped: BTreeMap::new(),
         };
@@ -73,9 +73,9 @@
         self.machines.len()
     }
 
-    /// Lets every machine report once, and a second pass.
+    /// Lets every machine heartbeat once, and a second pass.
     pub fn step(&mut self, behaviour: Behaviour) {
-        self.seq += 1;
+        self.sequence += 1;
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
             self.report_of(&name, behaviour);
@@ -106,32 +106,36 @@
                 };
             }
         }
-        let seen: Vec<SeenTask> = tasks.iter().map(|t| t.seen.clone()).collect();
-        let report = Report {
+        let seen: Vec<TaskStatus> = tasks.iter().map(|t| t.seen.clone()).collect();
+        let heartbeat = Heartbeat {
             type_name: self.type_name.to_owned(),
-            ..report(name, &zone, self.seq, &seen)
+            ..heartbeat(name, &zone, self.sequence, &seen)
         };
         // A machine that was returned is heard no more.
-        let Ok(orders) = self.harness.leader.report(report, false, self.harness.now) else {
+        let Ok(commands) = self
+            .harness
+            .scheduler
+            .heartbeat(heartbeat, false, self.harness.now)
+        else {
             return;
         };
-        for order in orders {
+        for order in commands {
             self.carry_out(name, order);
         }
     }
 
-    fn carry_out(&mut self, name: &str, order: Order) {
+    fn carry_out(&mut self, name: &str, order: Command) {
         let tasks = &mut self.machines.get_mut(name).expect("a machine").tasks;
         let same = |t: &OnMachine, job: &str, task: u32, attempt: u32| {
             t.seen.job == job && t.seen.task == task && t.seen.attempt == attempt
         };
         match order {
-            Order::Start { job, task, attempt } => {
+            Command::Start { job, task, attempt } => {
                 if tasks.iter().any(|t| same(t, &job, task, attempt)) {
                     return;
                 }
                 *self.started.entry(job.to_string()).or_default() += 1;
-                let seen = SeenTask {
+                let seen = TaskStatus {
                     job: job.to_string(),
                     task,
                     attempt,
@@ -139,7 +143,7 @@
                 };
                 tasks.push(OnMachine { seen, ran: 0 });
             }
-            Order::Stop {
+            Command::Stop {
                 job, task, attempt, ..
             } => {
                 for t in tasks.iter_mut().filter(|t| same(t, &job, task, attempt)) {
@@ -152,7 +156,9 @@
                     }
                 }
             }
-            Order::Forget { job, task, attempt } => tasks.retain(|t| !same(t, &job, task, attempt)),
+            Command::Forget { job, task, attempt } => {
+                tasks.retain(|t| !same(t, &job, task, attempt))
+            }
         }
     }
 
--- a/crates/saltpitch-core/tests/failures.rs
+++ b/crates/saltpitch-core/tests/job_failures.rs
@@ -9,7 +9,7 @@
 const MACHINES: u32 = 12;
 
 /// Idle machines stay: what goes back does so because it seems to be at fault.
-fn patient() -> Config {
+fn patient() -> SchedulerConfig {
     let mut config = config();
     config.policy = Policy::parse("idle_keep_s = 80000").expect("a policy");
     config
@@ -19,7 +19,7 @@
     let mut config = patient();
     config.teams[0].cpu_max = 0;
     config.teams[1].cpu_max = 0;
-    Site::new(LeaderHarness::with(config, |_| {}, secs(0)), MACHINES)
+    Site::new(SchedulerHarness::with(config, |_| {}, secs(0)), MACHINES)
 }
 
 /// Everything of `bad` fails after two seconds, everything else is done after ten.
@@ -35,12 +35,12 @@
 #[test]
 fn an_array_with_a_mistake_is_tried_with_one_task_at_a_time() {
     let mut site = site();
-    site.harness.submit("bad", spec(Kind::Array, 2_000, 2));
+    site.harness.submit("bad", spec(JobKind::Array, 2_000, 2));
     site.steps(12, bad_job_fails);
     let at_first = site.started("bad");
     let rented = site.harness.rented;
     assert!(at_first >= 3, "{at_first} starts");
-    site.harness.submit("good", spec(Kind::Array, 40, 2));
+    site.harness.submit("good", spec(JobKind::Array, 40, 2));
     for _ in 0..120 {
         site.step(bad_job_fails);
         assert!(
@@ -65,19 +65,19 @@
 #[test]
 fn a_job_that_failed_for_a_passing_reason_recovers() {
     let mut site = site();
-    site.harness.submit("bad", spec(Kind::Array, 60, 2));
+    site.harness.submit("bad", spec(JobKind::Array, 60, 2));
     site.steps(40, bad_job_fails);
     assert!(site.running("bad") <= 1);
     site.steps(120, |_, _, _, ran| (ran >= 10).then_some(Cause::Done));
-    assert!(site.harness.leader.timeline("bad").is_some(), "it ended");
-    assert_eq!(site.harness.leader.used_by("red").cpu, 0);
+    assert!(site.harness.scheduler.timeline("bad").is_some(), "it ended");
+    assert_eq!(site.harness.scheduler.used_by("red").cpu, 0);
 }
 
 /// One index of an array fails everywhere: it alone waits, and nothing is rented for it.
 #[test]
 fn one_bad_index_holds_back_only_itself() {
     let mut site = site();
-    site.harness.submit("job", spec(Kind::Array, 200, 2));
+    site.harness.submit("job", spec(JobKind::Array, 200, 2));
     let index_3_fails = |_: &str, task: u32, _: &str, ran: u64| match task {
         3 => Some(Cause::Error),
         _ => (ran >= 10).then_some(Cause::Done),
@@ -89,7 +89,7 @@
     site.steps(60, index_3_fails);
     assert_eq!(site.harness.rented, rented, "nothing is rented for it");
     site.steps(90, |_, _, _, ran| (ran >= 10).then_some(Cause::Done));
-    assert!(site.harness.leader.timeline("job").is_some(), "it ended");
+    assert!(site.harness.scheduler.timeline("job").is_some(), "it ended");
 }
 
 /// The other indices of that array start as if it were not there.
@@ -97,7 +97,7 @@
 fn one_bad_index_does_not_delay_the_others() {
     let started = |behaviour: Behaviour| {
         let mut site = site();
-        site.harness.submit("job", spec(Kind::Array, 600, 2));
+        site.harness.submit("job", spec(JobKind::Array, 600, 2));
         site.steps(60, behaviour);
         site.started("job")
     };
@@ -116,7 +116,7 @@
 #[test]
 fn a_gang_with_a_mistake_backs_off_and_can_be_cancelled() {
     let mut site = site();
-    site.harness.submit("bad", spec(Kind::Gang, 4, 2));
+    site.harness.submit("bad", spec(JobKind::Gang, 4, 2));
     site.steps(120, bad_job_fails);
     let attempts = site.started("bad") / 4;
     assert!((4..=9).contains(&attempts), "{attempts} attempts");
@@ -125,11 +125,13 @@
         "{:?}",
         site.harness.returns
     );
-    site.harness.leader.called_off("bad", site.harness.now);
+    site.harness
+        .scheduler
+        .cancelled_by_peer("bad", site.harness.now);
     let before = site.started("bad");
     site.steps(90, bad_job_fails);
     assert_eq!(site.started("bad"), before, "nothing starts after that");
-    assert_eq!(site.harness.leader.used_by("red").cpu, 0);
+    assert_eq!(site.harness.scheduler.used_by("red").cpu, 0);
 }
 
 /// Replicas that fail everywhere don't take machines from anybody, however urgent they are.
@@ -140,13 +142,13 @@
         checkpoint: secs(5),
         save: secs(1),
         priority: Priority::Low,
-        ..spec(Kind::Array, MACHINES * 4, 2)
+        ..spec(JobKind::Array, MACHINES * 4, 2)
     };
     site.harness.submit("long", saves);
     site.steps(10, |_, _, _, _| None);
     let urgent = JobSpec {
         priority: Priority::Production,
-        ..spec(Kind::Service, 6, 2)
+        ..spec(JobKind::Service, 6, 2)
     };
     site.harness.submit("bad", urgent);
     let replicas_fail = |job: &str, _: u32, _: &str, _: u64| (job == "bad").then_some(Cause::Error);
@@ -168,7 +170,7 @@
     };
     for job in 0..4 {
         site.harness
-            .submit(&format!("job-{job}"), spec(Kind::Array, 60, 2));
+            .submit(&format!("job-{job}"), spec(JobKind::Array, 60, 2));
     }
     site.steps(60, one_fails);
     let returned: Vec<&String> = site.harness.returns.iter().collect();
@@ -178,18 +180,21 @@
 /// A new leader knows from the attempts on record that none of the array's tasks completed.
 #[test]
 fn a_new_leader_does_not_try_a_mistaken_array_whole_again() {
-    let recorded = |view: &mut View| {
-        let job = JobRecord::accepted(secs(900), std::sync::Arc::new(spec(Kind::Array, 100, 2)));
-        put(view, &job_key("bad"), &job, 3);
+    let recorded = |records: &mut RecordCache| {
+        let job = JobRecord::accepted(secs(900), std::sync::Arc::new(spec(JobKind::Array, 100, 2)));
+        put(records, &job_key("bad"), &job, 3);
         let chunk = ChunkRecord {
             upto: 0,
             attempts: vec![5; 32],
             done: Vec::new(),
-            places: Vec::new(),
+            allocations: Vec::new(),
         };
-        put(view, &chunk_key("bad", 0), &chunk, 4);
+        put(records, &chunk_key("bad", 0), &chunk, 4);
     };
-    let mut site = Site::new(LeaderHarness::with(patient(), recorded, secs(0)), MACHINES);
+    let mut site = Site::new(
+        SchedulerHarness::with(patient(), recorded, secs(0)),
+        MACHINES,
+    );
     for _ in 0..30 {
         site.step(bad_job_fails);
         assert!(
--- a/crates/saltpitch-core/tests/large_site.rs
+++ b/crates/saltpitch-core/tests/large_site.rs
@@ -8,29 +8,29 @@
 const SMALL: u64 = 500;
 const LARGE: u64 = 4_500;
 
-/// A report's interval, as on the operators' large sites.
+/// A heartbeat's interval, as on the operators' large sites.
 const REPORT: u64 = 8;
 
-fn large_config() -> Config {
+fn large_config() -> SchedulerConfig {
     let mut config = config();
-    config.report = secs(REPORT);
+    config.heartbeat_interval = secs(REPORT);
     config.lease = secs(36);
     config.cancel = secs(66);
     config.calls = 128;
-    config.txn_ops = 48;
+    config.max_transaction_writes = 48;
     config.write_rate = 200.0;
-    config.value_bytes = 32 * 1024;
-    config.log_ring = 2_048;
+    config.max_value_bytes = 32 * 1024;
+    config.log_segments = 2_048;
     config.teams[0].cpu_max = 0;
     config
 }
 
 /// Machines in two zones, each with one task that runs for ever.
 struct LargeSite {
-    harness: LeaderHarness,
+    harness: SchedulerHarness,
     machines: u64,
-    seq: u64,
-    running: Vec<Option<SeenTask>>,
+    sequence: u64,
+    running: Vec<Option<TaskStatus>>,
 }
 
 fn zone_of(machine: u64) -> &'static str {
@@ -45,13 +45,13 @@
     /// All machines have come up, and each has its task.
     fn started(machines: u64) -> LargeSite {
         let mut site = LargeSite {
-            harness: LeaderHarness::with(large_config(), |_| {}, secs(0)),
+            harness: SchedulerHarness::with(large_config(), |_| {}, secs(0)),
             machines,
-            seq: 0,
+            sequence: 0,
             running: vec![None; machines as usize],
         };
         site.report_all(|_| true);
-        let job = spec(Kind::Array, machines as u32, 8);
+        let job = spec(JobKind::Array, machines as u32, 8);
         site.harness.submit("job-0", job);
         for _ in 0..4 {
             site.report_all(|_| true);
@@ -60,35 +60,35 @@
         assert_eq!(placed, machines, "every machine has its task");
         for job in 1..31 {
             site.harness
-                .submit(&format!("job-{job}"), spec(Kind::Array, 4, 4));
+                .submit(&format!("job-{job}"), spec(JobKind::Array, 4, 4));
         }
         site.report_all(|_| true);
         site
     }
 
-    /// One interval in which the machines report that `reaches` names, spread over it.
+    /// One interval in which the machines heartbeat that `reaches` names, spread over it.
     fn report_all(&mut self, reaches: fn(u64) -> bool) {
-        self.seq += 1;
+        self.sequence += 1;
         let slots = REPORT * 10;
         for slot in 0..slots {
             for machine in (0..self.machines).filter(|m| m % slots == slot && reaches(*m)) {
-                self.report(machine);
+                self.heartbeat(machine);
             }
             self.harness.pass(Micros::from_millis(100));
         }
     }
 
-    fn report(&mut self, machine: u64) {
-        let tasks: Vec<SeenTask> = self.running[machine as usize].iter().cloned().collect();
+    fn heartbeat(&mut self, machine: u64) {
+        let tasks: Vec<TaskStatus> = self.running[machine as usize].iter().cloned().collect();
         let name = format!("vm-{machine:05}");
-        let report = report(&name, zone_of(machine), self.seq, &tasks);
+        let heartbeat = heartbeat(&name, zone_of(machine), self.sequence, &tasks);
         let now = self.harness.now;
-        let Ok(orders) = self.harness.leader.report(report, false, now) else {
+        let Ok(commands) = self.harness.scheduler.heartbeat(heartbeat, false, now) else {
             return;
         };
-        for order in orders {
-            if let Order::Start { job, task, attempt } = order {
-                self.running[machine as usize] = Some(SeenTask {
+        for order in commands {
+            if let Command::Start { job, task, attempt } = order {
+                self.running[machine as usize] = Some(TaskStatus {
                     job: job.to_string(),
                     task,
                     attempt,
@@ -101,15 +101,15 @@
     /// Another controller takes over with the records as they are.
     fn change_leader(&mut self) {
         let now = self.harness.now;
-        let (view, catalog) = (&self.harness.view, catalog());
-        self.harness.leader = Leader::new(large_config(), view, catalog, now, now, now);
+        let (records, catalog) = (&self.harness.records, catalog());
+        self.harness.scheduler = Scheduler::new(large_config(), records, catalog, now, now, now);
     }
 
     /// Machines and jobs looked at in one interval, for each machine.
     fn steps_per_machine(&mut self, reaches: fn(u64) -> bool) -> f64 {
-        let before = self.harness.leader.steps();
+        let before = self.harness.scheduler.steps();
         self.report_all(reaches);
-        (self.harness.leader.steps() - before) as f64 / self.machines as f64
+        (self.harness.scheduler.steps() - before) as f64 / self.machines as f64
     }
 }
 
@@ -134,8 +134,8 @@
     assert_scales("a new leader", |site| {
         site.change_leader();
         let steps = site.steps_per_machine(|_| true);
-        let heard = site.harness.leader.heard(site.harness.now);
-        assert_eq!(heard.1 as u64, site.machines, "all are heard");
+        let counts = site.harness.scheduler.agent_counts(site.harness.now);
+        assert_eq!(counts.heard as u64, site.machines, "all are heard");
         steps
     });
 }
--- a/crates/saltpitch-core/tests/limits.rs
+++ b/crates/saltpitch-core/tests/limits.rs
@@ -8,13 +8,14 @@
 
 use harness::secs;
 use saltpitch_core::catalog::{Catalog, Resources};
-use saltpitch_core::cluster::Report;
-use saltpitch_core::job::{JobSpec, JobState, Kind, Priority};
-use saltpitch_core::leader::{
-    Config, Effect, Fault, Leader, ListedMachine, Ordered, Outcome, Write,
-};
+use saltpitch_core::cluster::Heartbeat;
+use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::records::{
-    block_key, job_key, BlockRecord, JobRecord, MachineRecord, TermRecord, View, TERM_KEY,
+    block_key, job_key, BlockRecord, JobRecord, MachineRecord, RecordCache, TermRecord, TERM_KEY,
+};
+use saltpitch_core::scheduler::{
+    Alert, CommandOutcome, Effect, ListedMachine, Precondition, Scheduler, SchedulerConfig,
+    TransactionOutcome, Write,
 };
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
@@ -22,14 +23,14 @@
 const VALUE: usize = 1_024;
 const OPS: usize = 4;
 
-fn config() -> Config {
+fn config() -> SchedulerConfig {
     let mut team = harness::config().teams.remove(0);
     (team.cpu, team.cpu_max) = (0, 0);
-    Config {
-        txn_ops: OPS,
+    SchedulerConfig {
+        max_transaction_writes: OPS,
         next_write_rate: 6.0,
-        value_bytes: VALUE,
-        log_ring: 64,
+        max_value_bytes: VALUE,
+        log_segments: 64,
         teams: vec![team],
         objectives: Vec::new(),
         ..harness::config()
@@ -46,7 +47,7 @@
     JobSpec {
         class: "batch".to_owned(),
         team: "red".to_owned(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks,
         need: Resources {
@@ -65,7 +66,7 @@
         checkpoint: Micros::ZERO,
         save: Micros::ZERO,
         deadline: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -73,8 +74,8 @@
 struct LimitedStore {
     keys: BTreeMap<String, (u64, String)>,
     rev: u64,
-    view: View,
-    leader: Leader,
+    records: RecordCache,
+    scheduler: Scheduler,
     now: Micros,
     rejected: usize,
     throttled: usize,
@@ -88,15 +89,15 @@
         LimitedStore::with(config(), stored)
     }
 
-    fn with(cfg: Config, stored: &[(String, String)]) -> LimitedStore {
+    fn with(config: SchedulerConfig, stored: &[(String, String)]) -> LimitedStore {
         let term = TermRecord {
             term: 5,
             node: "n0".to_owned(),
             incarnation: 1,
-            earlier_silent_at: Micros::ZERO,
+            earlier_leaders_fenced_at: Micros::ZERO,
         };
         let mut keys = BTreeMap::new();
-        let mut view = View::default();
+        let mut records = RecordCache::default();
         let term = (
             TERM_KEY.to_owned(),
             serde_json::to_string(&term).expect("json"),
@@ -104,16 +105,16 @@
         for (key, value) in stored.iter().chain([&term]) {
             keys.insert(key.clone(), (1, value.clone()));
             let raw = RawValue::from_string(value.clone()).expect("json");
-            view.put(key, &raw, 1).expect("readable");
+            records.put(key, &raw, 1).expect("readable");
         }
-        view.rev = 1;
+        records.rev = 1;
         let now = secs(1_000);
-        let leader = Leader::new(cfg, &view, catalog(), secs(0), now, now);
+        let scheduler = Scheduler::new(config, &records, catalog(), secs(0), now, now);
         LimitedStore {
             keys,
             rev: 1,
-            view,
-            leader,
+            records,
+            scheduler,
             now,
             rejected: 0,
             throttled: 0,
@@ -122,11 +123,11 @@
         }
     }
 
-    fn store(&mut self, when: &[(String, u64)], writes: &[Write]) -> Outcome {
+    fn store(&mut self, preconditions: &[Precondition], writes: &[Write]) -> TransactionOutcome {
         let large = |w: &Write| w.value.as_ref().is_some_and(|v| v.len() > VALUE);
-        if writes.len() > OPS || when.len() > 4 * OPS || writes.iter().any(large) {
+        if writes.len() > OPS || preconditions.len() > 4 * OPS || writes.iter().any(large) {
             self.rejected += 1;
-            return Outcome::Rejected;
+            return TransactionOutcome::TooLarge;
         }
         let second = self.now.0 / 1_000_000;
         if self.taken.0 != second {
@@ -134,11 +135,11 @@
         }
         if self.rate.is_some_and(|r| self.taken.1 + writes.len() > r) {
             self.throttled += 1;
-            return Outcome::Throttled;
+            return TransactionOutcome::RateLimited;
         }
         self.taken.1 += writes.len();
-        for (key, rev) in when {
-            assert_eq!(self.keys.get(key).map_or(0, |k| k.0), *rev, "{key}");
+        for Precondition { key, revision } in preconditions {
+            assert_eq!(self.keys.get(key).map_or(0, |k| k.0), *revision, "{key}");
         }
         self.rev += 1;
         for w in writes {
@@ -146,15 +147,15 @@
                 Some(v) => {
                     self.keys.insert(w.key.clone(), (self.rev, v.clone()));
                     let raw = RawValue::from_string(v.clone()).expect("json");
-                    self.view.put(&w.key, &raw, self.rev).expect("readable");
+                    self.records.put(&w.key, &raw, self.rev).expect("readable");
                 }
                 None => {
                     self.keys.remove(&w.key);
-                    self.view.delete(&w.key, self.rev);
+                    self.records.delete(&w.key, self.rev);
                 }
             }
         }
-        Outcome::Done(self.rev)
+        TransactionOutcome::Committed(self.rev)
     }
 
     fn submit(&mut self, id: &str, spec: JobSpec) {
@@ -174,52 +175,62 @@
         };
         // The users' part of the rate is not what is tested here.
         (self.rate, self.taken) = (None, (0, 0));
-        assert!(matches!(self.store(&[], &[write]), Outcome::Done(_)));
+        assert!(matches!(
+            self.store(&[], &[write]),
+            TransactionOutcome::Committed(_)
+        ));
         self.taken = (0, 0);
-        self.leader.job_changed(&self.view, id, self.now, self.now);
+        self.scheduler
+            .job_changed(&self.records, id, self.now, self.now);
     }
 
-    /// A second passes; these machines report. `check` is called after each write.
-    fn second(&mut self, machines: &[String], seq: u64, check: &dyn Fn(&LimitedStore)) {
+    /// A second passes; these machines heartbeat. `check` is called after each write.
+    fn second(&mut self, machines: &[String], sequence: u64, check: &dyn Fn(&LimitedStore)) {
         for m in machines {
-            let r = Report {
+            let r = Heartbeat {
                 machine: m.clone(),
                 addr: "10.1.0.100:9000".to_owned(),
                 type_name: "plain".to_owned(),
                 zone: "east".to_owned(),
                 spot: false,
-                session: 1,
-                seq,
-                token: 5,
-                notice: None,
+                agent_epoch: 1,
+                sequence,
+                fencing_token: 5,
+                spot_notice: None,
                 tasks: Vec::new(),
             };
-            let _ = self.leader.report(r, false, self.now);
+            let _ = self.scheduler.heartbeat(r, false, self.now);
         }
         for _ in 0..20 {
             self.now = self.now.plus(Micros::from_millis(50));
-            for e in self.leader.poll(self.now) {
+            for e in self.scheduler.poll(self.now) {
                 match e {
-                    Effect::Txn { when, writes } => {
-                        let end = self.store(&when, &writes);
-                        self.leader.committed(end, self.now);
+                    Effect::Commit(transaction) => {
+                        let end = self.store(&transaction.preconditions, &transaction.writes);
+                        self.scheduler.committed(end, self.now);
                         check(self);
                     }
-                    Effect::Refresh => {
-                        let (now, view) = (self.now, &self.view);
-                        self.leader.refreshed(Some(view), now, now);
+                    Effect::ReloadRecords => {
+                        let (now, records) = (self.now, &self.records);
+                        self.scheduler.refreshed(Some(records), now, now);
                     }
-                    Effect::Orders {
+                    Effect::SendCommands {
                         machine,
-                        session,
-                        token,
+                        agent_epoch,
+                        fencing_token,
                         ..
                     } => {
-                        let (now, end) = (self.now, Ordered::NotSent);
-                        self.leader
-                            .ordered(&machine, session, token, false, end, now);
+                        let (now, end) = (self.now, CommandOutcome::NotSent);
+                        self.scheduler.command_ended(
+                            &machine,
+                            agent_epoch,
+                            fencing_token,
+                            false,
+                            end,
+                            now,
+                        );
                     }
-                    Effect::Return { names } => self.leader.returned(&names, self.now),
+                    Effect::ScaleIn { names } => self.scheduler.returned(&names, self.now),
                     _ => {}
                 }
             }
@@ -250,13 +261,16 @@
     let failed = names[7].clone();
     let there = |d: &LimitedStore| {
         for n in names.iter().filter(|n| **n != failed) {
-            let blocks = d.view.blocks.values();
-            let holding = blocks.filter(|b| b.1.machines.iter().any(|m| m.0 == *n));
+            let machine_blocks = d.records.machine_blocks.values();
+            let holding = machine_blocks.filter(|b| b.1.machines.iter().any(|m| m.0 == *n));
             assert!(holding.count() >= 1, "{n} is not on record");
-            assert!(!d.view.gone.contains(n), "{n} counts as returned");
+            assert!(
+                !d.records.returned_machines.contains(n),
+                "{n} counts as returned"
+            );
         }
         // Whoever takes over now has each of them once.
-        let next = Leader::new(config(), &d.view, catalog(), secs(0), d.now, d.now);
+        let next = Scheduler::new(config(), &d.records, catalog(), secs(0), d.now, d.now);
         let all = next.summary();
         assert!(
             all.contains("machines 59") || all.contains("machines 60"),
@@ -274,12 +288,12 @@
                 failed: true,
                 age: secs(100),
             };
-            d.leader.listed(&[gone], &|_| false, d.now);
+            d.scheduler.listed(&[gone], &|_| false, d.now);
         }
         d.second(&names, s + 1, &there);
     }
     assert!((1..=2).contains(&d.rejected), "{} turned down", d.rejected);
-    assert!(d.view.gone.contains(&failed));
+    assert!(d.records.returned_machines.contains(&failed));
     for (key, (_, value)) in d.keys.iter().filter(|k| k.0.starts_with("salt/b/")) {
         assert!(value.len() <= VALUE, "{key} has {} bytes", value.len());
     }
@@ -298,11 +312,11 @@
         d.second(&names, s + 3, &|_| {});
     }
     let placed = |d: &LimitedStore| {
-        let tasks = &d.view.tasks["job-1"].tasks;
-        tasks.iter().filter(|t| t.place.is_some()).count()
+        let tasks = &d.records.tasks["job-1"].tasks;
+        tasks.iter().filter(|t| t.allocation.is_some()).count()
     };
     assert_eq!(placed(&d), 100);
-    let first = d.view.last_segment;
+    let first = d.records.last_segment;
     for s in 0..400u64 {
         d.submit(&format!("job-{}", s + 10), spec(1));
         if s >= 2 {
@@ -310,18 +324,18 @@
         }
         d.second(&names, s + 20, &|d: &LimitedStore| {
             // Read anew from what the store holds, as a node does that has just started.
-            let mut fresh = View::default();
+            let mut fresh = RecordCache::default();
             for (key, (rev, value)) in &d.keys {
                 let raw = RawValue::from_string(value.clone()).expect("json");
                 fresh.put(key, &raw, *rev).expect("readable");
             }
             let tasks = &fresh.tasks["job-1"].tasks;
-            let known = tasks.iter().filter(|t| t.place.is_some()).count();
+            let known = tasks.iter().filter(|t| t.allocation.is_some()).count();
             assert_eq!(known, 100, "places are missing");
         });
     }
     assert_eq!(d.rejected, 0);
-    let (last, all) = (d.view.last_segment, d.leader.summary());
+    let (last, all) = (d.records.last_segment, d.scheduler.summary());
     assert!(
         last > first + 150,
         "the ring stood still: {first} to {last}, {all}"
@@ -359,9 +373,9 @@
 #[test]
 fn a_log_that_the_limits_make_too_small_is_told() {
     let names: Vec<String> = (100..130).map(|n| format!("vm-{n:06}")).collect();
-    let mut cfg = config();
-    cfg.log_ring = 16;
-    let mut d = LimitedStore::with(cfg, &[]);
+    let mut config = config();
+    config.log_segments = 16;
+    let mut d = LimitedStore::with(config, &[]);
     d.second(&names, 1, &|_| {});
     d.second(&names, 2, &|_| {});
     d.submit("job-1", spec(100));
@@ -373,19 +387,19 @@
         }
         d.second(&names, s + 3, &|_| {});
         let now = d.now;
-        told.extend(d.leader.take_faults(now));
+        told.extend(d.scheduler.take_alerts(now));
     }
     let nearly = told
         .iter()
-        .position(|f| matches!(f, Fault::LogNearlyFull { .. }));
-    let full = told.iter().position(|f| matches!(f, Fault::LogFull { .. }));
+        .position(|f| matches!(f, Alert::LogNearlyFull { .. }));
+    let full = told.iter().position(|f| matches!(f, Alert::LogFull { .. }));
     assert!(nearly.is_some() && full > nearly, "{told:?}");
     // Told twice a minute at the most.
     assert!(told.len() <= 7, "{told:?}");
 }
 
-/// Found in an incident: every new leader reported a full log, since what checkpoints already held counted
-/// as needed until its first write. A leader that takes over a log in good order has nothing to report.
+/// Found in an incident: every new leader sent a heartbeat a full log, since what checkpoints already held counted
+/// as needed until its first write. A leader that takes over a log in good order has nothing to heartbeat.
 #[test]
 fn a_new_leader_does_not_report_a_log_in_good_order_as_full() {
     let names: Vec<String> = (100..104).map(|n| format!("vm-{n:06}")).collect();
@@ -398,11 +412,11 @@
         d.second(&names, s + 1, &|_| {});
     }
     assert!(
-        d.view.last_segment > 2 * config().log_ring,
+        d.records.last_segment > 2 * config().log_segments,
         "the ring went round"
     );
-    assert!(d.leader.take_faults(d.now).is_empty());
-    let mut next = Leader::new(config(), &d.view, catalog(), d.now, d.now, d.now);
-    let faults = next.take_faults(d.now);
+    assert!(d.scheduler.take_alerts(d.now).is_empty());
+    let mut next = Scheduler::new(config(), &d.records, catalog(), d.now, d.now, d.now);
+    let faults = next.take_alerts(d.now);
     assert!(faults.is_empty(), "{faults:?}");
 }
--- a/crates/saltpitch-core/tests/boots.rs
+++ b/crates/saltpitch-core/tests/provisioning_times.rs
@@ -20,18 +20,25 @@
     fn new() -> Cloud {
         let mut config = config();
         config.teams[0].cpu_max = 0;
-        let mut harness = LeaderHarness::with(config, |_| {}, secs(0));
+        let mut harness = SchedulerHarness::with(config, |_| {}, secs(0));
         harness.cloud_answers = true;
         Cloud {
             site: Site::new(harness, 0),
         }
     }
 
-    /// Lets seconds pass; machines that have booted report, tasks run for ever.
+    /// Lets seconds pass; machines that have booted heartbeat, tasks run for ever.
     fn seconds(&mut self, count: u64, boots: Boots) {
         for _ in 0..count {
             let now = self.site.harness.now;
-            for (number, machine) in self.site.harness.ordered.clone().into_iter().enumerate() {
+            for (number, machine) in self
+                .site
+                .harness
+                .command_ended
+                .clone()
+                .into_iter()
+                .enumerate()
+            {
                 let took = boots(number, &machine.zone).map(secs);
                 if took.is_some_and(|took| now >= machine.at.plus(took)) {
                     self.site.join(&machine.name, &machine.zone);
@@ -41,12 +48,12 @@
         }
     }
 
-    fn ordered(&self) -> usize {
-        self.site.harness.ordered.len()
+    fn command_ended(&self) -> usize {
+        self.site.harness.command_ended.len()
     }
 
     fn ordered_in(&self, zone: &str) -> usize {
-        let all = self.site.harness.ordered.iter();
+        let all = self.site.harness.command_ended.iter();
         all.filter(|m| m.zone == zone).count()
     }
 }
@@ -55,7 +62,7 @@
 fn replicas(count: u32) -> JobSpec {
     JobSpec {
         priority: Priority::Production,
-        ..spec(Kind::Service, count, 8)
+        ..spec(JobKind::Service, count, 8)
     }
 }
 
@@ -68,19 +75,19 @@
     let all_but_one: Boots = |machine, _| (machine != 3).then_some(BOOT);
     cloud.seconds(14, all_but_one);
     // Found with this test: those that had just come up were ordered once more.
-    assert_eq!(cloud.ordered(), 10);
+    assert_eq!(cloud.command_ended(), 10);
     cloud.seconds(10, all_but_one);
-    assert_eq!(cloud.ordered(), 11, "ordered again");
+    assert_eq!(cloud.command_ended(), 11, "ordered again");
     cloud.seconds(16, all_but_one);
-    let lost = cloud.site.harness.ordered[3].name.clone();
+    let lost = cloud.site.harness.command_ended[3].name.clone();
     assert!(
         cloud.site.harness.returns.contains(&lost),
         "it costs no more"
     );
-    assert_eq!(cloud.ordered(), 11, "once");
+    assert_eq!(cloud.command_ended(), 11, "once");
 }
 
-/// In one zone nothing boots: after the first machines there are overdue, orders go elsewhere but for
+/// In one zone nothing boots: after the first machines there are overdue, commands go elsewhere but for
 /// two at a time, which show when it boots again.
 #[test]
 fn orders_leave_a_zone_where_nothing_boots() {
@@ -107,7 +114,7 @@
     cloud.site.harness.submit("web", replicas(10));
     let late: Boots = |_, _| Some(3 * BOOT);
     cloud.seconds(36, late);
-    let first: Vec<String> = cloud.site.harness.ordered[..10]
+    let first: Vec<String> = cloud.site.harness.command_ended[..10]
         .iter()
         .map(|m| m.name.clone())
         .collect();
@@ -119,7 +126,7 @@
         .iter()
         .all(|name| !first.contains(name)));
     // What was ordered twice meanwhile is bounded.
-    assert!(cloud.ordered() <= 24, "{}", cloud.ordered());
+    assert!(cloud.command_ended() <= 24, "{}", cloud.command_ended());
 }
 
 /// A machine that comes up after it was given up is not used and not forgotten: its return is repeated
@@ -130,19 +137,19 @@
     cloud.site.harness.submit("web", replicas(6));
     let one_very_late: Boots = |machine, _| Some(if machine == 2 { 33 } else { BOOT });
     cloud.seconds(30, one_very_late);
-    let late = cloud.site.harness.ordered[2].clone();
+    let late = cloud.site.harness.command_ended[2].clone();
     cloud.seconds(40, one_very_late);
-    let report = report(&late.name, &late.zone, 1_000, &[]);
+    let heartbeat = heartbeat(&late.name, &late.zone, 1_000, &[]);
     let answer = cloud
         .site
         .harness
-        .leader
-        .report(report, false, cloud.site.harness.now);
+        .scheduler
+        .heartbeat(heartbeat, false, cloud.site.harness.now);
     assert!(cloud.site.harness.returns.contains(&late.name));
     assert!(answer.is_err(), "{answer:?}");
 }
 
-/// The incident: a leader that is cut off from its workers does not rent for the room that it no longer
+/// The incident: a leader that is cut off from its agents does not rent for the room that it no longer
 /// sees. Without that it ordered hundreds of machines in the seconds before it resigned.
 #[test]
 fn a_leader_cut_off_from_its_workers_rents_nothing() {
@@ -154,8 +161,12 @@
     let silent_second = |cloud: &mut Cloud| {
         cloud.site.harness.pass(secs(1));
         let now = cloud.site.harness.now;
-        for machine in cloud.site.harness.ordered.clone() {
-            cloud.site.harness.leader.probe_failed(&machine.name, now);
+        for machine in cloud.site.harness.command_ended.clone() {
+            cloud
+                .site
+                .harness
+                .scheduler
+                .probe_failed(&machine.name, now);
         }
     };
     for _ in 0..5 {
@@ -165,7 +176,7 @@
     cloud
         .site
         .harness
-        .submit("batch", spec(Kind::Array, 400, 4));
+        .submit("batch", spec(JobKind::Array, 400, 4));
     for _ in 0..8 {
         silent_second(&mut cloud);
     }
@@ -185,9 +196,9 @@
     // A processor is left over on each machine.
     let job = JobSpec {
         priority: Priority::Production,
-        ..spec(Kind::Service, 1_000, 7)
+        ..spec(JobKind::Service, 1_000, 7)
     };
     cloud.site.harness.submit("web", job);
     cloud.seconds(9, |_, _| None);
-    assert_eq!(cloud.ordered(), 1_000);
+    assert_eq!(cloud.command_ended(), 1_000);
 }
--- a/crates/saltpitch-core/tests/record_samples.rs
+++ b/crates/saltpitch-core/tests/record_samples.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
-use saltpitch_core::job::{JobSpec, JobState, Kind, Priority};
+use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::records::{
-    block_key, chunk_key, job_key, log_key, node_key, BlockRecord, ChunkRecord, Entry, JobRecord,
-    LeaderRecord, LogRecord, MachineRecord, NodeRecord, PlaceRecord, TermRecord, View, CATALOG_KEY,
-    LEADER_KEY, TERM_KEY,
+    block_key, chunk_key, job_key, log_key, node_key, AllocationRecord, BlockRecord, ChunkRecord,
+    Entry, JobRecord, LeaderRecord, LogRecord, MachineRecord, NodeRecord, RecordCache, TermRecord,
+    CATALOG_KEY, LEADER_KEY, TERM_KEY,
 };
 use saltpitch_core::Micros;
 use serde::Serialize;
@@ -33,7 +33,7 @@
     JobSpec {
         class: "train".to_owned(),
         team: "red".to_owned(),
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         priority: Priority::High,
         tasks: 2,
         need: Resources {
@@ -52,40 +52,40 @@
         checkpoint: Micros::from_secs(30),
         save: Micros::from_secs(4),
         deadline: Some(Micros::from_secs(900)),
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
 fn waiting_array_spec() -> JobSpec {
     JobSpec {
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         types: None,
         zone: Some("east".to_owned()),
         one_zone: false,
         deadline: None,
-        needs: vec!["job-000001".to_owned(), "job-000002".to_owned()],
+        dependencies: vec!["job-000001".to_owned(), "job-000002".to_owned()],
         ..gang_spec()
     }
 }
 
 fn service_spec() -> JobSpec {
     JobSpec {
-        kind: Kind::Service,
+        kind: JobKind::Service,
         priority: Priority::Production,
         spread: true,
         spot: false,
         estimate: Micros::ZERO,
         checkpoint: Micros::ZERO,
         save: Micros::ZERO,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
         ..waiting_array_spec()
     }
 }
 
 fn low_priority_spec() -> JobSpec {
     JobSpec {
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Low,
         spread: false,
         ..service_spec()
@@ -134,7 +134,7 @@
         term: 4,
         node: "n1".to_owned(),
         incarnation: 9,
-        earlier_silent_at: TIME,
+        earlier_leaders_fenced_at: TIME,
     };
     let leader = LeaderRecord {
         node: "n1".to_owned(),
@@ -148,7 +148,7 @@
     let mut shortened = cancelled.clone();
     shortened.shorten();
     let segment = LogRecord {
-        no: 2_055,
+        number: 2_055,
         entries: vec![
             (
                 "job-000001".to_owned(),
@@ -167,11 +167,11 @@
         upto: 2_056,
         attempts: vec![1, 2],
         done: Vec::new(),
-        places: vec![PlaceRecord(1, "vm-000002".to_owned(), 3)],
+        allocations: vec![AllocationRecord(1, "vm-000002".to_owned(), 3)],
     };
     let mut completed = ChunkRecord {
         attempts: vec![1; 5],
-        places: Vec::new(),
+        allocations: Vec::new(),
         ..placed.clone()
     };
     for task in [0, 1, 2, 4] {
@@ -218,13 +218,13 @@
     ]
 }
 
-fn view_of(all: &[Sample]) -> View {
-    let mut view = View::default();
+fn view_of(all: &[Sample]) -> RecordCache {
+    let mut records = RecordCache::default();
     for (i, Sample { name, content }) in all.iter().enumerate() {
         let revision = i as u64 + 1;
-        view.put(name, &raw(content), revision).expect(name);
+        records.put(name, &raw(content), revision).expect(name);
     }
-    view
+    records
 }
 
 /// Keys, names, variants and the order of fields are a published format.
@@ -240,47 +240,56 @@
 
 #[test]
 fn records_of_production_are_read() {
-    let view = view_of(&samples(PRODUCTION));
-    assert_eq!((view.term.1.term, view.term.1.earlier_silent_at), (4, TIME));
-    assert_eq!(view.leader.as_ref().map(|l| l.1.incarnation), Some(9));
-    assert_eq!(view.incarnation_of("n1"), 9);
+    let records = view_of(&samples(PRODUCTION));
     assert_eq!(
-        view.catalog.as_ref().map(|c| c.1.types[0].boot),
+        (
+            records.term.1.term,
+            records.term.1.earlier_leaders_fenced_at
+        ),
+        (4, TIME)
+    );
+    assert_eq!(records.leader.as_ref().map(|l| l.1.incarnation), Some(9));
+    assert_eq!(records.incarnation_of("n1"), 9);
+    assert_eq!(
+        records.catalog.as_ref().map(|c| c.1.types[0].boot),
         Some(Micros::from_secs(45))
     );
-    let spec = |id: &str| view.jobs[id].record.spec.as_deref().cloned();
+    let spec = |id: &str| records.jobs[id].record.spec.as_deref().cloned();
     assert_eq!(spec("job-000001"), Some(gang_spec()));
     assert_eq!(spec("job-000004"), Some(waiting_array_spec()));
     assert_eq!(spec("job-000007"), Some(service_spec()));
     assert_eq!(spec("job-000008"), Some(low_priority_spec()));
-    assert_eq!(view.jobs["job-000002"].record.finished, Some(TIME));
-    assert_eq!(view.state("job-000009"), Some(JobState::Done));
+    assert_eq!(records.jobs["job-000002"].record.finished, Some(TIME));
+    assert_eq!(records.state("job-000009"), Some(JobState::Done));
     for id in ["job-000003", "job-000005", "job-000006"] {
-        assert_eq!(view.state(id), Some(JobState::Cancelled), "{id}");
+        assert_eq!(records.state(id), Some(JobState::Cancelled), "{id}");
     }
     // Of the segment and the newer checkpoint, the checkpoint counts.
-    assert_eq!(view.counts("job-000001"), (1, 0));
-    assert_eq!(view.counts("job-000008"), (0, 5));
-    assert_eq!(view.last_segment, 2_056);
-    assert!(view.blocks[&1].1.machines[1].2, "its return is intended");
-    assert_eq!(view.blocks[&2].1.machines[0], machine(3, false));
+    assert_eq!(records.counts("job-000001"), (1, 0));
+    assert_eq!(records.counts("job-000008"), (0, 5));
+    assert_eq!(records.last_segment, 2_056);
+    assert!(
+        records.machine_blocks[&1].1.machines[1].2,
+        "its return is intended"
+    );
+    assert_eq!(records.machine_blocks[&2].1.machines[0], machine(3, false));
 }
 
 #[test]
 fn records_from_before_pipelines_are_read() {
-    let view = view_of(&samples(BEFORE_PIPELINES));
-    assert_eq!(view.term.1.term, 4);
-    assert_eq!(view.incarnation_of("n1"), 9);
-    let job = &view.jobs["job-000001"].record;
+    let records = view_of(&samples(BEFORE_PIPELINES));
+    assert_eq!(records.term.1.term, 4);
+    assert_eq!(records.incarnation_of("n1"), 9);
+    let job = &records.jobs["job-000001"].record;
     assert_eq!(job.spec.as_deref(), Some(&gang_spec()));
-    assert_eq!(view.state("job-000002"), Some(JobState::Done));
-    assert_eq!(view.state("job-000003"), Some(JobState::Cancelled));
+    assert_eq!(records.state("job-000002"), Some(JobState::Done));
+    assert_eq!(records.state("job-000003"), Some(JobState::Cancelled));
     assert_eq!(
-        view.counts("job-000001"),
+        records.counts("job-000001"),
         (1, 0),
         "the checkpoint is the newer one"
     );
-    assert_eq!(view.blocks[&1].1.machines[0].0, "vm-000001");
+    assert_eq!(records.machine_blocks[&1].1.machines[0].0, "vm-000001");
 }
 
 /// Where nothing new is used, what is written is what the version before pipelines wrote, to the byte.
@@ -306,7 +315,7 @@
     };
     let parse = |text: &str| serde_json::from_str::<Value>(text).expect("JSON");
     let mut spec = gang_spec();
-    spec.needs = vec!["job-000009".to_owned()];
+    spec.dependencies = vec!["job-000009".to_owned()];
     let new = parse(&serde_json::to_string(&accepted(spec)).expect("serialisable"));
     let old = parse(sample(&samples(BEFORE_PIPELINES), "salt/j/job-000001"));
     for field in fields(&old["d"]) {
@@ -323,22 +332,23 @@
 /// newer one's entries stay.
 #[test]
 fn of_two_segments_the_newer_counts_whatever_the_order() {
-    let mut view = View::default();
+    let mut records = RecordCache::default();
     let newer = r#"{"n":16,"e":[["job-000001",[[0,2,"vm-000002",1,0]]]]}"#;
     let older = r#"{"n":1,"e":[["job-000001",[[0,1,"vm-000001",1,0]]]]}"#;
     let job = samples(BEFORE_PIPELINES);
-    view.put(
-        "salt/j/job-000001",
-        &raw(sample(&job, "salt/j/job-000001")),
-        5,
-    )
-    .expect("read");
-    view.put("salt/l/0", &raw(newer), 9).expect("read");
-    view.put("salt/l/1", &raw(older), 6).expect("read");
-    let task = &view.tasks["job-000001"].tasks[0];
+    records
+        .put(
+            "salt/j/job-000001",
+            &raw(sample(&job, "salt/j/job-000001")),
+            5,
+        )
+        .expect("read");
+    records.put("salt/l/0", &raw(newer), 9).expect("read");
+    records.put("salt/l/1", &raw(older), 6).expect("read");
+    let task = &records.tasks["job-000001"].tasks[0];
     assert_eq!(task.attempt, 2);
-    assert_eq!(task.place.as_ref().map(|p| &*p.0), Some("vm-000002"));
-    assert_eq!(view.last_segment, 16);
+    assert_eq!(task.allocation.as_ref().map(|p| &*p.0), Some("vm-000002"));
+    assert_eq!(records.last_segment, 16);
 }
 
 /// A field that a later version adds is skipped.
@@ -348,8 +358,8 @@
         let mut value: Value = serde_json::from_str(content).expect("JSON");
         let object = value.as_object_mut().expect("an object");
         object.insert("later".to_owned(), serde_json::json!({"a": [1]}));
-        let mut view = View::default();
-        view.put(name, &raw(&value.to_string()), 1).expect(name);
+        let mut records = RecordCache::default();
+        records.put(name, &raw(&value.to_string()), 1).expect(name);
     }
 }
 
@@ -358,19 +368,22 @@
 #[test]
 fn unreadable_records_leave_the_copy_as_it_was() {
     let all = samples(PRODUCTION);
-    let mut view = view_of(&all);
-    let before = format!("{view:?}");
+    let mut records = view_of(&all);
+    let before = format!("{records:?}");
     for Sample { name, content } in &all {
         let later = content.replace("\"active\"", "\"suspended\"");
         let mut bad = vec!["7".to_owned(), "[]".to_owned(), "null".to_owned()];
         bad.extend((later != *content).then_some(later));
         for value in bad {
-            let refused = view.put(name, &raw(&value), 1_000);
+            let refused = records.put(name, &raw(&value), 1_000);
             assert!(refused.is_err(), "{name} as {value}");
-            assert_eq!(format!("{view:?}"), before, "{name} as {value}");
-            let mut empty = View::default();
+            assert_eq!(format!("{records:?}"), before, "{name} as {value}");
+            let mut empty = RecordCache::default();
             assert!(empty.put(name, &raw(&value), 1_000).is_err());
-            assert_eq!(format!("{empty:?}"), format!("{:?}", View::default()));
+            assert_eq!(
+                format!("{empty:?}"),
+                format!("{:?}", RecordCache::default())
+            );
         }
     }
 }
--- a/crates/saltpitch-testkit/examples/trace_hashes.rs
+++ b/crates/saltpitch-testkit/examples/trace_hashes.rs
@@ -50,8 +50,8 @@
     };
     for seed in FIRST_SEED..FIRST_SEED + options.site {
         match play(seed, Faults::all(), BUSY_S, CALM_S) {
-            Ok(world) => {
-                let (hash, events) = (world.fingerprint(), world.trace.events());
+            Ok(simulation) => {
+                let (hash, events) = (simulation.fingerprint(), simulation.trace.events());
                 println!("site {seed} {hash:016x} {events}");
             }
             Err(error) => println!("site {seed} {error}"),
--- a/crates/saltpitch-testkit/src/workers.rs
+++ b/crates/saltpitch-testkit/src/agents.rs
@@ -1,12 +1,12 @@
-//! A stand-in for one machine and its worker.
+//! A stand-in for one machine and its agent.
 
 use std::collections::BTreeMap;
 
-use saltpitch_core::cluster::{Cause, Order, Report, SeenTask, TaskState};
-use saltpitch_core::job::{JobSpec, Kind};
+use saltpitch_core::cluster::{Cause, Command, Heartbeat, TaskState, TaskStatus};
+use saltpitch_core::job::{JobKind, JobSpec};
 use saltpitch_core::Micros;
 
-use crate::world::Times;
+use crate::simulation::Times;
 
 pub type TaskId = (String, u32);
 
@@ -30,7 +30,7 @@
     }
 }
 
-pub struct Worker {
+pub struct Agent {
     pub name: String,
     pub type_name: String,
     pub zone: String,
@@ -41,50 +41,50 @@
     pub boots_at: Micros,
     pub gone: bool,
     pub hung_until: Micros,
-    /// Until then its reports go out, and nothing reaches it.
-    pub deaf_until: Micros,
+    /// Until then its heartbeats go out, and nothing reaches it.
+    pub inbound_cut_until: Micros,
     /// Until then it opens no connection to any controller, while direct commands reach it.
-    pub mute_until: Micros,
-    pub session: u64,
-    pub seq: u64,
-    pub token: u64,
+    pub outbound_cut_until: Micros,
+    pub agent_epoch: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
     pub lease_from: Micros,
     pub notice: Option<Micros>,
     pub tasks: BTreeMap<(TaskId, u32), Held>,
-    /// The node that it reports to.
+    /// The node that it heartbeats to.
     pub target: usize,
     pub next_report: Micros,
-    /// The report in flight: its sequence number and when it was sent.
+    /// The heartbeat in flight: its sequence number and when it was sent.
     pub waiting: Option<(u64, Micros)>,
     pub changed: bool,
 }
 
-impl Worker {
+impl Agent {
     pub fn is_up(&self, now: Micros) -> bool {
         !self.gone && now >= self.boots_at && now >= self.hung_until
     }
 
-    pub fn report(&mut self) -> Report {
-        self.seq += 1;
+    pub fn heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
         self.copy()
     }
 
-    /// A copy of the newest report.
-    pub fn copy(&self) -> Report {
-        Report {
+    /// A copy of the newest heartbeat.
+    pub fn copy(&self) -> Heartbeat {
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.name.clone(),
             type_name: self.type_name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice: self.notice,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            spot_notice: self.notice,
             tasks: self
                 .tasks
                 .iter()
-                .map(|((id, _), h)| SeenTask {
+                .map(|((id, _), h)| TaskStatus {
                     job: id.0.clone(),
                     task: id.1,
                     attempt: h.attempt,
@@ -94,13 +94,13 @@
         }
     }
 
-    /// Takes a token; false: it is lower than one seen before.
-    pub fn take_token(&mut self, token: u64) -> bool {
-        if token < self.token {
+    /// Takes a fencing token; false: it is lower than one seen before.
+    pub fn take_token(&mut self, fencing_token: u64) -> bool {
+        if fencing_token < self.fencing_token {
             return false;
         }
-        if token > self.token {
-            self.token = token;
+        if fencing_token > self.fencing_token {
+            self.fencing_token = fencing_token;
             self.changed = true;
         }
         true
@@ -121,14 +121,14 @@
 
     pub fn execute(
         &mut self,
-        orders: &[Order],
+        commands: &[Command],
         spec_of: &dyn Fn(&str) -> Option<JobSpec>,
-        luck: &mut dyn FnMut(u64) -> u64,
+        random_below: &mut dyn FnMut(u64) -> u64,
         now: Micros,
     ) {
-        for o in orders {
+        for o in commands {
             match o {
-                Order::Start { job, task, attempt } => {
+                Command::Start { job, task, attempt } => {
                     let id = (job.to_string(), *task);
                     if self.tasks.contains_key(&(id.clone(), *attempt)) {
                         continue;
@@ -146,13 +146,13 @@
                         }
                         Some(s) => {
                             let run = match s.kind {
-                                Kind::Service => Micros::from_secs(1_000_000),
-                                _ => s.estimate.times(0.5 + luck(100) as f64 / 100.0),
+                                JobKind::Service => Micros::from_secs(1_000_000),
+                                _ => s.estimate.times(0.5 + random_below(100) as f64 / 100.0),
                             };
                             (TaskState::Fetching, run)
                         }
                     };
-                    let fetch = Micros::from_millis(200 + luck(4_000));
+                    let fetch = Micros::from_millis(200 + random_below(4_000));
                     let held = Held {
                         attempt: *attempt,
                         state,
@@ -162,7 +162,7 @@
                     self.tasks.insert((id, *attempt), held);
                     self.changed = true;
                 }
-                Order::Stop {
+                Command::Stop {
                     job,
                     task,
                     attempt,
@@ -185,7 +185,7 @@
                     }
                     self.changed = true;
                 }
-                Order::Forget { job, task, attempt } => {
+                Command::Forget { job, task, attempt } => {
                     let key = ((job.to_string(), *task), *attempt);
                     if self.tasks.get(&key).is_some_and(Held::exited) {
                         self.tasks.remove(&key);
@@ -195,12 +195,12 @@
         }
     }
 
-    /// The lease: without an answer in time, everything is killed and a new session begins.
+    /// The lease: without an answer in time, everything is killed and a new epoch begins.
     pub fn check_lease(&mut self, times: &Times, now: Micros) {
         if now.since(self.lease_from) > times.lease {
             self.tasks.clear();
-            self.session += 1;
-            self.seq = 0;
+            self.agent_epoch += 1;
+            self.sequence = 0;
             self.lease_from = now;
             self.waiting = None;
             self.changed = true;
