--- a/crates/saltpitch-testkit/src/cells.rs
+++ b/crates/saltpitch-testkit/src/cells.rs
@@ -12,20 +12,20 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use saltpitch_cells::home::{CellEffect, Delegator, LinkCall, RecordWrite};
-use saltpitch_cells::host::Door;
+use saltpitch_cells::host::HostAdmission;
 use saltpitch_cells::link::{HostStatus, LinkAnswer, LinkRequest};
+use saltpitch_cells::origin::{CellEffect, Delegator, LinkCall, RecordWrite};
 use saltpitch_cells::settings::{CellsSettings, Site};
 use saltpitch_core::job::JobState;
-use saltpitch_core::leader::{Outcome, Write};
 use saltpitch_core::quota::TeamLimits;
 use saltpitch_core::records::{job_key, RecordChange};
+use saltpitch_core::scheduler::{TransactionOutcome, Write};
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
 use crate::nodes::SITE;
+use crate::simulation::{Faults, Simulation};
 use crate::trace::Trace;
-use crate::world::{Faults, World};
 
 pub use history::finished;
 
@@ -70,8 +70,8 @@
 
 /// One cell.
 pub struct Cell {
-    /// Its controllers, store, cloud, workers and users.
-    pub world: World,
+    /// Its controllers, store, cloud, agents and users.
+    pub simulation: Simulation,
     /// Its file on cells.
     pub settings: CellsSettings,
     /// The link to the other cell.
@@ -81,7 +81,7 @@
     /// Whether it listens for the other one.
     pub listens: bool,
     leading: [Option<Leading>; SITE.len()],
-    door: Door,
+    door: HostAdmission,
 }
 
 type Event = Box<dyn FnOnce(&mut Cells)>;
@@ -152,32 +152,32 @@
 
 impl Cell {
     fn new(cell: usize, seed: u64, faults: Faults, quiet_from: Micros) -> Cell {
-        let mut world = World::new(seed * 2 + cell as u64, faults, quiet_from);
-        world.add_team(TeamLimits {
+        let mut simulation = Simulation::new(seed * 2 + cell as u64, faults, quiet_from);
+        simulation.add_team(TeamLimits {
             name: GUESTS.to_owned(),
             cpu: 0,
             gpu: 0,
             cpu_max: 30_000,
             gpu_max: 6_000,
         });
-        for node in &mut world.nodes {
+        for node in &mut simulation.nodes {
             node.knows_delegations = true;
         }
         let site = Site {
             node: SITE[0].0,
             listens: &[],
-            teams: &world.teams,
+            teams: &simulation.teams,
             controllers: SITE.len(),
-            txn_ops: 8,
+            max_transaction_writes: 8,
         };
         let settings = CellsSettings::parse(&file(cell), &site).expect("a valid file");
         let guests = settings.neighbour[0].guests.clone();
-        let door = Door {
+        let door = HostAdmission {
             cell: NAMES[1 - cell].to_owned(),
             settings: guests.expect("guests are taken"),
         };
         Cell {
-            world,
+            simulation,
             settings,
             link: LinkState::Works,
             copies: 0,
@@ -206,7 +206,7 @@
     }
 
     /// A number below `n`, drawn from the seed.
-    pub fn luck(&mut self, n: u64) -> u64 {
+    pub fn random_below(&mut self, n: u64) -> u64 {
         self.random.random_range(0..n.max(1))
     }
 
@@ -223,7 +223,10 @@
     /// The next moment of either cell or of the links; then the rules of both and of the whole.
     pub fn step(&mut self) -> Result<(), String> {
         let [canal, harbour] = &self.cells;
-        let next = [canal.world.next_step_at(), harbour.world.next_step_at()];
+        let next = [
+            canal.simulation.next_step_at(),
+            harbour.simulation.next_step_at(),
+        ];
         let first = usize::from(next[1] < next[0]);
         let event = self.queue.first_key_value().map(|(key, _)| *key);
         if let Some(key) = event.filter(|key| key.0 <= next[first]) {
@@ -233,12 +236,12 @@
             }
         } else {
             self.now = self.now.max(next[first]);
-            let world = &mut self.cells[first].world;
-            let before = world.now;
-            world
+            let simulation = &mut self.cells[first].simulation;
+            let before = simulation.now;
+            simulation
                 .step()
                 .map_err(|error| format!("{}: {error}", NAMES[first]))?;
-            if world.now.0 / POLL_INTERVAL.0 > before.0 / POLL_INTERVAL.0 {
+            if simulation.now.0 / POLL_INTERVAL.0 > before.0 / POLL_INTERVAL.0 {
                 for node in 0..SITE.len() {
                     self.poll(first, node);
                 }
@@ -255,7 +258,7 @@
             let (own, others) = held.into_iter().partition(|(of, _)| *of == cell);
             self.held = others;
             for (_, event) in own {
-                let wait = Micros::from_millis(self.luck(500));
+                let wait = Micros::from_millis(self.random_below(500));
                 self.after(wait, event);
             }
         }
@@ -271,19 +274,19 @@
     fn poll(&mut self, cell: usize, node: usize) {
         let seed = self.random.random();
         let Cell {
-            world,
+            simulation,
             settings,
             leading,
             ..
         } = &mut self.cells[cell];
-        let (now, cancel) = (world.now, world.times.cancel);
-        let controller = &mut world.nodes[node];
+        let (now, cancel) = (simulation.now, simulation.times.cancel);
+        let controller = &mut simulation.nodes[node];
         let stands_still = !controller.is_up(now) || controller.frozen(now) > Micros::ZERO;
         if stands_still || !controller.knows_delegations {
             return;
         }
         let epoch = controller.epoch();
-        let Some(mut access) = controller.controller.lending_access(now) else {
+        let Some(mut access) = controller.controller.delegation_access(now) else {
             return;
         };
         let current = leading[node]
@@ -311,24 +314,24 @@
 
     /// A transaction may be refused, carried out late, or lose its answer.
     fn write(&mut self, asker: Asker, write: RecordWrite) {
-        let faults = self.cells[asker.cell].world.faults;
+        let faults = self.cells[asker.cell].simulation.faults;
         let reaches = self.cells[asker.cell].serves(asker.node);
-        if !reaches || (faults.losses && self.luck(20) == 0) {
-            let refused = Outcome::Refused;
+        if !reaches || (faults.losses && self.random_below(20) == 0) {
+            let refused = TransactionOutcome::Unavailable;
             return self.after(Micros::from_millis(5), move |cells| {
                 cells.written(asker, &write, refused);
             });
         }
-        let lost =
-            (faults.losses && self.luck(10) == 0) || (faults.late_writes && self.luck(12) == 0);
+        let lost = (faults.losses && self.random_below(10) == 0)
+            || (faults.late_writes && self.random_below(12) == 0);
         let late = match lost {
-            true => Micros::from_millis(self.luck(9_000)),
-            false => Micros::from_millis(1 + self.luck(30)),
+            true => Micros::from_millis(self.random_below(9_000)),
+            false => Micros::from_millis(1 + self.random_below(30)),
         };
         if lost {
             let write = write.clone();
             self.after(Micros::from_millis(1_500), move |cells| {
-                cells.written(asker, &write, Outcome::Unknown);
+                cells.written(asker, &write, TransactionOutcome::Unknown);
             });
         }
         self.after(late, move |cells| {
@@ -337,11 +340,11 @@
                 key: job_key(&write.job),
                 value,
             };
-            let world = &mut cells.cells[asker.cell].world;
-            let outcome = world.store.txn(&write.when, &[change], None);
+            let simulation = &mut cells.cells[asker.cell].simulation;
+            let outcome = simulation.store.txn(&write.preconditions, &[change], None);
             let cancels = write.record.state == JobState::Cancelled;
-            if cancels && matches!(outcome, Outcome::Done(_)) {
-                world.note_cancelled(&write.job);
+            if cancels && matches!(outcome, TransactionOutcome::Committed(_)) {
+                simulation.note_cancelled(&write.job);
             }
             if !lost {
                 cells.written(asker, &write, outcome);
@@ -349,14 +352,18 @@
         });
     }
 
-    fn written(&mut self, asker: Asker, write: &RecordWrite, outcome: Outcome) {
-        let Cell { world, leading, .. } = &mut self.cells[asker.cell];
-        let now = world.now;
-        let node = &mut world.nodes[asker.node];
+    fn written(&mut self, asker: Asker, write: &RecordWrite, outcome: TransactionOutcome) {
+        let Cell {
+            simulation,
+            leading,
+            ..
+        } = &mut self.cells[asker.cell];
+        let now = simulation.now;
+        let node = &mut simulation.nodes[asker.node];
         if node.epoch() != asker.epoch || !node.is_up(now) {
             return;
         }
-        if let Outcome::Done(revision) = outcome {
+        if let TransactionOutcome::Committed(revision) = outcome {
             let text = serde_json::to_string(&write.record).unwrap_or_default();
             let change = RecordChange {
                 key: job_key(&write.job),
@@ -365,7 +372,7 @@
             };
             node.wrote(&change, now);
         }
-        let Some(leader) = node.leader_in(asker.epoch, now) else {
+        let Some(leader) = node.scheduler_in(asker.epoch, now) else {
             return;
         };
         if let Some(leading) = leading[asker.node]
@@ -386,7 +393,7 @@
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT[1 - asker.cell]));
         let node = usize::from(call.address.port() - address.port());
         let state = self.cells[asker.cell].link;
-        let delay = Micros::from_millis(2 + self.luck(40));
+        let delay = Micros::from_millis(2 + self.random_below(40));
         let id = call.id;
         match state {
             LinkState::Refuses => self.after(delay, move |cells| {
@@ -414,10 +421,10 @@
     /// none.
     fn copy_later(&mut self, home: usize, node: usize, request: LinkRequest) {
         let copies = self.cells[home].copies;
-        if copies == 0 || self.luck(copies) > 0 {
+        if copies == 0 || self.random_below(copies) > 0 {
             return;
         }
-        let late = Micros::from_millis(500 + self.luck(60_000));
+        let late = Micros::from_millis(500 + self.random_below(60_000));
         self.after(late, move |cells| {
             cells.cells[1 - home].serve(node, &request);
         });
@@ -431,8 +438,8 @@
         }
         let answer = answer.unwrap_or(LinkAnswer::NotSent);
         let wait = match self.cells[asker.cell].link {
-            LinkState::Works => Micros::from_millis(2 + self.luck(40)),
-            LinkState::IsSlow => Micros::from_millis(self.luck(5_000)),
+            LinkState::Works => Micros::from_millis(2 + self.random_below(40)),
+            LinkState::IsSlow => Micros::from_millis(self.random_below(5_000)),
             _ => CALL_TIMEOUT,
         };
         let in_time = wait < CALL_TIMEOUT || answer == LinkAnswer::NotSent;
@@ -449,9 +456,13 @@
         let at = self.now;
         self.trace.event("answer", at).number(asker.cell as u64);
         trace_answer(&mut self.trace, &answer);
-        let Cell { world, leading, .. } = &mut self.cells[asker.cell];
-        let now = world.now;
-        let node = &world.nodes[asker.node];
+        let Cell {
+            simulation,
+            leading,
+            ..
+        } = &mut self.cells[asker.cell];
+        let now = simulation.now;
+        let node = &simulation.nodes[asker.node];
         if node.epoch() != asker.epoch || !node.is_up(now) {
             return;
         }
@@ -469,7 +480,7 @@
     pub fn fingerprint(&self) -> u64 {
         let mut trace = self.trace;
         for cell in &self.cells {
-            trace.number(cell.world.fingerprint());
+            trace.number(cell.simulation.fingerprint());
         }
         trace.hash()
     }
--- a/crates/saltpitch-testkit/src/cells/history.rs
+++ b/crates/saltpitch-testkit/src/cells/history.rs
@@ -1,13 +1,13 @@
-//! What two cells may never do together, told from the workers' side and the two stores alone.
+//! What two cells may never do together, told from the agents' side and the two stores alone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use saltpitch_cells::ids;
-use saltpitch_core::job::{JobState, Kind};
+use saltpitch_core::job::{JobKind, JobState};
 use saltpitch_core::records::{job_key, JobRecord};
 
 use super::{Cells, NAMES};
-use crate::world::World;
+use crate::simulation::Simulation;
 
 /// The first rule that is broken, of those that concern both cells.
 pub(super) fn check(cells: &mut Cells) -> Result<(), String> {
@@ -16,8 +16,8 @@
         note_completions(cells, home, &guests);
         let [canal, harbour] = &cells.cells;
         let (here, there) = match home {
-            0 => (&canal.world, &harbour.world),
-            _ => (&harbour.world, &canal.world),
+            0 => (&canal.simulation, &harbour.simulation),
+            _ => (&harbour.simulation, &canal.simulation),
         };
         owners(here, there, &guests)?;
         cancellations(here, there, &guests)?;
@@ -30,7 +30,10 @@
 fn guests_of(cells: &Cells, home: usize) -> BTreeMap<String, Vec<String>> {
     let prefix = format!("{}.", NAMES[home]);
     let mut guests: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    let jobs = cells.cells[1 - home].world.jobs.range(prefix.clone()..);
+    let jobs = cells.cells[1 - home]
+        .simulation
+        .jobs
+        .range(prefix.clone()..);
     let ids = jobs.map(|(id, _)| id);
     for id in ids.take_while(|id| id.starts_with(&prefix)) {
         if let Some(job) = ids::home_id(&id[prefix.len()..]) {
@@ -40,14 +43,14 @@
     guests
 }
 
-fn record(world: &World, id: &str) -> Option<JobRecord> {
-    let entry = world.store.keys.get(&job_key(id))?;
+fn record(simulation: &Simulation, id: &str) -> Option<JobRecord> {
+    let entry = simulation.store.keys.get(&job_key(id))?;
     serde_json::from_str(&entry.value).ok()
 }
 
 /// The tasks of a job that a machine has and that have not ended.
-fn held(world: &World, id: &str) -> BTreeSet<u32> {
-    let machines = world.workers.values().filter(|machine| !machine.gone);
+fn held(simulation: &Simulation, id: &str) -> BTreeSet<u32> {
+    let machines = simulation.agents.values().filter(|machine| !machine.gone);
     let tasks = machines.flat_map(|machine| &machine.tasks);
     tasks
         .filter(|((task, _), held)| task.0 == id && !held.exited())
@@ -55,10 +58,10 @@
         .collect()
 }
 
-/// Home's rules take a job for done only if the host's workers have completed all of it.
+/// Home's rules take a job for done only if the host's agents have completed all of it.
 fn note_completions(cells: &mut Cells, home: usize, guests: &BTreeMap<String, Vec<String>>) {
     let mut complete = Vec::new();
-    let there = &cells.cells[1 - home].world;
+    let there = &cells.cells[1 - home].simulation;
     for (job, ids) in guests {
         let whole = |id: &String| {
             let tasks = there.jobs.get(id).map_or(0, |job| job.spec.tasks as usize);
@@ -68,7 +71,7 @@
             complete.push(job.clone());
         }
     }
-    let here = &mut cells.cells[home].world;
+    let here = &mut cells.cells[home].simulation;
     here.done_elsewhere.extend(complete);
     for job in guests.keys() {
         let delegated = record(here, job).is_some_and(|record| record.is_delegated());
@@ -80,8 +83,8 @@
 
 /// A job that home may place is not one that the host may start or that its machines still have.
 fn owners(
-    here: &World,
-    there: &World,
+    here: &Simulation,
+    there: &Simulation,
     guests: &BTreeMap<String, Vec<String>>,
 ) -> Result<(), String> {
     for (job, ids) in guests {
@@ -109,8 +112,8 @@
 
 /// A job whose user was told that it is cancelled leaves the host's machines in home's time.
 fn cancellations(
-    here: &World,
-    there: &World,
+    here: &Simulation,
+    there: &Simulation,
     guests: &BTreeMap<String, Vec<String>>,
 ) -> Result<(), String> {
     for (job, ids) in guests {
@@ -125,11 +128,11 @@
 }
 
 /// A job that is done on record in one cell is not done again in the other, nor owned by it. Single tasks may
-/// complete in both: what a machine has completed and never reported is lost with that machine, as
+/// complete in both: what a machine has completed and never sent a heartbeat is lost with that machine, as
 /// within one cell.
 fn completions(
-    here: &World,
-    there: &World,
+    here: &Simulation,
+    there: &Simulation,
     guests: &BTreeMap<String, Vec<String>>,
 ) -> Result<(), String> {
     let is_done =
@@ -150,12 +153,12 @@
 pub fn finished(cells: &Cells) -> Result<(), String> {
     for (cell, name) in cells.cells.iter().zip(NAMES) {
         let own = cell
-            .world
+            .simulation
             .jobs
             .iter()
             .filter(|(id, _)| id.starts_with("job-"));
-        for (id, job) in own.filter(|(_, job)| job.accepted && job.spec.kind != Kind::Service) {
-            let record = record(&cell.world, id);
+        for (id, job) in own.filter(|(_, job)| job.accepted && job.spec.kind != JobKind::Service) {
+            let record = record(&cell.simulation, id);
             let state = record.as_ref().map(|record| record.state);
             let expected = match job.cancelled_at {
                 Some(_) => JobState::Cancelled,
--- a/crates/saltpitch-testkit/src/cells/host.rs
+++ b/crates/saltpitch-testkit/src/cells/host.rs
@@ -2,19 +2,19 @@
 
 use saltpitch_cells::host::{Admission, HostSite};
 use saltpitch_cells::link::{HostStatus, LinkAnswer, LinkRequest, Refusal, Submission};
-use saltpitch_core::leader::Write;
 use saltpitch_core::records::job_key;
+use saltpitch_core::scheduler::{Precondition, Write};
 use saltpitch_core::Micros;
 
 use super::Cell;
-use crate::world::World;
+use crate::simulation::Simulation;
 
 impl Cell {
     /// Whether this controller runs and reaches its store.
     pub(super) fn serves(&self, node: usize) -> bool {
-        let World {
+        let Simulation {
             nodes, store, now, ..
-        } = &self.world;
+        } = &self.simulation;
         let node = &nodes[node];
         let runs = node.is_up(*now) && node.started && node.frozen(*now) == Micros::ZERO;
         runs && node.controller.is_synced() && node.reaches_store(store, *now)
@@ -22,37 +22,38 @@
 
     /// Serves a neighbour's request as the program does; `None`: the connection is refused.
     pub(super) fn serve(&mut self, node: usize, request: &LinkRequest) -> Option<LinkAnswer> {
-        let up = self.world.nodes[node].is_up(self.world.now) && self.world.nodes[node].started;
+        let up = self.simulation.nodes[node].is_up(self.simulation.now)
+            && self.simulation.nodes[node].started;
         if !up || !self.listens {
             return None;
         }
         if !self.serves(node) {
             return Some(refused(503, "no store", None));
         }
-        let now = self.world.now;
-        let World { nodes, store, .. } = &mut self.world;
+        let now = self.simulation.now;
+        let Simulation { nodes, store, .. } = &mut self.simulation;
         nodes[node].follow(store, now);
-        let view = nodes[node].view();
+        let records = nodes[node].records();
         Some(match request {
-            LinkRequest::Up if self.door.has_room(view) => LinkAnswer::Ready,
+            LinkRequest::Up if self.door.has_room(records) => LinkAnswer::Ready,
             LinkRequest::Up => refused(503, "no room", Some(Micros::from_secs(2))),
-            LinkRequest::Status { id } => status(self.door.status(view, id)),
+            LinkRequest::Status { id } => status(self.door.status(records, id)),
             LinkRequest::Submit(submission) => self.submit(node, submission),
             LinkRequest::Abort { id, unless_begun } => self.abort(node, id, *unless_begun),
         })
     }
 
     fn submit(&mut self, node: usize, submission: &Submission) -> LinkAnswer {
-        let world = &mut self.world;
-        let Some(catalog) = world.nodes[node].controller.catalog().cloned() else {
+        let simulation = &mut self.simulation;
+        let Some(catalog) = simulation.nodes[node].controller.catalog().cloned() else {
             return refused(503, "no machine types", None);
         };
         let site = HostSite {
             catalog: &catalog,
-            teams: &world.teams,
+            teams: &simulation.teams,
         };
-        let (view, now) = (world.nodes[node].view(), world.now);
-        let admission = self.door.admit(view, submission, &site, now);
+        let (records, now) = (simulation.nodes[node].records(), simulation.now);
+        let admission = self.door.admit(records, submission, &site, now);
         let record = match admission {
             Ok(Admission::Known(known)) => return LinkAnswer::Status(known),
             Err(error) => {
@@ -62,7 +63,7 @@
         };
         let id = self.door.guest_id(&submission.id);
         if record.spec.is_some() {
-            world.submit_record(&id, record);
+            simulation.submit_record(&id, record);
         } else {
             let key = job_key(&id);
             let value = serde_json::to_string(&record).ok();
@@ -70,27 +71,29 @@
                 key: key.clone(),
                 value,
             };
-            world.store.txn(&[(key, 0)], &[write], None);
+            simulation
+                .store
+                .txn(&[Precondition::new(key, 0)], &[write], None);
         }
-        let World { nodes, store, .. } = world;
+        let Simulation { nodes, store, .. } = simulation;
         nodes[node].follow(store, now);
         match submission.closing {
             true => LinkAnswer::Closed,
-            false => status(self.door.status(nodes[node].view(), &submission.id)),
+            false => status(self.door.status(nodes[node].records(), &submission.id)),
         }
     }
 
     fn abort(&mut self, node: usize, sent: &str, unless_begun: bool) -> LinkAnswer {
         let id = self.door.guest_id(sent);
-        let view = self.world.nodes[node].view();
-        if self.door.cancels(view, sent, unless_begun) {
-            self.world.cancel_by(node, &id);
+        let records = self.simulation.nodes[node].records();
+        if self.door.cancels(records, sent, unless_begun) {
+            self.simulation.cancel_by(node, &id);
         }
-        let World {
+        let Simulation {
             nodes, store, now, ..
-        } = &mut self.world;
+        } = &mut self.simulation;
         nodes[node].follow(store, *now);
-        status(self.door.status(nodes[node].view(), sent))
+        status(self.door.status(nodes[node].records(), sent))
     }
 }
 
--- a/crates/saltpitch-testkit/src/histories.rs
+++ b/crates/saltpitch-testkit/src/histories.rs
@@ -1,11 +1,11 @@
 //! Seeded histories of a site and of two cells, played by the tests and by `examples/trace_hashes.rs`.
 
 use saltpitch_core::catalog::Resources;
-use saltpitch_core::job::{JobSpec, Kind, Priority};
+use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::Micros;
 
 use crate::cells::{finished, Cells, LinkState};
-use crate::world::{Faults, World};
+use crate::simulation::{Faults, Simulation};
 
 /// The cell whose jobs are delegated.
 pub const HOME: usize = 0;
@@ -19,28 +19,28 @@
 
 /// Plays a history: jobs come for `busy` seconds, some are cancelled, troubles end with them; then
 /// the site has `calm` seconds to complete what it accepted.
-pub fn play(seed: u64, faults: Faults, busy: u64, calm: u64) -> Result<World, String> {
-    let mut w = World::new(seed, faults, Micros::from_secs(busy));
+pub fn play(seed: u64, faults: Faults, busy: u64, calm: u64) -> Result<Simulation, String> {
+    let mut w = Simulation::new(seed, faults, Micros::from_secs(busy));
     let mut ids: Vec<String> = Vec::new();
     for i in 0..busy / 4 {
         w.run(Micros::from_secs(i * 4))?;
         let id = format!("job-{seed:03}{i:04}");
         let mut spec = w.draw_job();
         // Some need jobs that came before, in whatever state those are.
-        if spec.kind != Kind::Service && w.luck(3) == 0 {
-            for _ in 0..1 + w.luck(2) {
-                let at = w.luck(ids.len() as u64) as usize;
+        if spec.kind != JobKind::Service && w.random_below(3) == 0 {
+            for _ in 0..1 + w.random_below(2) {
+                let at = w.random_below(ids.len() as u64) as usize;
                 let named = ids.get(at).filter(|n| w.jobs[*n].accepted);
-                let named = named.filter(|n| w.jobs[*n].spec.kind != Kind::Service);
-                spec.needs.extend(named.cloned());
+                let named = named.filter(|n| w.jobs[*n].spec.kind != JobKind::Service);
+                spec.dependencies.extend(named.cloned());
             }
         }
         w.submit(&id, spec);
         ids.push(id);
         // Repeats and cancellations of whatever came before.
-        let at = w.luck(ids.len() as u64) as usize;
+        let at = w.random_below(ids.len() as u64) as usize;
         let old = ids[at].clone();
-        match w.luck(4) {
+        match w.random_below(4) {
             0 => {
                 w.cancel(&old);
             }
@@ -61,7 +61,7 @@
     // jobs that fail everywhere.
     for id in &ids {
         let j = &w.jobs[id];
-        if j.spec.kind == Kind::Service || j.mistaken {
+        if j.spec.kind == JobKind::Service || j.mistaken {
             w.cancel(id);
         }
     }
@@ -70,7 +70,7 @@
 }
 
 /// What was accepted must have run once the troubles are over.
-pub fn served(w: &World) -> Result<(), String> {
+pub fn served(w: &Simulation) -> Result<(), String> {
     for (id, j) in &w.jobs {
         if j.cancelled_at.or(j.withdrawn_at).is_some() {
             if w.running(id) > 0 {
@@ -79,7 +79,7 @@
             continue;
         }
         match j.spec.kind {
-            Kind::Service => {}
+            JobKind::Service => {}
             _ if !w.is_done(id) => return Err(format!("{id} ({:?}) is not done", j.spec.kind)),
             _ => {}
         }
@@ -89,11 +89,11 @@
 
 /// A batch job of `tasks` tasks of two processors, running for about `run` seconds.
 pub fn batch(cells: &mut Cells, tasks: u32, run: u64) -> JobSpec {
-    let drawn = cells.cells[HOME].world.draw_job();
+    let drawn = cells.cells[HOME].simulation.draw_job();
     JobSpec {
         class: "batch".to_owned(),
         team: "red".to_owned(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks,
         need: Resources {
@@ -111,7 +111,7 @@
         checkpoint: Micros::ZERO,
         save: Micros::ZERO,
         deadline: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
         ..drawn
     }
 }
@@ -121,7 +121,7 @@
     for i in 0..machines {
         let mut spec = JobSpec {
             class: "web".to_owned(),
-            kind: Kind::Service,
+            kind: JobKind::Service,
             priority: Priority::Production,
             spot: false,
             estimate: Micros::ZERO,
@@ -130,7 +130,7 @@
         };
         spec.need.cpu = 5_000;
         let id = format!("job-9{cell}{i:02}0");
-        assert!(cells.cells[cell].world.submit(&id, spec));
+        assert!(cells.cells[cell].simulation.submit(&id, spec));
     }
 }
 
@@ -152,9 +152,9 @@
         cells.run(seconds(i * 3))?;
         // One cell is short of machines, then the other.
         let short = usize::from(i / 20 % 2 == 1);
-        cells.cells[short].world.machine_limit = cells.luck(2) as u32;
-        cells.cells[1 - short].world.machine_limit = 2;
-        if cells.luck(6) == 0 {
+        cells.cells[short].simulation.machine_limit = cells.random_below(2) as u32;
+        cells.cells[1 - short].simulation.machine_limit = 2;
+        if cells.random_below(6) == 0 {
             let states = [
                 LinkState::Works,
                 LinkState::Works,
@@ -163,29 +163,29 @@
                 LinkState::LosesAnswers,
                 LinkState::IsSlow,
             ];
-            let state = states[cells.luck(6) as usize];
-            let cell = cells.luck(2) as usize;
+            let state = states[cells.random_below(6) as usize];
+            let cell = cells.random_below(2) as usize;
             cells.set_link(cell, state);
         }
-        let cell = cells.luck(2) as usize;
-        let (tasks, run) = (1 + cells.luck(6) as u32, 3 + cells.luck(20));
+        let cell = cells.random_below(2) as usize;
+        let (tasks, run) = (1 + cells.random_below(6) as u32, 3 + cells.random_below(20));
         let mut spec = batch(&mut cells, tasks, run);
-        if cells.luck(4) == 0 {
-            spec.kind = Kind::Gang;
+        if cells.random_below(4) == 0 {
+            spec.kind = JobKind::Gang;
         }
         let id = format!("job-{seed:03}{i:03}0");
-        cells.cells[cell].world.submit(&id, spec);
-        if cells.luck(5) == 0 {
-            let back = cells.luck(i + 1);
+        cells.cells[cell].simulation.submit(&id, spec);
+        if cells.random_below(5) == 0 {
+            let back = cells.random_below(i + 1);
             let id = format!("job-{seed:03}{back:03}0");
             for cell in [HOME, HOST] {
-                cells.cells[cell].world.cancel(&id);
+                cells.cells[cell].simulation.cancel(&id);
             }
         }
     }
     for cell in [HOME, HOST] {
-        cells.cells[cell].world.heal();
-        cells.cells[cell].world.machine_limit = 3;
+        cells.cells[cell].simulation.heal();
+        cells.cells[cell].simulation.machine_limit = 3;
         cells.cells[cell].copies = 0;
     }
     set_links(&mut cells, LinkState::Works);
--- a/crates/saltpitch-testkit/src/rules.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -3,17 +3,17 @@
 use std::collections::BTreeMap;
 
 use saltpitch_core::catalog::Resources;
-use saltpitch_core::job::{JobSpec, JobState, Kind};
+use saltpitch_core::job::{JobKind, JobSpec, JobState};
 use saltpitch_core::records::{job_key, JobRecord};
 use saltpitch_core::Micros;
 
-use crate::world::{UserJob, World};
+use crate::simulation::{Simulation, UserJob};
 
 /// The first rule that the world as it stands breaks.
-pub fn check(w: &World) -> Result<(), String> {
+pub fn check(w: &Simulation) -> Result<(), String> {
     let mut on: BTreeMap<(&str, u32), &str> = BTreeMap::new();
     let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
-    for m in w.workers.values().filter(|m| !m.gone) {
+    for m in w.agents.values().filter(|m| !m.gone) {
         for ((id, _), h) in m.tasks.iter().filter(|(_, h)| h.on()) {
             if let Some(other) = on.insert((&id.0, id.1), &m.name) {
                 return Err(format!(
@@ -70,7 +70,7 @@
 /// is served, and the largest begin within four minutes. The largest are the largest tenth of a
 /// class by tasks, at least one. Served is: an array or a gang is done, a service ran whole. Jobs
 /// that were cancelled, or fail everywhere, don't count.
-pub fn served(w: &World) -> Result<(), String> {
+pub fn served(w: &Simulation) -> Result<(), String> {
     let mut groups: BTreeMap<String, Vec<(&str, &UserJob)>> = BTreeMap::new();
     for (id, job) in &w.jobs {
         // Spread over zones and bound to one, it can't run whole.
@@ -100,7 +100,7 @@
     }
     for (name, jobs) in groups {
         let well = jobs.iter().filter(|(id, j)| match j.spec.kind {
-            Kind::Service => j.begun_at.is_some(),
+            JobKind::Service => j.begun_at.is_some(),
             _ => w.is_done(id),
         });
         let well = well.count();
@@ -111,9 +111,9 @@
     Ok(())
 }
 
-fn zones(w: &World) -> Result<(), String> {
+fn zones(w: &Simulation) -> Result<(), String> {
     let mut by_job: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
-    for m in w.workers.values().filter(|m| !m.gone) {
+    for m in w.agents.values().filter(|m| !m.gone) {
         for ((id, _), _) in m.tasks.iter().filter(|(_, h)| h.on()) {
             *by_job.entry(&id.0).or_default().entry(&m.zone).or_default() += 1;
         }
@@ -131,10 +131,10 @@
 }
 
 /// A job that needs a cancelled one is told to be withdrawn by every node that can read the records.
-fn orphaned(w: &World, id: &str, at: Micros) -> Result<(), String> {
+fn orphaned(w: &Simulation, id: &str, at: Micros) -> Result<(), String> {
     for n in &w.nodes {
-        let able = n.is_up(w.now) && n.controller.is_synced() && n.view().rev == w.store.rev;
-        if able && n.view().state(id) != Some(JobState::Cancelled) {
+        let able = n.is_up(w.now) && n.controller.is_synced() && n.records().rev == w.store.rev;
+        if able && n.records().state(id) != Some(JobState::Cancelled) {
             return Err(format!("orphaned: {id} by {}", n.name));
         }
     }
@@ -144,7 +144,7 @@
     Ok(())
 }
 
-fn outcomes(w: &World) -> Result<(), String> {
+fn outcomes(w: &Simulation) -> Result<(), String> {
     for (id, job) in &w.jobs {
         // Once all troubles are over, every node answers questions about every accepted job.
         if job.accepted && job.spec.can_ever_run(w.catalog(), &w.teams).is_err() {
--- a/crates/saltpitch-testkit/src/nodes.rs
+++ b/crates/saltpitch-testkit/src/nodes.rs
@@ -1,17 +1,19 @@
 //! A simulated process around one [`Controller`]: it carries the controller's messages to the other
 //! stand-ins. Decisions are the controller's, the same code as in the program.
 
-use saltpitch_core::cluster::Report;
+use saltpitch_core::cluster::Heartbeat;
 use saltpitch_core::controller::{
-    Controller, ControllerConfig, PeerIdentity, ReportAnswer, StoreHealth,
+    Controller, ControllerConfig, HeartbeatAnswer, PeerIdentity, StoreHealth,
 };
-use saltpitch_core::leader::{Config, Effect, Leader, Outcome};
 use saltpitch_core::messages::PeerStatus;
-use saltpitch_core::records::{node_key, RecordChange, View};
+use saltpitch_core::records::{node_key, RecordCache, RecordChange};
+use saltpitch_core::scheduler::{
+    Effect, Precondition, Scheduler, SchedulerConfig, TransactionOutcome,
+};
 use saltpitch_core::Micros;
 
+use crate::previous_version;
 use crate::store::Store;
-use crate::version_zero;
 
 /// How long after its last success the state service still counts as reachable.
 const STORE_REACHABLE_WITHIN: Micros = Micros::from_secs(2);
@@ -36,17 +38,17 @@
     /// The process has started with the settings of its version.
     pub started: bool,
     /// What a leader of protocol version 0 goes by when it loses the state service.
-    pub common_outage: version_zero::CommonOutage,
+    pub common_outage: previous_version::CommonOutage,
     /// Cut from the state service until then.
     pub no_store_until: Micros,
-    /// Cut from the workers until then.
+    /// Cut from the agents until then.
     pub no_workers_until: Micros,
     /// Cut from the other controllers until then.
     pub no_peers_until: Micros,
     /// The process stands still until then, while its clocks run on: what arrives is read afterwards.
     pub frozen_until: Micros,
     /// Since when the leadership has been vacant.
-    pub vacant_since: Option<Micros>,
+    pub leaderless_since: Option<Micros>,
     /// A bid for the leadership is under way.
     pub bidding: bool,
     /// When the state service last served this process.
@@ -57,7 +59,7 @@
 fn controller_config(
     name: &str,
     zone: &str,
-    scheduler: Config,
+    scheduler: SchedulerConfig,
     knows_delegations: bool,
 ) -> ControllerConfig {
     let others = SITE.iter().filter(|(other, _)| *other != name);
@@ -79,7 +81,7 @@
 
 impl Node {
     /// A node whose process has not started yet.
-    pub fn new(name: &str, zone: &str, scheduler: Config) -> Node {
+    pub fn new(name: &str, zone: &str, scheduler: SchedulerConfig) -> Node {
         let config = controller_config(name, zone, scheduler, false);
         Node {
             name: name.to_owned(),
@@ -90,19 +92,19 @@
             process: 0,
             controller: Controller::new(config, 0, 0),
             started: false,
-            common_outage: version_zero::CommonOutage::default(),
+            common_outage: previous_version::CommonOutage::default(),
             no_store_until: Micros::ZERO,
             no_workers_until: Micros::ZERO,
             no_peers_until: Micros::ZERO,
             frozen_until: Micros::ZERO,
-            vacant_since: None,
+            leaderless_since: None,
             bidding: false,
             store_success_at: None,
         }
     }
 
     /// The process starts with what its version makes of the settings.
-    pub fn start(&mut self, scheduler: Config, wall: Micros) {
+    pub fn start(&mut self, scheduler: SchedulerConfig, wall: Micros) {
         let known = self.knows_delegations;
         let config = controller_config(&self.name, &self.zone, scheduler, known);
         self.controller = Controller::new(config, self.process, wall.0);
@@ -135,8 +137,8 @@
     }
 
     /// The copy of the records.
-    pub fn view(&self) -> &View {
-        self.controller.view()
+    pub fn records(&self) -> &RecordCache {
+        self.controller.records()
     }
 
     /// Identifies the present leadership of the present process. What was asked for in one is not
@@ -146,15 +148,15 @@
     }
 
     /// The scheduler, if the process still runs and leads in this epoch.
-    pub fn leader_in(&mut self, epoch: u64, now: Micros) -> Option<&mut Leader> {
+    pub fn scheduler_in(&mut self, epoch: u64, now: Micros) -> Option<&mut Scheduler> {
         if self.epoch() != epoch || !self.is_up(now) {
             return None;
         }
         let own = self.controller.epoch();
-        self.controller.leader_in_epoch(own)
+        self.controller.scheduler_in_epoch(own)
     }
 
-    /// Whether workers may be answered now.
+    /// Whether agents may be answered now.
     pub fn may_answer(&self, now: Micros) -> bool {
         let extended = self.old && self.common_outage.may_answer(now);
         let entitled = self.controller.may_answer(now) || extended;
@@ -170,24 +172,30 @@
             return self.controller.poll(now);
         }
         let epoch = self.epoch();
-        let leader = self.leader_in(epoch, now);
+        let leader = self.scheduler_in(epoch, now);
         leader.map(|l| l.poll(now)).unwrap_or_default()
     }
 
-    /// Answers a worker's report.
-    pub fn report(&mut self, report: Report, now: Micros) -> ReportAnswer {
+    /// Answers an agent's heartbeat.
+    pub fn heartbeat(&mut self, heartbeat: Heartbeat, now: Micros) -> HeartbeatAnswer {
         if self.controller.may_answer(now) || !self.may_answer(now) {
-            return self.controller.report(report, now);
+            return self.controller.agent_heartbeat(heartbeat, now);
         }
         let epoch = self.epoch();
-        let returned = self.view().gone.contains(&report.machine);
-        let nobody = ReportAnswer::Redirect { leader: None };
-        let Some(leader) = self.leader_in(epoch, now) else {
+        let returned = self
+            .records()
+            .returned_machines
+            .contains(&heartbeat.machine);
+        let nobody = HeartbeatAnswer::Redirect { leader: None };
+        let Some(leader) = self.scheduler_in(epoch, now) else {
             return nobody;
         };
-        let token = leader.term;
-        match leader.report(report, returned, now) {
-            Ok(orders) => ReportAnswer::Orders { token, orders },
+        let fencing_token = leader.term;
+        match leader.heartbeat(heartbeat, returned, now) {
+            Ok(commands) => HeartbeatAnswer::Commands {
+                fencing_token,
+                commands,
+            },
             Err(_) => nobody,
         }
     }
@@ -211,11 +219,11 @@
     pub fn follow(&mut self, store: &Store, now: Micros) {
         self.store_success_at = Some(now);
         if !self.controller.is_synced() {
-            let view = list(store);
-            let _ = self.controller.replace_records(view, now, now);
+            let records = list(store);
+            let _ = self.controller.replace_records(records, now, now);
             return;
         }
-        let from = self.view().rev;
+        let from = self.records().rev;
         let changes = store
             .changes(from)
             .map(|(revision, key, value)| RecordChange {
@@ -233,36 +241,47 @@
         let Some(announcement) = self.controller.announcement() else {
             return;
         };
-        let when = [(node_key(&self.name), announcement.expected_revision)];
-        let outcome = store.txn(&when, &[announcement.write], None);
-        let written = matches!(outcome, Outcome::Done(_));
+        let preconditions = [Precondition::new(
+            node_key(&self.name),
+            announcement.expected_revision,
+        )];
+        let outcome = store.txn(&preconditions, &[announcement.write], None);
+        let written = matches!(outcome, TransactionOutcome::Committed(_));
         self.controller
             .confirm_announcement(announcement.incarnation, written);
     }
 
     /// A heartbeat to a peer, as this node's version sends it.
-    pub fn heartbeat(&self, peer: &str, now: Micros) -> PeerStatus {
-        let status = self.controller.heartbeat(peer, self.store_health(now), now);
+    pub fn peer_heartbeat(&self, peer: &str, now: Micros) -> PeerStatus {
+        let status = self
+            .controller
+            .peer_heartbeat(peer, self.store_health(now), now);
         if self.old {
-            version_zero::status(status)
+            previous_version::status(status)
         } else {
             status
         }
     }
 
     /// Takes in a peer's heartbeat and answers it, as this node's version does.
-    pub fn heartbeat_received(&mut self, heartbeat: PeerStatus, now: Micros) -> PeerStatus {
+    pub fn peer_heartbeat_received(
+        &mut self,
+        peer_heartbeat: PeerStatus,
+        now: Micros,
+    ) -> PeerStatus {
         let store = self.store_health(now);
-        let answer = self.controller.heartbeat_received(heartbeat, store, now);
+        let answer = self
+            .controller
+            .peer_heartbeat_received(peer_heartbeat, store, now);
         if self.old {
-            version_zero::answer(answer, store)
+            previous_version::answer(answer, store)
         } else {
             answer
         }
     }
 
     /// Takes in the answer to a heartbeat that was sent at `asked_at` in `epoch`.
-    pub fn heartbeat_answered(
+    pub fn peer_heartbeat_answered(
         &mut self,
         answer: PeerStatus,
         asked_at: Micros,
@@ -278,7 +297,7 @@
             u64::MAX
         };
         self.controller
-            .heartbeat_answered(answer, asked_at, own, now);
+            .peer_heartbeat_answered(answer, asked_at, own, now);
     }
 
     /// The leadership lease could not be renewed: the state service does not answer.
@@ -296,14 +315,14 @@
 }
 
 /// The records as they stand.
-fn list(store: &Store) -> View {
-    let mut view = View::default();
+fn list(store: &Store) -> RecordCache {
+    let mut records = RecordCache::default();
     for (key, entry) in &store.keys {
         let Ok(value) = serde_json::value::RawValue::from_string(entry.value.clone()) else {
             continue;
         };
-        let _ = view.put(key, &value, entry.rev);
+        let _ = records.put(key, &value, entry.rev);
     }
-    view.rev = store.rev;
-    view
+    records.rev = store.rev;
+    records
 }
--- a/crates/saltpitch-testkit/src/version_zero.rs
+++ b/crates/saltpitch-testkit/src/previous_version.rs
@@ -1,5 +1,5 @@
 //! What a controller of protocol version 0 (commit 0eaad3a) does differently, modelled for upgrade
-//! tests: its heartbeats carry neither version nor acknowledgements, and as a leader it answers workers
+//! tests: its heartbeats carry neither version nor acknowledgements, and as a leader it answers agents
 //! beyond its bound while every peer says that it cannot reach the state service.
 
 use std::collections::BTreeMap;
--- a/crates/saltpitch-testkit/src/world/machines.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -1,12 +1,12 @@
-//! Machines: reports, leases, running tasks and gangs.
+//! Machines: heartbeats, leases, running tasks and gangs.
 
 use super::*;
 
-impl World {
-    pub(super) fn worker_tick(&mut self, name: &str) {
+impl Simulation {
+    pub(super) fn agent_tick(&mut self, name: &str) {
         let now = self.now;
         let times = self.times.clone();
-        let Some(m) = self.workers.get_mut(name) else {
+        let Some(m) = self.agents.get_mut(name) else {
             return;
         };
         if m.gone || now < m.boots_at {
@@ -46,28 +46,29 @@
         }
         let due = now >= m.next_report
             || (m.changed
-                && now.plus(times.report).since(m.next_report) > Micros::from_millis(500));
+                && now.plus(times.heartbeat_interval).since(m.next_report)
+                    > Micros::from_millis(500));
         let sends = due && m.waiting.is_none();
         if !done.is_empty() {
             m.changed = true;
         }
-        let report = sends.then(|| {
+        let heartbeat = sends.then(|| {
             m.changed = false;
-            m.next_report = now.plus(times.report);
-            let r = m.report();
-            m.waiting = Some((r.seq, now));
+            m.next_report = now.plus(times.heartbeat_interval);
+            let r = m.heartbeat();
+            m.waiting = Some((r.sequence, now));
             (r, m.target)
         });
         for (id, task) in done {
             self.done.entry(id).or_default().insert(task);
         }
-        if let Some((r, target)) = report {
-            if self.workers[name].mute_until > now {
+        if let Some((r, target)) = heartbeat {
+            if self.agents[name].outbound_cut_until > now {
                 // No connection: nothing of it ever arrives, and it tries the next node.
                 let name = name.to_owned();
-                let (session, seq) = (r.session, r.seq);
+                let (agent_epoch, sequence) = (r.agent_epoch, r.sequence);
                 return self.after(Micros::from_millis(50), move |w| {
-                    w.answered(&name, session, seq, None, None)
+                    w.answered(&name, agent_epoch, sequence, None, None)
                 });
             }
             // A cut holds packets and delivers them when it ends.
@@ -75,7 +76,10 @@
             let wait = held.plus(self.delay());
             if self.chance(self.faults.copies, 1.5) {
                 let copy = r.clone();
-                let (n, late) = (self.luck(3) as usize, 1_000 + self.luck(60_000));
+                let (n, late) = (
+                    self.random_below(3) as usize,
+                    1_000 + self.random_below(60_000),
+                );
                 self.after(wait.plus(Micros::from_millis(late)), move |w| {
                     w.deliver_copy(n, copy)
                 });
@@ -84,21 +88,21 @@
         }
     }
 
-    /// A copy of an old report: whatever is answered, nobody listens.
-    pub fn deliver_copy(&mut self, n: usize, r: Report) {
+    /// A copy of an old heartbeat: whatever is answered, nobody listens.
+    pub fn deliver_copy(&mut self, n: usize, r: Heartbeat) {
         let now = self.now;
         let frozen = self.nodes[n].frozen(now);
         if frozen > Micros::ZERO {
             return self.after(frozen, move |w| w.deliver_copy(n, r));
         }
         if self.nodes[n].may_answer(now) {
-            let answer = self.nodes[n].report(r, now);
+            let answer = self.nodes[n].heartbeat(r, now);
             self.trace.report_answer(n, &answer, now);
             self.poll(n);
         }
     }
 
-    fn deliver(&mut self, n: usize, r: Report) {
+    fn deliver(&mut self, n: usize, r: Heartbeat) {
         let now = self.now;
         let frozen = self.nodes[n].frozen(now);
         if frozen > Micros::ZERO {
@@ -107,46 +111,54 @@
         if !self.nodes[n].is_up(now) {
             return;
         }
-        let (name, session, seq) = (r.machine.clone(), r.session, r.seq);
+        let (name, agent_epoch, sequence) = (r.machine.clone(), r.agent_epoch, r.sequence);
         if !self.nodes[n].started {
             return;
         }
-        let answer = self.nodes[n].report(r, now);
+        let answer = self.nodes[n].heartbeat(r, now);
         self.trace.report_answer(n, &answer, now);
         let (answer, leader) = match answer {
-            ReportAnswer::Orders { token, orders } => (Some((token, orders)), None),
-            ReportAnswer::Redirect { leader } => (None, leader),
+            HeartbeatAnswer::Commands {
+                fencing_token,
+                commands,
+            } => (Some((fencing_token, commands)), None),
+            HeartbeatAnswer::Redirect { leader } => (None, leader),
         };
         self.poll(n);
         let leader = leader.and_then(|name| self.nodes.iter().position(|x| x.name == name));
-        // A cut that began meanwhile holds the answer, and the worker drops it then.
+        // A cut that began meanwhile holds the answer, and the agent drops it then.
         let d = self.cut(n, &name).plus(self.delay());
-        self.after(d, move |w| w.answered(&name, session, seq, answer, leader));
+        self.after(d, move |w| {
+            w.answered(&name, agent_epoch, sequence, answer, leader)
+        });
     }
 
     pub(super) fn answered(
         &mut self,
         name: &str,
-        session: u64,
-        seq: u64,
-        answer: Option<(u64, Vec<Order>)>,
+        agent_epoch: u64,
+        sequence: u64,
+        answer: Option<(u64, Vec<Command>)>,
         leader: Option<usize>,
     ) {
         let now = self.now;
-        let hears = |m: &&mut Worker| m.is_up(now) && now >= m.deaf_until;
-        let Some(m) = self.workers.get_mut(name).filter(hears) else {
+        let hears = |m: &&mut Agent| m.is_up(now) && now >= m.inbound_cut_until;
+        let Some(m) = self.agents.get_mut(name).filter(hears) else {
             return;
         };
-        let Some((waiting, sent)) = m.waiting.filter(|w| w.0 == seq && m.session == session) else {
+        let Some((waiting, sent)) = m
+            .waiting
+            .filter(|w| w.0 == sequence && m.agent_epoch == agent_epoch)
+        else {
             return;
         };
-        debug_assert_eq!(waiting, seq);
+        debug_assert_eq!(waiting, sequence);
         m.waiting = None;
         match answer {
-            Some((token, orders)) => {
-                if m.take_token(token) {
+            Some((fencing_token, commands)) => {
+                if m.take_token(fencing_token) {
                     m.lease_from = sent;
-                    self.execute(name, &orders);
+                    self.execute(name, &commands);
                 }
             }
             None => {
@@ -162,7 +174,7 @@
         let ids: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.spec.kind == Kind::Gang)
+            .filter(|(_, j)| j.spec.kind == JobKind::Gang)
             .map(|(id, _)| id.clone())
             .collect();
         for id in ids {
@@ -216,7 +228,7 @@
                     }
                 }
                 self.done.entry(id.clone()).or_default().extend(0..n);
-                for m in self.workers.values_mut() {
+                for m in self.agents.values_mut() {
                     m.changed = true;
                 }
             }
@@ -225,7 +237,7 @@
 
     fn members<'a>(&'a mut self, id: &'a str) -> impl Iterator<Item = &'a mut Held> {
         let now = self.now;
-        self.workers
+        self.agents
             .values_mut()
             .filter(move |m| m.is_up(now))
             .flat_map(|m| m.tasks.iter_mut())
@@ -240,7 +252,7 @@
         return false;
     }
     match h.state {
-        TaskState::Fetching if spec.kind == Kind::Gang => {
+        TaskState::Fetching if spec.kind == JobKind::Gang => {
             h.state = TaskState::Waiting;
             h.until = now;
             false
@@ -250,7 +262,7 @@
             h.until = now.plus(h.run);
             false
         }
-        TaskState::Running if spec.kind == Kind::Array => {
+        TaskState::Running if spec.kind == JobKind::Array => {
             h.state = TaskState::Exited {
                 cause: Cause::Done,
                 saved: false,
--- a/crates/saltpitch-testkit/src/world/cloud.rs
+++ b/crates/saltpitch-testkit/src/simulation/cloud.rs
@@ -1,8 +1,8 @@
-//! The cloud: rentals and its list of machines.
+//! The cloud: scale-out requests and its list of machines.
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn rent(
         &mut self,
         request: &str,
@@ -10,18 +10,18 @@
         zone: &str,
         spot: bool,
         n: u32,
-    ) -> Rented {
+    ) -> ScaleOutOutcome {
         if let Some(names) = self.requests.get(request) {
-            return Rented::Machines(names.clone());
+            return ScaleOutOutcome::Machines(names.clone());
         }
         let there = self
-            .workers
+            .agents
             .values()
             .filter(|m| !m.gone && m.type_name == type_name && m.zone == zone && m.spot == spot)
             .count() as u32;
         let n = n.min(self.machine_limit.saturating_sub(there));
         if n == 0 {
-            return Rented::NoCapacity;
+            return ScaleOutOutcome::NoCapacity;
         }
         let size = self
             .catalog
@@ -34,16 +34,16 @@
             let name = format!("vm-{:06}", self.next_machine);
             // Some take long, a few never come up, and some are slow once they are.
             let odd = self.faults.machines && self.now < self.quiet_from;
-            let boot = match self.luck(12) {
+            let boot = match self.random_below(12) {
                 0 if odd => Micros::from_secs(1_000_000),
                 1 if odd => Micros::from_secs(45),
-                _ => Micros::from_secs(1 + self.luck(14)),
+                _ => Micros::from_secs(1 + self.random_below(14)),
             };
-            let slow = odd && self.luck(6) == 0;
-            let target = self.luck(3) as usize;
-            self.workers.insert(
+            let slow = odd && self.random_below(6) == 0;
+            let target = self.random_below(3) as usize;
+            self.agents.insert(
                 name.clone(),
-                Worker {
+                Agent {
                     name: name.clone(),
                     type_name: type_name.to_owned(),
                     zone: zone.to_owned(),
@@ -53,11 +53,11 @@
                     boots_at: self.now.plus(boot),
                     gone: false,
                     hung_until: Micros::ZERO,
-                    deaf_until: Micros::ZERO,
-                    mute_until: Micros::ZERO,
-                    session: 1,
-                    seq: 0,
-                    token: 0,
+                    inbound_cut_until: Micros::ZERO,
+                    outbound_cut_until: Micros::ZERO,
+                    agent_epoch: 1,
+                    sequence: 0,
+                    fencing_token: 0,
                     lease_from: self.now.plus(boot),
                     notice: None,
                     tasks: BTreeMap::new(),
@@ -70,12 +70,12 @@
             names.push(name);
         }
         self.requests.insert(request.to_owned(), names.clone());
-        Rented::Machines(names)
+        ScaleOutOutcome::Machines(names)
     }
 
     pub(super) fn list(&mut self, n: usize) {
         let list: Vec<ListedMachine> = self
-            .workers
+            .agents
             .values()
             .filter(|m| !m.gone)
             .map(|m| ListedMachine {
@@ -90,11 +90,11 @@
             .collect();
         let epoch = self.nodes[n].epoch();
         // The list lags.
-        let lag = Micros::from_secs(self.luck(12));
+        let lag = Micros::from_secs(self.random_below(12));
         self.after(lag, move |w| {
-            let gone = w.nodes[n].view().gone.clone();
-            w.tell(n, epoch, move |l, now| {
-                l.listed(&list, &|x| gone.contains(x), now)
+            let gone = w.nodes[n].records().returned_machines.clone();
+            w.tell(n, epoch, move |scheduler, now| {
+                scheduler.listed(&list, &|x| gone.contains(x), now)
             });
         });
     }
--- a/crates/saltpitch-testkit/src/world/controllers.rs
+++ b/crates/saltpitch-testkit/src/simulation/controllers.rs
@@ -19,16 +19,16 @@
 
 /// A bid whose transaction is under way.
 struct PendingBid {
-    bid: Bid,
+    campaign: ElectionAttempt,
     store_lease: u64,
     opened_at: Micros,
 }
 
-impl World {
+impl Simulation {
     /// How long until node `n` and this machine can reach each other.
     pub(super) fn cut(&self, n: usize, machine: &str) -> Micros {
         let node = &self.nodes[n];
-        let zone = self.workers.get(machine).map(|m| m.zone.as_str());
+        let zone = self.agents.get(machine).map(|m| m.zone.as_str());
         let apart = if zone == Some(node.zone.as_str()) {
             Micros::ZERO
         } else {
@@ -39,8 +39,8 @@
 
     /// How long what is sent to this machine is held back.
     pub(super) fn unheard(&self, machine: &str) -> Micros {
-        let m = self.workers.get(machine);
-        m.map_or(Micros::ZERO, |m| m.deaf_until.since(self.now))
+        let m = self.agents.get(machine);
+        m.map_or(Micros::ZERO, |m| m.inbound_cut_until.since(self.now))
     }
 
     pub(super) fn node_tick(&mut self, n: usize) {
@@ -66,7 +66,7 @@
                     self.resign(n, reaches);
                 }
             }
-            None if reaches && self.stands(n) => self.elect(n),
+            None if reaches && self.should_campaign(n) => self.elect(n),
             _ => {}
         }
         self.poll(n);
@@ -95,17 +95,17 @@
     }
 
     /// Whether to stand for election now.
-    fn stands(&mut self, n: usize) -> bool {
+    fn should_campaign(&mut self, n: usize) -> bool {
         let (now, random) = (self.now, self.rng.random());
         let node = &mut self.nodes[n];
         match node.controller.candidacy(now, random) {
             Candidacy::No => {
-                node.vacant_since = None;
+                node.leaderless_since = None;
                 false
             }
             Candidacy::AtOnce => true,
             Candidacy::After(delay) => {
-                let since = *node.vacant_since.get_or_insert(now);
+                let since = *node.leaderless_since.get_or_insert(now);
                 now.since(since) >= delay
             }
         }
@@ -118,28 +118,36 @@
             return;
         }
         let now = self.now;
-        self.nodes[n].vacant_since = None;
+        self.nodes[n].leaderless_since = None;
         let epoch = self.nodes[n].epoch();
-        let bid = self.nodes[n].controller.bid(now);
-        let store_lease = self.store.open_hold(LEADERSHIP_LEASE, now);
-        let (Some(bid), Some(store_lease)) = (bid, store_lease) else {
+        let campaign = self.nodes[n].controller.campaign(now);
+        let store_lease = self.store.grant_lease(LEADERSHIP_LEASE, now);
+        let (Some(campaign), Some(store_lease)) = (campaign, store_lease) else {
             self.nodes[n].bidding = false;
             return;
         };
-        let lost = self.faults.losses && self.luck(5) == 0;
+        let lost = self.faults.losses && self.random_below(5) == 0;
         let delay = if lost {
-            self.luck(4_000)
+            self.random_below(4_000)
         } else {
-            self.luck(300)
+            self.random_below(300)
         };
         self.after(Micros::from_millis(delay), move |w| {
             // Sent is sent: it is carried out whether or not the process still lives.
             let attached = Some((store_lease, LEADER_KEY));
-            let outcome = w.store.txn(&bid.when, &bid.writes, attached);
-            let outcome = if lost { Outcome::Unknown } else { outcome };
-            let d = Micros::from_millis(w.luck(300));
+            let outcome = w.store.txn(
+                &campaign.transaction.preconditions,
+                &campaign.transaction.writes,
+                attached,
+            );
+            let outcome = if lost {
+                TransactionOutcome::Unknown
+            } else {
+                outcome
+            };
+            let d = Micros::from_millis(w.random_below(300));
             let pending = PendingBid {
-                bid,
+                campaign,
                 store_lease,
                 opened_at: now,
             };
@@ -147,7 +155,13 @@
         });
     }
 
-    fn bid_answered(&mut self, n: usize, epoch: u64, pending: PendingBid, outcome: Outcome) {
+    fn bid_answered(
+        &mut self,
+        n: usize,
+        epoch: u64,
+        pending: PendingBid,
+        outcome: TransactionOutcome,
+    ) {
         let now = self.now;
         let node = &mut self.nodes[n];
         if node.epoch() != epoch || !node.is_up(now) {
@@ -159,29 +173,29 @@
             return;
         }
         let PendingBid {
-            bid,
+            campaign,
             store_lease,
             opened_at,
         } = pending;
         let elected = match outcome {
-            Outcome::Done(revision) => {
+            TransactionOutcome::Committed(revision) => {
                 node.follow(&self.store, now);
                 let controller = &mut node.controller;
-                controller.elected(bid, store_lease, revision, opened_at, now, now)
+                controller.elected(campaign, store_lease, revision, opened_at, now, now)
             }
             _ => false,
         };
         if !elected {
-            self.store.drop_hold(store_lease);
+            self.store.revoke_lease(store_lease);
         }
     }
 
     /// What a node's version makes of the settings.
-    fn scheduler_config(&self, n: usize) -> Config {
-        let mut config = self.cfg.clone();
+    fn scheduler_config(&self, n: usize) -> SchedulerConfig {
+        let mut config = self.config.clone();
         if let Some((bytes, ops, rate)) = self.next_limits.filter(|_| !self.nodes[n].old) {
-            config.value_bytes = config.value_bytes.min(bytes);
-            config.txn_ops = config.txn_ops.min(ops);
+            config.max_value_bytes = config.max_value_bytes.min(bytes);
+            config.max_transaction_writes = config.max_transaction_writes.min(ops);
             config.next_write_rate = f64::from(rate) * 0.7;
         }
         config
@@ -190,7 +204,7 @@
     fn renew(&mut self, n: usize, store_lease: u64, reaches: bool) {
         let now = self.now;
         let answer = if reaches {
-            self.store.touch(store_lease, now)
+            self.store.keep_alive(store_lease, now)
         } else {
             None
         };
@@ -206,7 +220,7 @@
         let (asked_at, epoch) = (self.now, self.nodes[n].epoch());
         for peer in (0..self.nodes.len()).filter(|peer| *peer != n) {
             let name = self.nodes[peer].name.clone();
-            let heartbeat = self.nodes[n].heartbeat(&name, asked_at);
+            let peer_heartbeat = self.nodes[n].peer_heartbeat(&name, asked_at);
             let exchange = Exchange {
                 from: n,
                 to: peer,
@@ -214,11 +228,11 @@
                 epoch,
             };
             let d = self.delay();
-            self.after(d, move |w| w.heartbeat_arrives(exchange, heartbeat));
+            self.after(d, move |w| w.heartbeat_arrives(exchange, peer_heartbeat));
         }
     }
 
-    fn heartbeat_arrives(&mut self, exchange: Exchange, heartbeat: PeerStatus) {
+    fn heartbeat_arrives(&mut self, exchange: Exchange, peer_heartbeat: PeerStatus) {
         let now = self.now;
         let (from, to) = (&self.nodes[exchange.from], &self.nodes[exchange.to]);
         let apart = from.zone != to.zone && now < self.apart_until;
@@ -228,30 +242,32 @@
         }
         let frozen = to.frozen(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |w| w.heartbeat_arrives(exchange, heartbeat));
+            return self.after(frozen, move |w| {
+                w.heartbeat_arrives(exchange, peer_heartbeat)
+            });
         }
-        let answer = self.nodes[exchange.to].heartbeat_received(heartbeat, now);
+        let answer = self.nodes[exchange.to].peer_heartbeat_received(peer_heartbeat, now);
         self.trace.heartbeat_answer(&answer, now);
         if now.since(exchange.asked_at) > HEARTBEAT_TIMEOUT {
             return;
         }
         let d = self.delay();
-        self.after(d, move |w| w.heartbeat_answered(exchange, answer));
+        self.after(d, move |w| w.peer_heartbeat_answered(exchange, answer));
     }
 
-    fn heartbeat_answered(&mut self, exchange: Exchange, answer: PeerStatus) {
+    fn peer_heartbeat_answered(&mut self, exchange: Exchange, answer: PeerStatus) {
         let now = self.now;
         let n = exchange.from;
         let frozen = self.nodes[n].frozen(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |w| w.heartbeat_answered(exchange, answer));
+            return self.after(frozen, move |w| w.peer_heartbeat_answered(exchange, answer));
         }
         let node = &mut self.nodes[n];
         let same_process = node.epoch() / 1_000_000 == exchange.epoch / 1_000_000;
         if !node.is_up(now) || !same_process {
             return;
         }
-        node.heartbeat_answered(answer, exchange.asked_at, exchange.epoch, now);
+        node.peer_heartbeat_answered(answer, exchange.asked_at, exchange.epoch, now);
         self.poll(n);
     }
 
@@ -262,8 +278,15 @@
         let Some(resignation) = node.controller.resign(now, now) else {
             return;
         };
-        let (when, writes) = (&resignation.when, &resignation.writes);
-        let written = reaches && matches!(self.store.txn(when, writes, None), Outcome::Done(_));
+        let Transaction {
+            preconditions,
+            writes,
+        } = &resignation.transaction;
+        let written = reaches
+            && matches!(
+                self.store.txn(preconditions, writes, None),
+                TransactionOutcome::Committed(_)
+            );
         if !written {
             node.controller.resignation_failed();
         }
@@ -281,15 +304,15 @@
         &mut self,
         n: usize,
         epoch: u64,
-        deliver: impl FnOnce(&mut Leader, Micros) + 'static,
+        deliver: impl FnOnce(&mut Scheduler, Micros) + 'static,
     ) {
         let now = self.now;
         let frozen = self.nodes[n].frozen(now);
         if frozen > Micros::ZERO {
             return self.after(frozen, move |w| w.tell(n, epoch, deliver));
         }
-        if let Some(leader) = self.nodes[n].leader_in(epoch, now) {
-            deliver(leader, now);
+        if let Some(scheduler) = self.nodes[n].scheduler_in(epoch, now) {
+            deliver(scheduler, now);
             self.poll(n);
         }
     }
--- a/crates/saltpitch-testkit/src/world/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -1,80 +1,90 @@
-//! What the schedulers want done: transactions, orders, probes, rentals and returns.
+//! What the schedulers want done: transactions, commands, probes, scale-out requests and returns.
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn carry_out(&mut self, n: usize, epoch: u64, e: Effect) {
         self.trace.effect(n, &e, self.now);
         match e {
-            Effect::Txn { when, writes } => self.send_txn(n, epoch, when, writes),
-            Effect::Refresh => {
+            Effect::Commit(transaction) => self.send_transaction(n, epoch, transaction),
+            Effect::ReloadRecords => {
                 let d = self.delay();
                 self.after(d, move |w| w.refresh(n, epoch));
             }
-            Effect::Orders {
+            Effect::SendCommands {
                 machine,
-                session,
-                token,
-                orders,
+                agent_epoch,
+                fencing_token,
+                commands,
                 ..
-            } => self.send_orders(n, epoch, machine, session, token, orders),
+            } => self.send_orders(n, epoch, machine, agent_epoch, fencing_token, commands),
             Effect::Probe { machine, .. } => {
                 let d = self.delay();
                 self.after(d, move |w| {
                     if w.cut(n, &machine).max(w.unheard(&machine)) > Micros::ZERO {
-                        w.tell(n, epoch, move |l, now| l.probe_failed(&machine, now));
+                        w.tell(n, epoch, move |scheduler, now| {
+                            scheduler.probe_failed(&machine, now)
+                        });
                         return;
                     }
                     let now = w.now;
                     let r = w
-                        .workers
+                        .agents
                         .get_mut(&*machine)
                         .filter(|m| m.is_up(now))
-                        .map(Worker::report);
+                        .map(Agent::heartbeat);
                     if r.is_none() {
-                        w.tell(n, epoch, move |l, now| l.probe_failed(&machine, now));
+                        w.tell(n, epoch, move |scheduler, now| {
+                            scheduler.probe_failed(&machine, now)
+                        });
                     }
                     if let Some(r) = r {
                         let d = w.delay();
                         w.after(d, move |w| {
-                            w.tell(n, epoch, move |l, now| l.heard_directly(r, now));
+                            w.tell(n, epoch, move |scheduler, now| {
+                                scheduler.probe_answered(r, now)
+                            });
                         });
                     }
                 });
             }
-            Effect::Rent {
+            Effect::ScaleOut {
                 request,
                 type_name,
                 zone,
                 spot,
                 count,
             } => {
-                let lost = self.faults.losses && self.luck(8) == 0;
+                let lost = self.faults.losses && self.random_below(8) == 0;
                 let d = self.delay();
                 self.after(d, move |w| {
                     let end = w.rent(&request, &type_name, &zone, spot, count);
                     let (end, wait) = if lost {
-                        (Rented::Unknown, Micros::from_secs(4))
+                        (ScaleOutOutcome::Unknown, Micros::from_secs(4))
                     } else {
                         (end, Micros::from_millis(100))
                     };
                     w.after(wait, move |w| {
-                        w.tell(n, epoch, move |l, now| l.rented(&request, end, now));
+                        w.tell(n, epoch, move |scheduler, now| {
+                            scheduler.rented(&request, end, now)
+                        });
                     });
                 });
             }
-            Effect::Return { names } => {
-                let late = Micros::from_millis(100 + self.luck(3_000));
+            Effect::ScaleIn { names } => {
+                let late = Micros::from_millis(100 + self.random_below(3_000));
                 self.after(late, move |w| {
                     for name in &names {
                         let now = w.now;
-                        if let Some(m) = w.workers.get_mut(&**name) {
+                        if let Some(m) = w.agents.get_mut(&**name) {
                             let busy = m.tasks.values().any(Held::on);
                             w.returned_alive += u64::from(m.is_up(now) && busy);
                             m.gone = true;
                         }
                     }
-                    w.tell(n, epoch, move |l, now| l.returned(&names, now));
+                    w.tell(n, epoch, move |scheduler, now| {
+                        scheduler.returned(&names, now)
+                    });
                 });
             }
             Effect::RaiseTerm => self.raise_term(n, epoch),
@@ -87,15 +97,19 @@
             return;
         };
         let outcome = if node.reaches_store(&self.store, self.now) {
-            self.store.txn(&increment.when, &[increment.write], None)
+            self.store.txn(
+                &increment.transaction.preconditions,
+                &increment.transaction.writes,
+                None,
+            )
         } else {
-            Outcome::Refused
+            TransactionOutcome::Unavailable
         };
         let d = self.delay();
         self.after(d, move |w| {
             w.tell(n, epoch, move |l, _| match outcome {
-                Outcome::Done(revision) => l.term_raised(increment.term, revision),
-                _ => l.raise_failed(),
+                TransactionOutcome::Committed(revision) => l.term_raised(increment.term, revision),
+                _ => l.term_raise_failed(),
             });
         });
     }
@@ -120,77 +134,89 @@
     }
 
     /// A transaction may be applied late, and its answer may be lost.
-    fn send_txn(&mut self, n: usize, epoch: u64, when: Vec<(String, u64)>, writes: Vec<Write>) {
+    fn send_transaction(&mut self, n: usize, epoch: u64, transaction: Transaction) {
+        let Transaction {
+            preconditions,
+            writes,
+        } = transaction;
         let cut = self.now < self.nodes[n].no_store_until;
         if cut {
             let end = self.nodes[n].no_store_until.since(self.now);
             self.after(end, move |w| {
-                w.store.txn(&when, &writes, None);
+                w.store.txn(&preconditions, &writes, None);
             });
             self.after(Micros::from_millis(1_500), move |w| {
-                w.tell(n, epoch, move |l, now| l.committed(Outcome::Unknown, now));
+                w.tell(n, epoch, move |scheduler, now| {
+                    scheduler.committed(TransactionOutcome::Unknown, now)
+                });
             });
             return;
         }
-        if self.faults.losses && self.luck(20) == 0 {
+        if self.faults.losses && self.random_below(20) == 0 {
             // Above its rate the store refuses.
             self.after(Micros::from_millis(5), move |w| {
-                w.tell(n, epoch, move |l, now| l.committed(Outcome::Refused, now));
+                w.tell(n, epoch, move |scheduler, now| {
+                    scheduler.committed(TransactionOutcome::Unavailable, now)
+                });
             });
             return;
         }
         let after_newer = self.now < self.late_writes_until
-            || (self.faults.late_writes && self.now < self.quiet_from && self.luck(12) == 0);
-        let lost = after_newer || (self.faults.losses && self.luck(15) == 0);
+            || (self.faults.late_writes
+                && self.now < self.quiet_from
+                && self.random_below(12) == 0);
+        let lost = after_newer || (self.faults.losses && self.random_below(15) == 0);
         let late = if after_newer {
-            2_000 + self.luck(10_000)
+            2_000 + self.random_below(10_000)
         } else if lost {
-            self.luck(8_000)
+            self.random_below(8_000)
         } else {
-            self.luck(30)
+            self.random_below(30)
         };
         if lost {
             self.after(Micros::from_millis(1_500), move |w| {
-                w.tell(n, epoch, move |l, now| l.committed(Outcome::Unknown, now));
+                w.tell(n, epoch, move |scheduler, now| {
+                    scheduler.committed(TransactionOutcome::Unknown, now)
+                });
             });
         }
         self.after(Micros::from_millis(late), move |w| {
-            let done = w.store.txn(&when, &writes, None);
+            let done = w.store.txn(&preconditions, &writes, None);
             if lost {
                 return;
             }
             let d = w.delay();
             w.after(d, move |w| {
                 let deposed =
-                    matches!(&done, Outcome::Failed(k) if k.iter().any(|k| k == TERM_KEY));
+                    matches!(&done, TransactionOutcome::Conflict(k) if k.iter().any(|k| k == TERM_KEY));
                 if deposed && w.nodes[n].epoch() == epoch {
                     let controller = &mut w.nodes[n].controller;
                     controller.term_conflict(controller.epoch());
                 }
-                w.tell(n, epoch, move |l, now| l.committed(done, now));
+                w.tell(n, epoch, move |scheduler, now| scheduler.committed(done, now));
             });
         });
     }
 
-    /// Direct orders may be executed long after the sender gave up.
+    /// Direct commands may be executed long after the sender gave up.
     fn send_orders(
         &mut self,
         n: usize,
         epoch: u64,
         machine: Arc<str>,
-        session: u64,
-        token: u64,
-        orders: Vec<Order>,
+        agent_epoch: u64,
+        fencing_token: u64,
+        commands: Vec<Command>,
     ) {
-        let starts = orders.iter().any(|o| matches!(o, Order::Start { .. }));
+        let starts = commands.iter().any(|o| matches!(o, Command::Start { .. }));
         let cut = self.cut(n, &machine).max(self.unheard(&machine));
         let hung = self
-            .workers
+            .agents
             .get(&*machine)
             .map_or(Micros::ZERO, |m| m.hung_until.since(self.now));
-        let lost = self.faults.losses && self.luck(15) == 0;
+        let lost = self.faults.losses && self.random_below(15) == 0;
         let late = cut.max(hung).plus(if lost {
-            Micros::from_millis(self.luck(20_000))
+            Micros::from_millis(self.random_below(20_000))
         } else {
             self.delay()
         });
@@ -198,13 +224,20 @@
         if unanswered {
             let machine = machine.clone();
             self.after(Micros::from_millis(1_500), move |w| {
-                w.tell(n, epoch, move |l, now| {
-                    l.ordered(&machine, session, token, starts, Ordered::Unknown, now);
+                w.tell(n, epoch, move |scheduler, now| {
+                    scheduler.command_ended(
+                        &machine,
+                        agent_epoch,
+                        fencing_token,
+                        starts,
+                        CommandOutcome::Unknown,
+                        now,
+                    );
                 });
             });
         }
         self.after(late, move |w| {
-            let Some(r) = w.direct(&machine, session, token, &orders) else {
+            let Some(r) = w.direct(&machine, agent_epoch, fencing_token, &commands) else {
                 return;
             };
             if unanswered {
@@ -212,8 +245,8 @@
             }
             let d = w.delay();
             w.after(d, move |w| {
-                w.tell(n, epoch, move |l, now| {
-                    l.ordered(&machine, session, token, starts, r, now);
+                w.tell(n, epoch, move |scheduler, now| {
+                    scheduler.command_ended(&machine, agent_epoch, fencing_token, starts, r, now);
                 });
             });
         });
@@ -222,37 +255,37 @@
     fn direct(
         &mut self,
         machine: &str,
-        session: u64,
-        token: u64,
-        orders: &[Order],
-    ) -> Option<Ordered> {
+        agent_epoch: u64,
+        fencing_token: u64,
+        commands: &[Command],
+    ) -> Option<CommandOutcome> {
         let now = self.now;
-        let m = self.workers.get_mut(machine).filter(|m| m.is_up(now))?;
-        if m.session != session || !m.take_token(token) {
-            return Some(Ordered::Stale(m.report()));
+        let m = self.agents.get_mut(machine).filter(|m| m.is_up(now))?;
+        if m.agent_epoch != agent_epoch || !m.take_token(fencing_token) {
+            return Some(CommandOutcome::Stale(m.heartbeat()));
         }
-        self.execute(machine, orders);
-        let m = self.workers.get_mut(machine)?;
-        Some(Ordered::Done(m.report()))
+        self.execute(machine, commands);
+        let m = self.agents.get_mut(machine)?;
+        Some(CommandOutcome::Executed(m.heartbeat()))
     }
 
-    pub(super) fn execute(&mut self, machine: &str, orders: &[Order]) {
+    pub(super) fn execute(&mut self, machine: &str, commands: &[Command]) {
         let now = self.now;
-        let World {
-            workers,
+        let Simulation {
+            agents,
             jobs,
             done,
             rng,
             ..
         } = self;
-        let Some(m) = workers.get_mut(machine) else {
+        let Some(m) = agents.get_mut(machine) else {
             return;
         };
-        for o in orders {
-            let Order::Start { job, task, .. } = o else {
+        for o in commands {
+            let Command::Start { job, task, .. } = o else {
                 continue;
             };
-            for need in jobs.get(&**job).iter().flat_map(|j| &j.spec.needs) {
+            for need in jobs.get(&**job).iter().flat_map(|j| &j.spec.dependencies) {
                 let all = jobs.get(need).map_or(0, |j| j.spec.tasks as usize);
                 if done.get(need).map_or(0, BTreeSet::len) < all {
                     self.too_early = Some(format!("{job}/{task}, which needs {need}"));
@@ -267,7 +300,7 @@
         }
         let spec_of = |id: &str| jobs.get(id).map(|j| j.spec.clone());
         m.execute(
-            orders,
+            commands,
             &spec_of,
             &mut |n| rng.random_range(0..n.max(1)),
             now,
--- a/crates/saltpitch-testkit/src/world/troubles.rs
+++ b/crates/saltpitch-testkit/src/simulation/fault_injection.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn chance(&mut self, on: bool, per_s: f64) -> bool {
         on && self.now < self.quiet_from && self.rng.random_bool(per_s * 0.1)
     }
 
-    pub(super) fn troubles(&mut self) {
+    pub(super) fn inject_faults(&mut self) {
         let f = self.faults;
         if self.chance(f.crashes, 0.02) {
-            let n = self.luck(3) as usize;
+            let n = self.random_below(3) as usize;
             self.crash(n);
         }
         if self.chance(f.crashes, 0.004) {
@@ -19,9 +19,9 @@
             }
         }
         if self.chance(f.cuts, 0.02) {
-            let n = self.luck(3) as usize;
-            let until = self.now.plus(Micros::from_secs(3 + self.luck(40)));
-            match self.luck(3) {
+            let n = self.random_below(3) as usize;
+            let until = self.now.plus(Micros::from_secs(3 + self.random_below(40)));
+            match self.random_below(3) {
                 0 => self.nodes[n].no_store_until = until,
                 1 => self.nodes[n].no_workers_until = until,
                 _ => {
@@ -31,42 +31,43 @@
             }
         }
         if self.chance(f.zone_cuts, 0.02) && self.now >= self.apart_until {
-            let wait = Micros::from_secs(3 + self.luck(30));
+            let wait = Micros::from_secs(3 + self.random_below(30));
             self.apart_until = self.now.plus(wait);
         }
         if self.chance(f.freezes, 0.02) {
-            let n = self.luck(3) as usize;
-            self.nodes[n].frozen_until = self.now.plus(Micros::from_secs(1 + self.luck(45)));
+            let n = self.random_below(3) as usize;
+            self.nodes[n].frozen_until =
+                self.now.plus(Micros::from_secs(1 + self.random_below(45)));
         }
         if self.chance(f.outages, 0.01) {
             self.store.down = true;
-            let wait = Micros::from_secs(2 + self.luck(25));
+            let wait = Micros::from_secs(2 + self.random_below(25));
             self.after(wait, |w| w.store.down = false);
         }
-        if self.chance(f.deaf, 0.03) && !self.workers.is_empty() {
-            let until = self.now.plus(Micros::from_secs(3 + self.luck(60)));
+        if self.chance(f.inbound_partition, 0.03) && !self.agents.is_empty() {
+            let until = self.now.plus(Micros::from_secs(3 + self.random_below(60)));
             // One, or a group of them.
-            for _ in 0..1 + self.luck(3) {
-                let at = self.luck(self.workers.len() as u64) as usize;
-                if let Some(m) = self.workers.values_mut().nth(at) {
-                    m.deaf_until = until;
+            for _ in 0..1 + self.random_below(3) {
+                let at = self.random_below(self.agents.len() as u64) as usize;
+                if let Some(m) = self.agents.values_mut().nth(at) {
+                    m.inbound_cut_until = until;
                 }
             }
         }
-        if self.chance(f.mute, 0.03) && !self.workers.is_empty() {
-            let until = self.now.plus(Micros::from_secs(3 + self.luck(60)));
-            for _ in 0..1 + self.luck(3) {
-                let at = self.luck(self.workers.len() as u64) as usize;
-                if let Some(m) = self.workers.values_mut().nth(at) {
-                    m.mute_until = until;
+        if self.chance(f.outbound_partition, 0.03) && !self.agents.is_empty() {
+            let until = self.now.plus(Micros::from_secs(3 + self.random_below(60)));
+            for _ in 0..1 + self.random_below(3) {
+                let at = self.random_below(self.agents.len() as u64) as usize;
+                if let Some(m) = self.agents.values_mut().nth(at) {
+                    m.outbound_cut_until = until;
                 }
             }
         }
-        if self.chance(f.machines, 0.05) && !self.workers.is_empty() {
-            let at = self.luck(self.workers.len() as u64) as usize;
-            let (kind, wait) = (self.luck(3), self.luck(25));
+        if self.chance(f.machines, 0.05) && !self.agents.is_empty() {
+            let at = self.random_below(self.agents.len() as u64) as usize;
+            let (kind, wait) = (self.random_below(3), self.random_below(25));
             let now = self.now;
-            if let Some(m) = self.workers.values_mut().nth(at) {
+            if let Some(m) = self.agents.values_mut().nth(at) {
                 match kind {
                     0 => m.gone = true,
                     1 => m.hung_until = now.plus(Micros::from_secs(1 + wait)),
@@ -75,7 +76,7 @@
                         m.changed = true;
                         let name = m.name.clone();
                         self.after(Micros::from_secs(8), move |w| {
-                            if let Some(m) = w.workers.get_mut(&name) {
+                            if let Some(m) = w.agents.get_mut(&name) {
                                 m.gone = true;
                             }
                         });
@@ -88,7 +89,7 @@
 
     /// Ends a node's process; it is back after a while, now and then at once.
     pub fn crash(&mut self, n: usize) {
-        let wait = if self.luck(3) == 0 {
+        let wait = if self.random_below(3) == 0 {
             Micros::from_millis(200)
         } else {
             Micros::from_secs(5)
--- a/crates/saltpitch-testkit/src/world/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The whole site in virtual time: nodes, store, cloud, workers, users, and a network that delays,
+//! The whole site in virtual time: nodes, store, cloud, agents, users, and a network that delays,
 //! loses, holds and repeats.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -7,37 +7,38 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
-use saltpitch_core::cluster::{Cause, Order, Report, TaskState};
-use saltpitch_core::controller::{Candidacy, LossReason, ReportAnswer};
-use saltpitch_core::job::{JobSpec, JobState, Kind, Priority};
-use saltpitch_core::leader::{
-    Aim, Config, Effect, Leader, ListedMachine, Objective, Ordered, Outcome, Rented, Write,
-};
-use saltpitch_core::leadership::{Bid, LEADERSHIP_LEASE};
+use saltpitch_core::cluster::{Cause, Command, Heartbeat, TaskState};
+use saltpitch_core::controller::{Candidacy, HeartbeatAnswer, LossReason};
+use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
+use saltpitch_core::leadership::{ElectionAttempt, LEADERSHIP_LEASE};
 use saltpitch_core::messages::PeerStatus;
 use saltpitch_core::policy::Policy;
 use saltpitch_core::quota::TeamLimits;
 use saltpitch_core::records::{job_key, CancelStep, JobRecord, RecordChange, LEADER_KEY, TERM_KEY};
+use saltpitch_core::scheduler::{
+    CommandOutcome, Effect, ListedMachine, Objective, ObjectiveTarget, Precondition,
+    ScaleOutOutcome, Scheduler, SchedulerConfig, Transaction, TransactionOutcome, Write,
+};
 use saltpitch_core::Micros;
 
+use crate::agents::{Agent, Held};
+use crate::invariants;
 use crate::nodes::{Node, SITE};
-use crate::rules;
 use crate::store::Store;
 use crate::trace::Trace;
-use crate::workers::{Held, Worker};
 
+mod agents;
 mod cloud;
 mod controllers;
 mod effects;
-mod machines;
+mod fault_injection;
 mod observe;
-mod troubles;
 mod users;
 
 /// The times that the protocol's settings give.
 #[derive(Clone, Debug)]
 pub struct Times {
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     pub lease: Micros,
     pub gang_wait: Micros,
     pub gang_peer: Micros,
@@ -53,14 +54,14 @@
     pub outages: bool,
     pub machines: bool,
     pub losses: bool,
-    /// Machines whose reports arrive while answers and commands don't reach them.
-    pub deaf: bool,
-    /// Copies of reports that come again, seconds to several leases later, at any node.
+    /// Machines whose heartbeats arrive while answers and commands don't reach them.
+    pub inbound_partition: bool,
+    /// Copies of heartbeats that come again, seconds to several leases later, at any node.
     pub copies: bool,
     /// Controllers that stand still, for longer than any lease at times, while their clocks run on.
     pub freezes: bool,
     /// Machines that reach no controller while direct commands reach them.
-    pub mute: bool,
+    pub outbound_partition: bool,
     /// Transactions without an answer that are carried out 2 to 12 s later, after newer ones.
     pub late_writes: bool,
 }
@@ -78,10 +79,10 @@
             outages: true,
             machines: true,
             losses: true,
-            deaf: true,
+            inbound_partition: true,
             copies: true,
             freezes: true,
-            mute: true,
+            outbound_partition: true,
             late_writes: true,
         }
     }
@@ -107,7 +108,7 @@
     pub waits_since: Option<Micros>,
 }
 
-type Action = Box<dyn FnOnce(&mut World)>;
+type Action = Box<dyn FnOnce(&mut Simulation)>;
 
 struct Event {
     at: Micros,
@@ -132,13 +133,13 @@
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Micros,
     pub times: Times,
     pub teams: Vec<TeamLimits>,
     pub store: Store,
     pub nodes: Vec<Node>,
-    pub workers: BTreeMap<String, Worker>,
+    pub agents: BTreeMap<String, Agent>,
     pub jobs: BTreeMap<String, UserJob>,
     /// Tasks whose result is kept.
     pub done: BTreeMap<String, BTreeSet<u32>>,
@@ -159,7 +160,7 @@
     pub calm_since: Micros,
     /// The same, machines included.
     pub still_since: Micros,
-    /// How often the leadership was given up for want of reports.
+    /// How often the leadership was given up for want of heartbeats.
     pub resignations: u64,
     /// Jobs that another cell has completed.
     pub done_elsewhere: BTreeSet<String>,
@@ -169,7 +170,7 @@
     pub returned_alive: u64,
     /// The fingerprint of what the controllers did and answered.
     pub trace: Trace,
-    cfg: Config,
+    config: SchedulerConfig,
     catalog: Arc<Catalog>,
     requests: BTreeMap<String, Vec<String>>,
     next_machine: u32,
@@ -182,25 +183,25 @@
 
 const TICK: Micros = Micros::from_millis(100);
 
-fn settings(times: &Times, teams: &[TeamLimits]) -> Config {
-    Config {
-        report: times.report,
+fn settings(times: &Times, teams: &[TeamLimits]) -> SchedulerConfig {
+    SchedulerConfig {
+        heartbeat_interval: times.heartbeat_interval,
         lease: times.lease,
         gang_peer: times.gang_peer,
         cancel: times.cancel,
-        txn_ops: 8,
+        max_transaction_writes: 8,
         nodes: 3,
         calls: 24,
-        txn_bytes: 50_000,
+        max_transaction_bytes: 50_000,
         write_rate: 60.0,
         next_write_rate: 60.0,
-        value_bytes: 8 * 1024,
-        rent_rate: 5.0,
-        log_ring: 16,
+        max_value_bytes: 8 * 1024,
+        scale_out_rate: 5.0,
+        log_segments: 16,
         teams: teams.to_vec(),
         objectives: vec![Objective {
             class: "web".to_owned(),
-            aim: Aim::Wait(Micros::from_secs(5)),
+            target: ObjectiveTarget::Started(Micros::from_secs(5)),
         }],
         guarantee_within: Micros::from_secs(15),
         policy: Policy::default(),
@@ -227,11 +228,11 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// A site with three nodes and no machines. From `quiet_from` on no new trouble begins.
-    pub fn new(seed: u64, faults: Faults, quiet_from: Micros) -> World {
+    pub fn new(seed: u64, faults: Faults, quiet_from: Micros) -> Simulation {
         let times = Times {
-            report: Micros::from_secs(2),
+            heartbeat_interval: Micros::from_secs(2),
             lease: Micros::from_secs(14),
             gang_wait: Micros::from_secs(30),
             gang_peer: Micros::from_secs(5),
@@ -245,17 +246,17 @@
             gpu_max: 6_000,
         };
         let teams = vec![team("red"), team("blue")];
-        let cfg = settings(&times, &teams);
-        let node = |(name, zone): &(&str, &str)| Node::new(name, zone, cfg.clone());
+        let config = settings(&times, &teams);
+        let node = |(name, zone): &(&str, &str)| Node::new(name, zone, config.clone());
         let nodes = SITE.iter().map(node).collect();
-        World {
+        Simulation {
             now: Micros::from_secs(60),
-            cfg,
+            config,
             times,
             teams,
             store: Store::default(),
             nodes,
-            workers: BTreeMap::new(),
+            agents: BTreeMap::new(),
             jobs: BTreeMap::new(),
             done: BTreeMap::new(),
             faults,
@@ -287,11 +288,11 @@
         &self.catalog
     }
 
-    pub fn luck(&mut self, n: u64) -> u64 {
+    pub fn random_below(&mut self, n: u64) -> u64 {
         self.rng.random_range(0..n.max(1))
     }
 
-    fn after(&mut self, wait: Micros, action: impl FnOnce(&mut World) + 'static) {
+    fn after(&mut self, wait: Micros, action: impl FnOnce(&mut Simulation) + 'static) {
         self.next_event += 1;
         self.queue.push(Event {
             at: self.now.plus(wait),
@@ -302,9 +303,9 @@
 
     fn delay(&mut self) -> Micros {
         if self.now < self.slow_links_until {
-            return Micros::from_millis(200 + self.luck(1_200));
+            return Micros::from_millis(200 + self.random_below(1_200));
         }
-        Micros::from_millis(1 + self.luck(20))
+        Micros::from_millis(1 + self.random_below(20))
     }
 
     /// Plays on until `until` and checks the rules after each step.
@@ -319,7 +320,7 @@
 
     /// Adds a team; before the first step only.
     pub fn add_team(&mut self, team: TeamLimits) {
-        self.cfg.teams.push(team.clone());
+        self.config.teams.push(team.clone());
         self.teams.push(team);
     }
 
@@ -346,18 +347,18 @@
                 self.tick();
             }
         }
-        rules::check(self)
+        invariants::check(self)
     }
 
     fn tick(&mut self) {
         self.store.tick(self.now);
-        self.troubles();
+        self.inject_faults();
         for n in 0..self.nodes.len() {
             self.node_tick(n);
         }
-        let names: Vec<String> = self.workers.keys().cloned().collect();
+        let names: Vec<String> = self.agents.keys().cloned().collect();
         for name in names {
-            self.worker_tick(&name);
+            self.agent_tick(&name);
         }
         self.gangs();
         if self.now.0 % 1_000_000 < TICK.0 {
@@ -366,7 +367,7 @@
         }
     }
 
-    /// The node that may answer workers, if there is one.
+    /// The node that may answer agents, if there is one.
     pub fn leader(&self) -> Option<usize> {
         self.nodes.iter().position(|n| n.may_answer(self.now))
     }
--- a/crates/saltpitch-testkit/src/world/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Users ask about every job, and every node that is in service is to know each of them: by
     /// itself, or through a peer that has the store.
     pub(super) fn ask_all(&mut self) {
@@ -14,12 +14,13 @@
                     now < n.no_store_until || now < n.no_workers_until || now < n.no_peers_until;
                 cut || !n.is_up(now) || n.frozen(now) > Micros::ZERO
             });
-        let odd = |m: &Worker| {
-            !m.gone && (now < m.hung_until || now < m.deaf_until || now < m.mute_until)
+        let odd = |m: &Agent| {
+            !m.gone
+                && (now < m.hung_until || now < m.inbound_cut_until || now < m.outbound_cut_until)
         };
         let any = now < self.late_writes_until
             || now < self.slow_links_until
-            || self.workers.values().any(odd);
+            || self.agents.values().any(odd);
         if wrong || any || (now < self.quiet_from && self.faults != Faults::default()) {
             self.still_since = now;
         }
@@ -35,13 +36,13 @@
         let known = |node: &Node, id: &str| {
             node.is_up(now)
                 && node.reaches_store(&self.store, now)
-                && node.view().jobs.contains_key(id)
+                && node.records().jobs.contains_key(id)
         };
         let mut begun = Vec::new();
         for (id, job) in &mut self.jobs {
             let by_any = self.nodes.iter().any(|n| known(n, id));
             for (n, node) in self.nodes.iter().enumerate() {
-                let state = node.view().state(id).map_or(0, |state| match state {
+                let state = node.records().state(id).map_or(0, |state| match state {
                     JobState::Active => 1,
                     JobState::Done => 2,
                     JobState::Cancelled => 3,
@@ -59,7 +60,7 @@
         for id in begun {
             let on = self.running(&id) as u32;
             if let Some(job) = self.jobs.get_mut(&id) {
-                let least = if job.spec.kind == Kind::Array {
+                let least = if job.spec.kind == JobKind::Array {
                     1
                 } else {
                     job.spec.tasks
@@ -76,8 +77,8 @@
         let now = self.now;
         let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut on: BTreeMap<&str, BTreeSet<u32>> = BTreeMap::new();
-        let mut free: Vec<(&Worker, Resources)> = Vec::new();
-        for m in self.workers.values().filter(|m| !m.gone) {
+        let mut free: Vec<(&Agent, Resources)> = Vec::new();
+        for m in self.agents.values().filter(|m| !m.gone) {
             let mut room = m.size;
             for ((id, _), _) in m.tasks.iter().filter(|(_, h)| !h.exited()) {
                 if let Some(j) = self.jobs.get(&id.0) {
@@ -87,7 +88,7 @@
                     on.entry(&id.0).or_default().insert(id.1);
                 }
             }
-            let well = m.is_up(now) && now >= m.deaf_until && now >= m.mute_until;
+            let well = m.is_up(now) && now >= m.inbound_cut_until && now >= m.outbound_cut_until;
             if well && m.notice.is_none() && now.since(m.boots_at) > Micros::from_secs(10) {
                 free.push((m, room));
             }
@@ -99,13 +100,17 @@
                 && !j.mistaken
                 && j.cancelled_at.is_none()
                 && j.withdrawn_at.is_none()
-                && j.spec.needs.iter().all(|n| self.is_done(n))
+                && j.spec.dependencies.iter().all(|n| self.is_done(n))
                 && !self.is_done(id);
             let there = on.get(id.as_str()).map_or(0, |s| s.len() as u32);
             let done = self.done.get(id).map_or(0, |s| s.len() as u32);
             let left = j.spec.tasks.saturating_sub(there + done);
             // A job waits while nothing of it runs: an array for any task, the others for all.
-            let want = if j.spec.kind == Kind::Array { 1 } else { left };
+            let want = if j.spec.kind == JobKind::Array {
+                1
+            } else {
+                left
+            };
             let simple = !j.spec.spread && there == 0;
             let team = self.teams.iter().find(|t| t.name == j.spec.team);
             let sum = used.get(j.spec.team.as_str()).copied().unwrap_or_default();
--- a/crates/saltpitch-testkit/src/world/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Submits a job through whichever node has the store; false: nobody has, or it can never run.
     pub fn submit(&mut self, id: &str, spec: JobSpec) -> bool {
         if spec.can_ever_run(&self.catalog, &self.teams).is_err() {
             return false;
         }
-        if !(spec.needs.iter()).all(|n| self.store.keys.contains_key(&job_key(n))) {
+        if !(spec.dependencies.iter()).all(|n| self.store.keys.contains_key(&job_key(n))) {
             return false;
         }
         let record = JobRecord::accepted(self.now, Arc::new(spec));
@@ -28,7 +28,7 @@
             submitted_at: self.now,
             begun_at: None,
             answered: vec![self.now; self.nodes.len()],
-            mistaken: id.ends_with('7') && spec.kind == Kind::Array,
+            mistaken: id.ends_with('7') && spec.kind == JobKind::Array,
             waits_since: None,
             withdrawn_at: None,
         });
@@ -37,11 +37,11 @@
             key: key.clone(),
             value: serde_json::to_string(&record).ok(),
         };
-        let outcome = self.store.txn(&[(key, 0)], &[write], None);
+        let outcome = self.store.txn(&[Precondition::new(key, 0)], &[write], None);
         self.trace.event("submit", self.now).text(id);
         self.trace.outcome(&outcome);
         match outcome {
-            Outcome::Done(_) | Outcome::Failed(_) => {
+            TransactionOutcome::Committed(_) | TransactionOutcome::Conflict(_) => {
                 known.accepted = true;
                 self.note_withdrawn();
                 true
@@ -62,7 +62,7 @@
         let able: Vec<usize> = (0..self.nodes.len())
             .filter(|n| able(&self.nodes[*n]))
             .collect();
-        let at = self.luck(able.len() as u64) as usize;
+        let at = self.random_below(able.len() as u64) as usize;
         able.get(at).is_some_and(|n| self.cancel_by(*n, id))
     }
 
@@ -88,11 +88,13 @@
             value: serde_json::to_string(&rec).ok(),
         };
         let value = write.value.clone().unwrap_or_default();
-        let done = self.store.txn(&[(key.clone(), entry.rev)], &[write], None);
+        let done = self
+            .store
+            .txn(&[Precondition::new(key.clone(), entry.rev)], &[write], None);
         self.trace.event("abort", self.now).text(id);
         self.trace.outcome(&done);
-        let ok = matches!(done, Outcome::Done(_));
-        if let Outcome::Done(rev) = done {
+        let ok = matches!(done, TransactionOutcome::Committed(_));
+        if let TransactionOutcome::Committed(rev) = done {
             if let Ok(value) = serde_json::value::RawValue::from_string(value) {
                 let change = RecordChange {
                     key: key.clone(),
@@ -122,7 +124,9 @@
             let off = |j: &UserJob| j.cancelled_at.is_some() || j.withdrawn_at.is_some();
             let new: Vec<String> = (self.jobs.iter())
                 .filter(|(_, j)| j.accepted && !off(j))
-                .filter(|(_, j)| (j.spec.needs.iter()).any(|n| self.jobs.get(n).is_some_and(off)))
+                .filter(|(_, j)| {
+                    (j.spec.dependencies.iter()).any(|n| self.jobs.get(n).is_some_and(off))
+                })
                 .map(|(id, _)| id.clone())
                 .collect();
             if new.is_empty() {
@@ -138,40 +142,60 @@
 
     /// A job drawn from the seed.
     pub fn draw_job(&mut self) -> JobSpec {
-        let pick = self.luck(10);
+        let pick = self.random_below(10);
         let (class, kind, priority, tasks) = match pick {
-            0..=2 => ("web", Kind::Service, Priority::Production, 1 + self.luck(4)),
-            3..=6 => ("batch", Kind::Array, Priority::Normal, 1 + self.luck(12)),
-            _ => ("train", Kind::Gang, Priority::High, 1 + self.luck(3)),
+            0..=2 => (
+                "web",
+                JobKind::Service,
+                Priority::Production,
+                1 + self.random_below(4),
+            ),
+            3..=6 => (
+                "batch",
+                JobKind::Array,
+                Priority::Normal,
+                1 + self.random_below(12),
+            ),
+            _ => (
+                "train",
+                JobKind::Gang,
+                Priority::High,
+                1 + self.random_below(3),
+            ),
         };
-        let gang = kind == Kind::Gang;
+        let gang = kind == JobKind::Gang;
         JobSpec {
             class: class.to_owned(),
-            team: if self.luck(2) == 0 { "red" } else { "blue" }.to_owned(),
+            team: if self.random_below(2) == 0 {
+                "red"
+            } else {
+                "blue"
+            }
+            .to_owned(),
             kind,
             priority,
             tasks: tasks as u32,
             need: Resources {
-                cpu: 1_000 + 1_000 * self.luck(3),
+                cpu: 1_000 + 1_000 * self.random_below(3),
                 gpu: if gang { 1_000 } else { 0 },
                 mem: 2_000,
             },
             types: None,
-            zone: (self.luck(8) == 0).then(|| "east".to_owned()),
-            one_zone: gang && self.luck(2) == 0,
-            spread: kind == Kind::Service,
-            spot: kind != Kind::Service,
+            zone: (self.random_below(8) == 0).then(|| "east".to_owned()),
+            one_zone: gang && self.random_below(2) == 0,
+            spread: kind == JobKind::Service,
+            spot: kind != JobKind::Service,
             image: format!("img-{}", self.rng.random_range(0..3)),
             image_mb: 800,
-            estimate: if kind == Kind::Service {
+            estimate: if kind == JobKind::Service {
                 Micros::ZERO
             } else {
-                Micros::from_secs(3 + self.luck(15))
+                Micros::from_secs(3 + self.random_below(15))
             },
             checkpoint: Micros::from_secs(if gang { 5 } else { 0 }),
             save: Micros::from_secs(if gang { 2 } else { 0 }),
             deadline: None,
-            needs: Vec::new(),
+            dependencies: Vec::new(),
         }
     }
 
@@ -186,7 +210,7 @@
 
     /// The tasks of a job that are on machines now.
     pub fn running(&self, id: &str) -> usize {
-        self.workers
+        self.agents
             .values()
             .filter(|m| !m.gone)
             .flat_map(|m| m.tasks.iter())
--- a/crates/saltpitch-testkit/src/store.rs
+++ b/crates/saltpitch-testkit/src/store.rs
@@ -1,9 +1,9 @@
-//! A stand-in for the state service: keys with revisions, transactions, holds, a log of changes.
+//! A stand-in for the state service: keys with revisions, transactions, leases, a log of changes.
 
 use std::collections::BTreeMap;
 
 use crate::trace::Trace;
-use saltpitch_core::leader::{Outcome, Write};
+use saltpitch_core::scheduler::{Precondition, TransactionOutcome, Write};
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
@@ -11,7 +11,7 @@
 pub struct Entry {
     pub value: String,
     pub rev: u64,
-    pub hold: Option<u64>,
+    pub lease: Option<u64>,
 }
 
 #[derive(Default)]
@@ -20,8 +20,8 @@
     pub keys: BTreeMap<String, Entry>,
     /// (revision, key, value or deletion)
     pub log: Vec<(u64, String, Option<String>)>,
-    holds: BTreeMap<u64, (Micros, Micros)>,
-    next_hold: u64,
+    leases: BTreeMap<u64, (Micros, Micros)>,
+    next_lease: u64,
     pub down: bool,
     /// The most bytes of a value and writes of a transaction, and changes a second, once the store has
     /// its next limits.
@@ -35,7 +35,7 @@
 }
 
 impl Store {
-    fn write(&mut self, rev: u64, key: &str, value: Option<String>, hold: Option<u64>) {
+    fn write(&mut self, rev: u64, key: &str, value: Option<String>, lease: Option<u64>) {
         match &value {
             Some(v) => {
                 self.keys.insert(
@@ -43,7 +43,7 @@
                     Entry {
                         value: v.clone(),
                         rev,
-                        hold,
+                        lease,
                     },
                 );
             }
@@ -59,76 +59,77 @@
     /// Carries out a transaction, or says why it was not.
     pub fn txn(
         &mut self,
-        when: &[(String, u64)],
+        preconditions: &[Precondition],
         writes: &[Write],
-        hold: Option<(u64, &str)>,
-    ) -> Outcome {
-        let outcome = self.carry_out(when, writes, hold);
+        lease: Option<(u64, &str)>,
+    ) -> TransactionOutcome {
+        let outcome = self.carry_out(preconditions, writes, lease);
         self.trace.event("store", self.now);
-        self.trace.transaction(when, writes);
+        self.trace.transaction(preconditions, writes);
         self.trace.outcome(&outcome);
         outcome
     }
 
     fn carry_out(
         &mut self,
-        when: &[(String, u64)],
+        preconditions: &[Precondition],
         writes: &[Write],
-        hold: Option<(u64, &str)>,
-    ) -> Outcome {
+        lease: Option<(u64, &str)>,
+    ) -> TransactionOutcome {
         if self.down {
-            return Outcome::Refused;
+            return TransactionOutcome::Unavailable;
         }
         if let Some((bytes, ops, rate)) = self.limits {
             let large = |w: &Write| w.value.as_ref().is_some_and(|v| v.len() > bytes);
-            if writes.len() > ops || when.len() > 4 * ops || writes.iter().any(large) {
+            if writes.len() > ops || preconditions.len() > 4 * ops || writes.iter().any(large) {
                 self.rejected += 1;
-                return Outcome::Rejected;
+                return TransactionOutcome::TooLarge;
             }
             let second = self.now.0 / 1_000_000;
             if self.taken.0 != second {
                 self.taken = (second, 0);
             }
             if self.taken.1 + writes.len() as u32 > rate {
-                return Outcome::Throttled;
+                return TransactionOutcome::RateLimited;
             }
             self.taken.1 += writes.len() as u32;
         }
-        if hold.is_some_and(|h| !self.holds.contains_key(&h.0)) {
-            return Outcome::Refused;
+        if lease.is_some_and(|h| !self.leases.contains_key(&h.0)) {
+            return TransactionOutcome::Unavailable;
         }
-        let failed: Vec<String> = when
+        let current = |key: &str| self.keys.get(key).map_or(0, |entry| entry.rev);
+        let failed: Vec<String> = preconditions
             .iter()
-            .filter(|(k, rev)| self.keys.get(k).map_or(0, |e| e.rev) != *rev)
-            .map(|w| w.0.clone())
+            .filter(|condition| current(&condition.key) != condition.revision)
+            .map(|condition| condition.key.clone())
             .collect();
         if !failed.is_empty() {
-            return Outcome::Failed(failed);
+            return TransactionOutcome::Conflict(failed);
         }
         self.rev += 1;
         let rev = self.rev;
         for w in writes {
-            let held = hold.filter(|h| h.1 == w.key).map(|h| h.0);
+            let held = lease.filter(|h| h.1 == w.key).map(|h| h.0);
             self.write(rev, &w.key, w.value.clone(), held);
         }
-        Outcome::Done(rev)
+        TransactionOutcome::Committed(rev)
     }
 
-    pub fn open_hold(&mut self, ttl: Micros, now: Micros) -> Option<u64> {
+    pub fn grant_lease(&mut self, ttl: Micros, now: Micros) -> Option<u64> {
         if self.down {
             return None;
         }
-        self.next_hold += 1;
-        self.holds.insert(self.next_hold, (now.plus(ttl), ttl));
-        Some(self.next_hold)
+        self.next_lease += 1;
+        self.leases.insert(self.next_lease, (now.plus(ttl), ttl));
+        Some(self.next_lease)
     }
 
     /// Some(true): renewed; Some(false): gone; None: no answer.
-    pub fn touch(&mut self, hold: u64, now: Micros) -> Option<bool> {
+    pub fn keep_alive(&mut self, lease: u64, now: Micros) -> Option<bool> {
         if self.down {
             return None;
         }
-        match self.holds.get_mut(&hold) {
+        match self.leases.get_mut(&lease) {
             Some(h) => {
                 h.0 = now.plus(h.1);
                 Some(true)
@@ -137,34 +138,34 @@
         }
     }
 
-    /// Ends holds that are over. After an outage every hold has its full time again.
+    /// Ends leases that are over. After an outage every lease has its full time again.
     pub fn tick(&mut self, now: Micros) {
         self.now = now;
         if self.down {
-            for h in self.holds.values_mut() {
+            for h in self.leases.values_mut() {
                 h.0 = now.plus(h.1);
             }
             return;
         }
         let over: Vec<u64> = self
-            .holds
+            .leases
             .iter()
             .filter(|(_, h)| h.0 <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
-            self.drop_hold(id);
+            self.revoke_lease(id);
         }
     }
 
-    pub fn drop_hold(&mut self, id: u64) {
-        if self.holds.remove(&id).is_none() {
+    pub fn revoke_lease(&mut self, id: u64) {
+        if self.leases.remove(&id).is_none() {
             return;
         }
         let keys: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, e)| e.hold == Some(id))
+            .filter(|(_, e)| e.lease == Some(id))
             .map(|(k, _)| k.clone())
             .collect();
         for k in keys {
--- a/crates/saltpitch-testkit/src/trace.rs
+++ b/crates/saltpitch-testkit/src/trace.rs
@@ -6,10 +6,10 @@
 //! seed agree; so do two versions of the code that behave alike. `examples/trace_hashes.rs` prints the
 //! hashes of whole ranges of seeds.
 
-use saltpitch_core::cluster::Order;
-use saltpitch_core::controller::ReportAnswer;
-use saltpitch_core::leader::{Effect, Outcome, Write};
+use saltpitch_core::cluster::Command;
+use saltpitch_core::controller::HeartbeatAnswer;
 use saltpitch_core::messages::PeerStatus;
+use saltpitch_core::scheduler::{Effect, Precondition, TransactionOutcome, Write};
 use saltpitch_core::Micros;
 
 /// The parameters of the 64-bit FNV-1a hash.
@@ -71,25 +71,27 @@
     pub fn effect(&mut self, node: usize, effect: &Effect, at: Micros) {
         self.event("effect", at).number(node as u64);
         match effect {
-            Effect::Txn { when, writes } => self.transaction(when, writes),
-            Effect::Refresh => {
+            Effect::Commit(transaction) => {
+                self.transaction(&transaction.preconditions, &transaction.writes);
+            }
+            Effect::ReloadRecords => {
                 self.text("refresh");
             }
-            Effect::Orders {
+            Effect::SendCommands {
                 machine,
                 addr,
-                session,
-                token,
-                orders,
+                agent_epoch,
+                fencing_token,
+                commands,
             } => {
                 self.text("orders").text(machine).text(addr);
-                self.number(*session).number(*token);
-                self.orders(orders);
+                self.number(*agent_epoch).number(*fencing_token);
+                self.commands(commands);
             }
             Effect::Probe { machine, addr } => {
                 self.text("show").text(machine).text(addr);
             }
-            Effect::Rent {
+            Effect::ScaleOut {
                 request,
                 type_name,
                 zone,
@@ -100,7 +102,7 @@
                 self.text(zone).number(u64::from(*spot));
                 self.number(u64::from(*count));
             }
-            Effect::Return { names } => {
+            Effect::ScaleIn { names } => {
                 self.text("return");
                 for name in names {
                     self.text(name);
@@ -113,9 +115,9 @@
     }
 
     /// A transaction with its conditions.
-    pub fn transaction(&mut self, when: &[(String, u64)], writes: &[Write]) {
+    pub fn transaction(&mut self, preconditions: &[Precondition], writes: &[Write]) {
         self.text("txn");
-        for (key, revision) in when {
+        for Precondition { key, revision } in preconditions {
             self.text(key).number(*revision);
         }
         for write in writes {
@@ -125,28 +127,31 @@
     }
 
     /// What became of a transaction.
-    pub fn outcome(&mut self, outcome: &Outcome) {
+    pub fn outcome(&mut self, outcome: &TransactionOutcome) {
         match outcome {
-            Outcome::Done(revision) => self.text("done").number(*revision),
-            Outcome::Failed(keys) => keys
+            TransactionOutcome::Committed(revision) => self.text("done").number(*revision),
+            TransactionOutcome::Conflict(keys) => keys
                 .iter()
                 .fold(self.text("failed"), |trace, key| trace.text(key)),
-            Outcome::Refused => self.text("refused"),
-            Outcome::Throttled => self.text("throttled"),
-            Outcome::Rejected => self.text("rejected"),
-            Outcome::Unknown => self.text("unknown"),
+            TransactionOutcome::Unavailable => self.text("refused"),
+            TransactionOutcome::RateLimited => self.text("throttled"),
+            TransactionOutcome::TooLarge => self.text("rejected"),
+            TransactionOutcome::Unknown => self.text("unknown"),
         };
     }
 
-    /// The answer to a worker's report.
-    pub fn report_answer(&mut self, node: usize, answer: &ReportAnswer, at: Micros) {
+    /// The answer to an agent's heartbeat.
+    pub fn report_answer(&mut self, node: usize, answer: &HeartbeatAnswer, at: Micros) {
         self.event("report", at).number(node as u64);
         match answer {
-            ReportAnswer::Orders { token, orders } => {
-                self.number(200).number(*token);
-                self.orders(orders);
+            HeartbeatAnswer::Commands {
+                fencing_token,
+                commands,
+            } => {
+                self.number(200).number(*fencing_token);
+                self.commands(commands);
             }
-            ReportAnswer::Redirect { leader } => {
+            HeartbeatAnswer::Redirect { leader } => {
                 self.number(421).text(leader.as_deref().unwrap_or_default());
             }
         }
@@ -165,18 +170,18 @@
         }
     }
 
-    fn orders(&mut self, orders: &[Order]) {
-        self.number(orders.len() as u64);
-        for order in orders {
+    fn commands(&mut self, commands: &[Command]) {
+        self.number(commands.len() as u64);
+        for order in commands {
             let (kind, job, task, attempt, grace) = match order {
-                Order::Start { job, task, attempt } => ("launch", job, task, attempt, None),
-                Order::Stop {
+                Command::Start { job, task, attempt } => ("launch", job, task, attempt, None),
+                Command::Stop {
                     job,
                     task,
                     attempt,
                     grace,
                 } => ("kill", job, task, attempt, Some(*grace)),
-                Order::Forget { job, task, attempt } => ("reap", job, task, attempt, None),
+                Command::Forget { job, task, attempt } => ("reap", job, task, attempt, None),
             };
             self.text(kind).text(job);
             self.number(u64::from(*task)).number(u64::from(*attempt));
--- a/crates/saltpitch-testkit/tests/cells.rs
+++ b/crates/saltpitch-testkit/tests/cells.rs
@@ -1,6 +1,6 @@
 //! Two cells lend each other work while links are cut and controllers fail.
 
-use saltpitch_core::job::{JobSpec, Kind, Priority};
+use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::records::{job_key, DelegationState, JobRecord};
 use saltpitch_core::Micros;
 use saltpitch_testkit::cells::{finished, Cells, LinkState, NAMES};
@@ -10,7 +10,7 @@
 use saltpitch_testkit::Faults;
 
 fn record(cells: &Cells, cell: usize, id: &str) -> Option<JobRecord> {
-    let entry = cells.cells[cell].world.store.keys.get(&job_key(id))?;
+    let entry = cells.cells[cell].simulation.store.keys.get(&job_key(id))?;
     serde_json::from_str(&entry.value).ok()
 }
 
@@ -35,7 +35,7 @@
 /// Two cells in calm: home can rent nothing, the host has machines with room.
 fn full_home(seed: u64) -> Cells {
     let mut cells = Cells::new(seed, Faults::default(), Micros::ZERO);
-    cells.cells[HOME].world.machine_limit = 0;
+    cells.cells[HOME].simulation.machine_limit = 0;
     keep_machines(&mut cells, HOST, 4);
     cells.run(seconds(30)).expect("a quiet beginning");
     cells
@@ -43,14 +43,17 @@
 
 fn submit(cells: &mut Cells, id: &str, tasks: u32, run: u64) {
     let spec = batch(cells, tasks, run);
-    assert!(cells.cells[HOME].world.submit(id, spec));
+    assert!(cells.cells[HOME].simulation.submit(id, spec));
 }
 
 /// The tasks of home's jobs that run at the host.
 fn guest_tasks(cells: &Cells) -> usize {
-    let world = &cells.cells[HOST].world;
-    let ids = world.jobs.keys().filter(|id| id.starts_with(NAMES[HOME]));
-    ids.map(|id| world.running(id)).sum()
+    let simulation = &cells.cells[HOST].simulation;
+    let ids = simulation
+        .jobs
+        .keys()
+        .filter(|id| id.starts_with(NAMES[HOME]));
+    ids.map(|id| simulation.running(id)).sum()
 }
 
 #[test]
@@ -61,8 +64,12 @@
         delegation(c, "job-0010") == Some(DelegationState::Running)
     });
     let guest = format!("{}.job-0010000001", NAMES[HOME]);
-    until(&mut cells, 10, |c| c.cells[HOST].world.running(&guest) == 4);
-    until(&mut cells, 60, |c| c.cells[HOME].world.is_done("job-0010"));
+    until(&mut cells, 10, |c| {
+        c.cells[HOST].simulation.running(&guest) == 4
+    });
+    until(&mut cells, 60, |c| {
+        c.cells[HOME].simulation.is_done("job-0010")
+    });
     finished(&cells).expect("done");
 }
 
@@ -70,7 +77,7 @@
 fn services_and_bound_jobs_stay() {
     let mut cells = full_home(2);
     let service = JobSpec {
-        kind: Kind::Service,
+        kind: JobKind::Service,
         priority: Priority::Production,
         ..batch(&mut cells, 1, 0)
     };
@@ -82,10 +89,13 @@
         types: Some(vec!["special".to_owned(), "plain-2".to_owned()]),
         ..batch(&mut cells, 1, 8)
     };
-    let world = &mut cells.cells[HOME].world;
-    assert!(world.submit("job-0010", service));
-    assert!(world.submit("job-0020", bound));
-    assert!(!world.submit("job-0030", lacking), "no type of this cell");
+    let simulation = &mut cells.cells[HOME].simulation;
+    assert!(simulation.submit("job-0010", service));
+    assert!(simulation.submit("job-0020", bound));
+    assert!(
+        !simulation.submit("job-0030", lacking),
+        "no type of this cell"
+    );
     submit(&mut cells, "job-0040", 1, 1);
     cells.run(seconds(120)).expect("no rule broken");
     for id in ["job-0010", "job-0020", "job-0040"] {
@@ -111,7 +121,7 @@
             submit(&mut cells, &format!("job-01{i}0"), 1, 5);
             let own = batch(&mut cells, 2, 5);
             let id = format!("job-02{i}0");
-            assert!(cells.cells[HOST].world.submit(&id, own));
+            assert!(cells.cells[HOST].simulation.submit(&id, own));
             let now = cells.now.since(seconds(60));
             cells.run(now.plus(seconds(12))).expect("no rule broken");
             let Some(earlier) = i.checked_sub(4) else {
@@ -119,7 +129,7 @@
             };
             let id = format!("job-02{earlier}0");
             assert!(
-                cells.cells[HOST].world.is_done(&id),
+                cells.cells[HOST].simulation.is_done(&id),
                 "the host goes on: {state:?} {id}"
             );
         }
@@ -128,7 +138,7 @@
             assert!(made < 100, "{made} calls over a link that is cut");
         }
         set_links(&mut cells, LinkState::Works);
-        cells.cells[HOME].world.machine_limit = 3;
+        cells.cells[HOME].simulation.machine_limit = 3;
         let now = cells.now.since(seconds(60));
         cells.run(now.plus(seconds(200))).expect("no rule broken");
         finished(&cells).unwrap_or_else(|error| panic!("{state:?}: {error}"));
@@ -143,24 +153,26 @@
     until(&mut cells, 60, |c| {
         delegation(c, "job-0010") == Some(DelegationState::Offered)
     });
-    cells.cells[HOST].world.machine_limit = 0;
+    cells.cells[HOST].simulation.machine_limit = 0;
     for i in 0..30 {
         let own = JobSpec {
             priority: Priority::High,
             ..batch(&mut cells, 8, 200)
         };
         assert!(cells.cells[HOST]
-            .world
+            .simulation
             .submit(&format!("job-02{i:02}0"), own));
     }
     until(&mut cells, 60, |c| {
         delegation(c, "job-0010") == Some(DelegationState::Accepted)
     });
-    cells.cells[HOME].world.machine_limit = 3;
+    cells.cells[HOME].simulation.machine_limit = 3;
     until(&mut cells, 200, |c| {
         delegation(c, "job-0010") == Some(DelegationState::Returned)
     });
-    until(&mut cells, 100, |c| c.cells[HOME].world.is_done("job-0010"));
+    until(&mut cells, 100, |c| {
+        c.cells[HOME].simulation.is_done("job-0010")
+    });
 }
 
 #[test]
@@ -172,20 +184,22 @@
     });
     set_links(&mut cells, LinkState::Holds);
     assert!(
-        !cells.cells[HOME].world.cancel("job-0010"),
+        !cells.cells[HOME].simulation.cancel("job-0010"),
         "nobody has asked the host"
     );
     // The intent outlives the leader.
-    let leader = cells.cells[HOME].world.leader().expect("a leader");
-    cells.cells[HOME].world.crash_for(leader, seconds(30));
+    let leader = cells.cells[HOME].simulation.leader().expect("a leader");
+    cells.cells[HOME].simulation.crash_for(leader, seconds(30));
     let now = cells.now.since(seconds(60));
     cells.run(now.plus(seconds(60))).expect("no rule broken");
-    assert!(!cells.cells[HOME].world.cancel("job-0010"));
+    assert!(!cells.cells[HOME].simulation.cancel("job-0010"));
     set_links(&mut cells, LinkState::Works);
     let guest = format!("{}.job-0010000001", NAMES[HOME]);
-    until(&mut cells, 60, |c| c.cells[HOST].world.running(&guest) == 0);
+    until(&mut cells, 60, |c| {
+        c.cells[HOST].simulation.running(&guest) == 0
+    });
     until(&mut cells, 60, |c| finished(c).is_ok());
-    assert!(cells.cells[HOME].world.cancel("job-0010"));
+    assert!(cells.cells[HOME].simulation.cancel("job-0010"));
 }
 
 #[test]
@@ -195,11 +209,11 @@
         submit(&mut cells, &format!("job-01{i}0"), 1, 300);
     }
     until(&mut cells, 90, |cells| guest_tasks(cells) == 4);
-    cells.cells[HOST].world.machine_limit = 0;
+    cells.cells[HOST].simulation.machine_limit = 0;
     set_links(&mut cells, LinkState::Refuses);
     let mut service = JobSpec {
         class: "web".to_owned(),
-        kind: Kind::Service,
+        kind: JobKind::Service,
         priority: Priority::Production,
         spot: false,
         image_mb: 0,
@@ -207,14 +221,14 @@
     };
     // Fits beside what is there only where a guest makes way.
     service.need.cpu = 3_000;
-    assert!(cells.cells[HOST].world.submit("job-0500", service));
+    assert!(cells.cells[HOST].simulation.submit("job-0500", service));
     until(&mut cells, 5, |c| {
-        c.cells[HOST].world.running("job-0500") == 1
+        c.cells[HOST].simulation.running("job-0500") == 1
     });
     assert_eq!(guest_tasks(&cells), 3);
 }
 
-/// Found by a report on two cells under load: own work that had just begun counted as less of a loss than a
+/// Found by a heartbeat on two cells under load: own work that had just begun counted as less of a loss than a
 /// guest that had run for long.
 #[test]
 fn a_guest_makes_way_before_any_own_work() {
@@ -223,73 +237,77 @@
         submit(&mut cells, &format!("job-01{i}0"), 1, 300);
     }
     until(&mut cells, 90, |cells| guest_tasks(cells) == 3);
-    cells.cells[HOST].world.machine_limit = 0;
+    cells.cells[HOST].simulation.machine_limit = 0;
     let now = cells.now.since(seconds(60));
     cells.run(now.plus(seconds(60))).expect("no rule broken");
     let own = batch(&mut cells, 1, 300);
-    assert!(cells.cells[HOST].world.submit("job-0400", own));
+    assert!(cells.cells[HOST].simulation.submit("job-0400", own));
     until(&mut cells, 20, |c| {
-        c.cells[HOST].world.running("job-0400") == 1
+        c.cells[HOST].simulation.running("job-0400") == 1
     });
     let mut service = JobSpec {
         class: "web".to_owned(),
-        kind: Kind::Service,
+        kind: JobKind::Service,
         priority: Priority::Production,
         spot: false,
         image_mb: 0,
         ..batch(&mut cells, 1, 0)
     };
     service.need.cpu = 3_000;
-    assert!(cells.cells[HOST].world.submit("job-0500", service));
+    assert!(cells.cells[HOST].simulation.submit("job-0500", service));
     until(&mut cells, 10, |c| {
-        c.cells[HOST].world.running("job-0500") == 1
+        c.cells[HOST].simulation.running("job-0500") == 1
     });
-    assert_eq!(cells.cells[HOST].world.running("job-0400"), 1);
+    assert_eq!(cells.cells[HOST].simulation.running("job-0400"), 1);
     assert_eq!(guest_tasks(&cells), 2);
 }
 
 #[test]
 fn nothing_is_lent_while_one_controller_does_not_know_delegations() {
     let mut cells = Cells::new(10, Faults::default(), Micros::ZERO);
-    cells.cells[HOME].world.nodes[2].knows_delegations = false;
-    cells.cells[HOME].world.machine_limit = 0;
+    cells.cells[HOME].simulation.nodes[2].knows_delegations = false;
+    cells.cells[HOME].simulation.machine_limit = 0;
     keep_machines(&mut cells, HOST, 2);
     submit(&mut cells, "job-0010", 2, 30);
     cells.run(seconds(90)).expect("no rule broken");
     assert_eq!(delegation(&cells, "job-0010"), None);
     // The last one is replaced: now all know them.
-    let world = &mut cells.cells[HOME].world;
-    world.crash_for(2, seconds(2));
-    world.nodes[2].knows_delegations = true;
+    let simulation = &mut cells.cells[HOME].simulation;
+    simulation.crash_for(2, seconds(2));
+    simulation.nodes[2].knows_delegations = true;
     until(&mut cells, 60, |c| {
         delegation(c, "job-0010") == Some(DelegationState::Running)
     });
     // And back: everything is fetched home before the first of the others follows.
-    let world = &mut cells.cells[HOME].world;
+    let simulation = &mut cells.cells[HOME].simulation;
     let follower = (0..3)
-        .find(|n| Some(*n) != world.leader())
+        .find(|n| Some(*n) != simulation.leader())
         .expect("a follower");
-    world.crash_for(follower, seconds(2));
-    world.nodes[follower].knows_delegations = false;
+    simulation.crash_for(follower, seconds(2));
+    simulation.nodes[follower].knows_delegations = false;
     until(&mut cells, 120, |c| {
         delegation(c, "job-0010") == Some(DelegationState::Returned)
     });
-    cells.cells[HOME].world.machine_limit = 3;
-    until(&mut cells, 120, |c| c.cells[HOME].world.is_done("job-0010"));
+    cells.cells[HOME].simulation.machine_limit = 3;
+    until(&mut cells, 120, |c| {
+        c.cells[HOME].simulation.is_done("job-0010")
+    });
 }
 
 #[test]
 fn lent_work_rents_nothing_at_the_host() {
     let mut cells = Cells::new(11, Faults::default(), Micros::ZERO);
-    cells.cells[HOME].world.machine_limit = 0;
+    cells.cells[HOME].simulation.machine_limit = 0;
     submit(&mut cells, "job-0010", 2, 30);
     let accepted = |c: &Cells| delegation(c, "job-0010") == Some(DelegationState::Accepted);
     until(&mut cells, 60, accepted);
     let now = cells.now.since(seconds(60));
     cells.run(now.plus(seconds(60))).expect("no rule broken");
-    assert!(cells.cells[HOST].world.workers.is_empty());
-    cells.cells[HOME].world.machine_limit = 3;
-    until(&mut cells, 200, |c| c.cells[HOME].world.is_done("job-0010"));
+    assert!(cells.cells[HOST].simulation.agents.is_empty());
+    cells.cells[HOME].simulation.machine_limit = 3;
+    until(&mut cells, 200, |c| {
+        c.cells[HOME].simulation.is_done("job-0010")
+    });
 }
 
 #[test]
@@ -304,7 +322,7 @@
     let now = cells.now.since(seconds(60));
     cells.run(now.plus(seconds(60))).expect("no rule broken");
     assert!(
-        !cells.cells[HOME].world.is_done("job-0010"),
+        !cells.cells[HOME].simulation.is_done("job-0010"),
         "nobody has said so"
     );
     assert_ne!(
@@ -312,7 +330,9 @@
         Some(DelegationState::Accepted)
     );
     cells.cells[HOST].listens = true;
-    until(&mut cells, 60, |c| c.cells[HOME].world.is_done("job-0010"));
+    until(&mut cells, 60, |c| {
+        c.cells[HOME].simulation.is_done("job-0010")
+    });
 }
 
 #[test]
@@ -324,22 +344,22 @@
     });
     let guest = format!("{}.job-0010000001", NAMES[HOME]);
     let key = job_key(&guest);
-    let lost = saltpitch_core::leader::Write {
+    let lost = saltpitch_core::scheduler::Write {
         key: key.clone(),
         value: None,
     };
-    cells.cells[HOST].world.store.txn(&[], &[lost], None);
+    cells.cells[HOST].simulation.store.txn(&[], &[lost], None);
     for node in 0..3 {
-        cells.cells[HOST].world.crash_for(node, seconds(1));
+        cells.cells[HOST].simulation.crash_for(node, seconds(1));
     }
     // The host's checker would call its own job forgotten; home's answer is what counts here.
-    cells.cells[HOST].world.jobs.remove(&guest);
-    let leader = cells.cells[HOME].world.leader().expect("a leader");
-    cells.cells[HOME].world.crash_for(leader, seconds(2));
+    cells.cells[HOST].simulation.jobs.remove(&guest);
+    let leader = cells.cells[HOME].simulation.leader().expect("a leader");
+    cells.cells[HOME].simulation.crash_for(leader, seconds(2));
     for _ in 0..20_000 {
         let _ = cells.step();
     }
-    assert!(!cells.cells[HOST].world.store.keys.contains_key(&key));
+    assert!(!cells.cells[HOST].simulation.store.keys.contains_key(&key));
     assert_eq!(
         delegation(&cells, "job-0010"),
         Some(DelegationState::Running)
@@ -358,22 +378,24 @@
     if let Some(lend) = &mut cells.cells[HOME].settings.neighbour[0].lend {
         lend.cancel_s = 0.1;
     }
-    cells.cells[HOME].world.machine_limit = 0;
+    cells.cells[HOME].simulation.machine_limit = 0;
     keep_machines(&mut cells, HOST, 2);
     submit(&mut cells, "job-0010", 2, 300);
     let guest = format!("{}.job-0010000001", NAMES[HOME]);
-    until(&mut cells, 90, |c| c.cells[HOST].world.running(&guest) == 2);
+    until(&mut cells, 90, |c| {
+        c.cells[HOST].simulation.running(&guest) == 2
+    });
     // The host cannot tell its machines.
-    let deaf_until = cells.now.plus(seconds(120));
-    for machine in cells.cells[HOST].world.workers.values_mut() {
-        machine.deaf_until = deaf_until;
+    let inbound_cut_until = cells.now.plus(seconds(120));
+    for machine in cells.cells[HOST].simulation.agents.values_mut() {
+        machine.inbound_cut_until = inbound_cut_until;
     }
-    let world = &mut cells.cells[HOME].world;
+    let simulation = &mut cells.cells[HOME].simulation;
     let follower = (0..3)
-        .find(|n| Some(*n) != world.leader())
+        .find(|n| Some(*n) != simulation.leader())
         .expect("a follower");
-    world.crash_for(follower, seconds(1));
-    world.nodes[follower].knows_delegations = false;
+    simulation.crash_for(follower, seconds(1));
+    simulation.nodes[follower].knows_delegations = false;
     let now = cells.now.since(seconds(60));
     let broken = cells
         .run(now.plus(seconds(60)))
@@ -403,9 +425,9 @@
     for seed in seeds {
         let cells = play_cells(seed, faults).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
         for (cell, name) in cells.cells.iter().zip(NAMES) {
-            let guests = cell.world.jobs.keys();
+            let guests = cell.simulation.jobs.keys();
             lent += guests.filter(|id| !id.starts_with("job-")).count();
-            assert!(cell.world.returned_alive < 1_000, "{name}");
+            assert!(cell.simulation.returned_alive < 1_000, "{name}");
         }
     }
     assert!(lent > 10, "only {lent} jobs were lent");
--- a/crates/saltpitch-testkit/tests/meetings/cancellations.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
@@ -1,8 +1,8 @@
 //! Cancellations that meet an outage, a refused leader or the end of a job.
 
-use saltpitch_core::job::Kind;
+use saltpitch_core::job::JobKind;
 use saltpitch_core::Micros;
-use saltpitch_testkit::{Faults, World};
+use saltpitch_testkit::{Faults, Simulation};
 
 use crate::common::{all_over, at_work, other, plain, run, secs};
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// The leader has its workers and nobody else; another takes over and users cancel through that one.
+/// The leader has its agents and nobody else; another takes over and users cancel through that one.
 #[test]
 fn a_leader_without_store_and_peers_while_jobs_are_cancelled_through_the_new_one() {
     for seed in 150..158 {
@@ -41,7 +41,7 @@
         }
         // One of their machines hangs, and goes on within its lease.
         let now = w.now;
-        if let Some(m) = w.workers.values_mut().find(|m| !m.tasks.is_empty()) {
+        if let Some(m) = w.agents.values_mut().find(|m| !m.tasks.is_empty()) {
             m.hung_until = now.plus(secs(13));
         }
         run(&mut w, seed, 130);
@@ -60,7 +60,7 @@
         for id in &ids[..2] {
             assert!(w.cancel_by(other(leader), id), "seed {seed}");
         }
-        let wait = 700 + w.luck(600);
+        let wait = 700 + w.random_below(600);
         let at = w.now.plus(Micros::from_millis(wait));
         while w.now < at {
             w.step().expect("no rule is broken");
@@ -82,21 +82,21 @@
 #[test]
 fn users_meet_the_end_of_the_last_task() {
     for seed in 280..300 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
         let id = format!("job-{seed:03}000");
         let kind = if seed % 3 == 0 {
-            Kind::Gang
+            JobKind::Gang
         } else {
-            Kind::Array
+            JobKind::Array
         };
         let spec = plain(&mut w, kind, 3, 6);
         w.submit(&id, spec.clone());
-        let all = |w: &World| w.done.get(&id).is_some_and(|d| d.len() == 3);
+        let all = |w: &Simulation| w.done.get(&id).is_some_and(|d| d.len() == 3);
         while !all(&w) {
             w.step().expect("no rule is broken");
         }
-        let wait = w.luck(1_500);
+        let wait = w.random_below(1_500);
         let at = w.now.plus(Micros::from_millis(wait));
         while w.now < at {
             w.step().expect("no rule is broken");
--- a/crates/saltpitch-testkit/tests/meetings/leaders.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
@@ -12,7 +12,7 @@
         w.store.down = true;
         run(&mut w, seed, 40 + 150);
         assert_eq!(w.leader(), Some(leader), "seed {seed}");
-        assert!(w.workers.values().all(|m| m.gone || m.session == 1));
+        assert!(w.agents.values().all(|m| m.gone || m.agent_epoch == 1));
         for id in &ids {
             assert!(w.running(id) > 0, "seed {seed}: {id} was lost");
         }
@@ -31,7 +31,7 @@
             // Two of the changes fall into an outage.
             w.store.down = matches!(round, 4 | 5);
             if let Some(n) = w.leader() {
-                let wait = w.luck(9_000);
+                let wait = w.random_below(9_000);
                 w.crash_for(n, Micros::from_millis(200 + wait));
             }
             run(&mut w, seed, at + 12);
@@ -71,12 +71,12 @@
         let (mut w, ids, leader) = at_work(seed, 4);
         // The first tasks end now, the second ones half a minute later.
         let now = w.now;
-        for m in w.workers.values_mut() {
+        for m in w.agents.values_mut() {
             for ((id, _), h) in m.tasks.iter_mut().filter(|(_, h)| h.on()) {
                 h.until = now.plus(secs(if id.1 == 0 { 1 } else { 30 + seed % 5 }));
             }
         }
-        let wait = 1_000 + w.luck(2_500);
+        let wait = 1_000 + w.random_below(2_500);
         let at = w.now.plus(Micros::from_millis(wait));
         while w.now < at {
             w.step().expect("no rule is broken");
@@ -107,7 +107,7 @@
     }
 }
 
-/// A leader in a zone cut off goes on with its workers there; the next one ends at once, comes back,
+/// A leader in a zone cut off goes on with its agents there; the next one ends at once, comes back,
 /// and leads again. That nobody led in between proves nothing of the first: what runs in its zone counts
 /// until that one can have answered nobody any more.
 #[test]
--- a/crates/saltpitch-testkit/tests/meetings/machines.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
@@ -1,8 +1,8 @@
 //! Machines that cannot be reached, and work that waits for room, in the meeting with other troubles.
 
-use saltpitch_core::job::{Kind, Priority};
+use saltpitch_core::job::{JobKind, Priority};
 use saltpitch_core::Micros;
-use saltpitch_testkit::{Faults, World};
+use saltpitch_testkit::{Faults, Simulation};
 
 use crate::common::{all_over, at_work, disturb, plain, run, secs};
 
@@ -12,11 +12,11 @@
 #[test]
 fn a_team_at_its_limit_when_the_leader_changes_and_machines_cannot_be_asked() {
     for seed in 120..128 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
         let mut ids = Vec::new();
         for i in 0..14 {
-            let mut spec = plain(&mut w, Kind::Array, 2, 200);
+            let mut spec = plain(&mut w, JobKind::Array, 2, 200);
             spec.team = "red".to_owned();
             let id = format!("job-{seed:03}{i:02}0");
             w.submit(&id, spec);
@@ -29,10 +29,10 @@
         w.crash_for(leader, secs(5));
         // Half of the machines hang, hear nothing, or reach nobody.
         let until = w.now.plus(secs(12));
-        for (i, m) in w.workers.values_mut().enumerate() {
+        for (i, m) in w.agents.values_mut().enumerate() {
             match i % 4 {
                 0 => m.hung_until = until,
-                1 => m.deaf_until = until.plus(secs(30)),
+                1 => m.inbound_cut_until = until.plus(secs(30)),
                 _ => {}
             }
         }
@@ -48,34 +48,34 @@
     }
 }
 
-/// Workers that open no connection to any controller while direct commands reach them: their tasks
+/// Agents that open no connection to any controller while direct commands reach them: their tasks
 /// end with their leases, so the work goes on elsewhere and nothing new goes there.
 #[test]
 fn mute_machines_lose_their_leases_and_nothing_new_goes_there() {
     for seed in 130..138 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
-        let spec = plain(&mut w, Kind::Service, 6, 0);
+        let spec = plain(&mut w, JobKind::Service, 6, 0);
         w.submit("job-000001", spec);
         for i in 0..4 {
-            let spec = plain(&mut w, Kind::Array, 2, 25);
+            let spec = plain(&mut w, JobKind::Array, 2, 25);
             w.submit(&format!("job-{seed:03}{i:02}0"), spec);
         }
         run(&mut w, seed, 40);
         assert_eq!(w.running("job-000001"), 6, "seed {seed}");
         let leader = w.leader();
-        let busy: Vec<String> = (w.workers.values())
+        let busy: Vec<String> = (w.agents.values())
             .filter(|m| !m.gone && m.tasks.values().any(|h| h.on()))
             .map(|m| m.name.clone())
             .take(2)
             .collect();
         for name in &busy {
-            let m = w.workers.get_mut(name).expect("a machine");
-            m.mute_until = secs(100_000);
+            let m = w.agents.get_mut(name).expect("a machine");
+            m.outbound_cut_until = secs(100_000);
         }
         run(&mut w, seed, 62);
         for name in &busy {
-            let m = &w.workers[name];
+            let m = &w.agents[name];
             assert!(m.gone || m.tasks.values().all(|h| !h.on()), "seed {seed}");
         }
         run(&mut w, seed, 85);
@@ -87,7 +87,7 @@
     }
 }
 
-/// A zone with workers and a controller is cut off for longer than a lease, with the leader inside it
+/// A zone with agents and a controller is cut off for longer than a lease, with the leader inside it
 /// or outside: nothing runs twice and nothing is returned in panic.
 #[test]
 fn a_zone_with_a_controller_is_cut_off_for_longer_than_a_lease() {
@@ -114,10 +114,14 @@
 #[test]
 fn jobs_bound_to_one_zone_lose_machines() {
     for seed in 210..218 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
         for i in 0..4u32 {
-            let kind = if i % 2 == 0 { Kind::Array } else { Kind::Gang };
+            let kind = if i % 2 == 0 {
+                JobKind::Array
+            } else {
+                JobKind::Gang
+            };
             let mut spec = plain(&mut w, kind, 3, 30);
             spec.one_zone = i >= 1;
             spec.zone = (i < 2).then(|| "east".to_owned());
@@ -125,13 +129,13 @@
         }
         for at in [30, 45, 60] {
             run(&mut w, seed, at);
-            let busy: Vec<String> = (w.workers.values())
+            let busy: Vec<String> = (w.agents.values())
                 .filter(|m| !m.gone && m.tasks.values().any(|h| h.on()))
                 .map(|m| m.name.clone())
                 .collect();
             for name in busy.iter().step_by(2) {
                 let now = w.now;
-                let m = w.workers.get_mut(name).expect("there");
+                let m = w.agents.get_mut(name).expect("there");
                 if seed % 2 == 0 {
                     m.gone = true;
                 } else {
@@ -149,26 +153,31 @@
 #[test]
 fn more_work_than_room_over_slow_links() {
     for seed in 220..223 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
         w.slow_links_until = w.now.plus(secs(240));
         for t in 0..60u64 {
             run(&mut w, seed, 5 + t * 4);
             let (kind, tasks) = match t % 10 {
-                3 => (Kind::Gang, 4),
-                7 => (Kind::Array, 40),
-                n if n % 3 == 0 => (Kind::Gang, 1),
-                _ => (Kind::Array, 6),
+                3 => (JobKind::Gang, 4),
+                7 => (JobKind::Array, 40),
+                n if n % 3 == 0 => (JobKind::Gang, 1),
+                _ => (JobKind::Array, 6),
             };
             let mut spec = plain(&mut w, kind, tasks, 8);
-            spec.class = if kind == Kind::Gang { "train" } else { "batch" }.to_owned();
+            spec.class = if kind == JobKind::Gang {
+                "train"
+            } else {
+                "batch"
+            }
+            .to_owned();
             if t % 4 == 0 {
                 spec.priority = Priority::Low;
             }
             w.submit(&format!("job-{seed:03}{t:02}0"), spec);
         }
         run(&mut w, seed, 900);
-        saltpitch_testkit::rules::served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        saltpitch_testkit::invariants::served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         all_over(&w, seed);
     }
 }
@@ -179,12 +188,12 @@
     for seed in 230..240 {
         let (mut w, ids, leader) = at_work(seed, 5);
         let until = w.now.plus(secs(8 + (seed % 5) * 12));
-        for (i, m) in w.workers.values_mut().enumerate() {
+        for (i, m) in w.agents.values_mut().enumerate() {
             match i % 3 {
-                0 => m.deaf_until = until,
+                0 => m.inbound_cut_until = until,
                 1 => {
-                    m.deaf_until = until;
-                    m.mute_until = until;
+                    m.inbound_cut_until = until;
+                    m.outbound_cut_until = until;
                 }
                 _ => {}
             }
@@ -203,29 +212,29 @@
 #[test]
 fn nobody_waits_beside_room_that_fits() {
     for seed in 330..336 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
         // Jobs that fail on every machine (their ids end in 7) are not the machines' fault.
         for i in 0..4 {
-            let mut spec = plain(&mut w, Kind::Array, 3, 5);
+            let mut spec = plain(&mut w, JobKind::Array, 3, 5);
             spec.team = "blue".to_owned();
             w.submit(&format!("job-{seed:03}{i:02}7"), spec);
         }
         // Accelerators are in use, their machines' processors are not, and all others are full.
-        let mut gang = plain(&mut w, Kind::Gang, 3, 900);
+        let mut gang = plain(&mut w, JobKind::Gang, 3, 900);
         (gang.need.gpu, gang.need.cpu) = (2_000, 1_000);
         gang.team = "red".to_owned();
         w.submit("job-000010", gang);
         run(&mut w, seed, 40);
         for i in 0..8 {
-            let mut spec = plain(&mut w, Kind::Service, 1, 0);
+            let mut spec = plain(&mut w, JobKind::Service, 1, 0);
             spec.need.cpu = 8_000;
             spec.team = if i % 2 == 0 { "red" } else { "blue" }.to_owned();
             w.submit(&format!("job-{seed:03}{i:02}0"), spec);
         }
         run(&mut w, seed, 100);
         for i in 0..3 {
-            let mut spec = plain(&mut w, Kind::Array, 2, 30);
+            let mut spec = plain(&mut w, JobKind::Array, 2, 30);
             (spec.need.cpu, spec.spot) = (1_000, false);
             w.submit(&format!("job-{seed:03}{i:02}1"), spec);
         }
--- a/crates/saltpitch-testkit/tests/meetings/messages.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
@@ -1,8 +1,8 @@
 //! Late, held and repeated messages that meet a change of leader.
 
-use saltpitch_core::job::Kind;
+use saltpitch_core::job::JobKind;
 use saltpitch_core::Micros;
-use saltpitch_testkit::{Faults, World};
+use saltpitch_testkit::{Faults, Simulation};
 
 use crate::common::{all_over, at_work, disturb, plain, run, secs};
 
@@ -35,7 +35,7 @@
         w.late_writes_until = w.now.plus(secs(5));
         for round in 0..5 {
             disturb(&mut w, seed, round);
-            let spec = plain(&mut w, Kind::Array, 3, 40);
+            let spec = plain(&mut w, JobKind::Array, 3, 40);
             w.submit(&format!("job-9{seed:03}{round}0"), spec);
             run(&mut w, seed, 41 + round);
         }
@@ -46,18 +46,18 @@
     }
 }
 
-/// A report from an earlier session, and one of an earlier attempt, come after newer ones.
+/// A heartbeat from an earlier epoch, and one of an earlier attempt, come after newer ones.
 #[test]
 fn old_reports_arrive_after_newer_ones() {
     for seed in 160..168 {
         let (mut w, ids, leader) = at_work(seed, 3);
-        let name = (w.workers.values())
+        let name = (w.agents.values())
             .find(|m| !m.gone && m.tasks.values().any(|h| h.on()))
             .map(|m| m.name.clone())
             .expect("one at work");
-        let old = w.workers[&name].copy();
+        let old = w.agents[&name].copy();
         // Its lease runs out and its tasks go elsewhere, or it is cancelled, or both.
-        w.workers.get_mut(&name).expect("there").deaf_until = w.now.plus(secs(17));
+        w.agents.get_mut(&name).expect("there").inbound_cut_until = w.now.plus(secs(17));
         if seed % 2 == 0 {
             w.cancel(&ids[0]);
         }
@@ -76,7 +76,7 @@
 fn commands_held_up_while_a_machine_hangs_and_then_goes_on() {
     for seed in 170..178 {
         let (mut w, ids, _) = at_work(seed, 3);
-        let busy: Vec<String> = w.workers.keys().take(3).cloned().collect();
+        let busy: Vec<String> = w.agents.keys().take(3).cloned().collect();
         disturb(&mut w, seed, 0);
         let placed = w.now.plus(Micros::from_millis(100 * (1 + seed % 8)));
         while w.now < placed {
@@ -84,7 +84,7 @@
         }
         for name in &busy {
             let until = w.now.plus(secs(4 + seed % 9));
-            w.workers.get_mut(name).expect("there").hung_until = until;
+            w.agents.get_mut(name).expect("there").hung_until = until;
         }
         w.cancel(&ids[0]);
         run(&mut w, seed, 44);
@@ -94,7 +94,7 @@
     }
 }
 
-/// Direct orders that stay without an answer and are carried out up to twenty seconds later, starts of
+/// Direct commands that stay without an answer and are carried out up to twenty seconds later, starts of
 /// jobs that are cancelled meanwhile among them.
 #[test]
 fn direct_orders_are_carried_out_long_after_they_were_given_up() {
@@ -103,11 +103,15 @@
             losses: true,
             ..Faults::default()
         };
-        let mut w = World::new(seed, losses, Micros::ZERO);
+        let mut w = Simulation::new(seed, losses, Micros::ZERO);
         run(&mut w, seed, 5);
         for t in 0..30u64 {
             let id = format!("job-{seed:03}{t:02}0");
-            let kind = if t % 4 == 0 { Kind::Gang } else { Kind::Array };
+            let kind = if t % 4 == 0 {
+                JobKind::Gang
+            } else {
+                JobKind::Array
+            };
             let spec = plain(&mut w, kind, 2, 8);
             w.submit(&id, spec);
             run(&mut w, seed, 6 + t * 2);
@@ -115,7 +119,7 @@
                 w.cancel(&id);
             }
             if t % 10 == 9 {
-                if let Some(m) = w.workers.values_mut().find(|m| !m.gone) {
+                if let Some(m) = w.agents.values_mut().find(|m| !m.gone) {
                     m.hung_until = w.now.plus(secs(5));
                 }
             }
@@ -149,12 +153,12 @@
     }
 }
 
-/// A report is held back until a new leader has acted on what it knows, and then arrives there.
+/// A heartbeat is held back until a new leader has acted on what it knows, and then arrives there.
 #[test]
 fn a_report_is_held_back_until_a_new_leader_has_acted() {
     for seed in 260..270 {
         let (mut w, ids, leader) = at_work(seed, 4);
-        let held: Vec<_> = w.workers.values().map(|m| m.copy()).collect();
+        let held: Vec<_> = w.agents.values().map(|m| m.copy()).collect();
         w.crash_for(leader, secs(5));
         w.cancel(&ids[0]);
         run(&mut w, seed, 48 + seed % 10);
--- a/crates/saltpitch-testkit/tests/pipelines.rs
+++ b/crates/saltpitch-testkit/tests/dependencies.rs
@@ -1,21 +1,27 @@
 //! Jobs that need others to be done first: released, withdrawn, urgent for the sake of the last one.
 
-use saltpitch_core::job::{JobSpec, Kind, Priority};
+use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::records::job_key;
 use saltpitch_core::Micros;
-use saltpitch_testkit::{Faults, World};
+use saltpitch_testkit::{Faults, Simulation};
 
 fn secs(s: u64) -> Micros {
     Micros::from_secs(s)
 }
 
-fn run(w: &mut World, seed: u64, until: u64) {
+fn run(w: &mut Simulation, seed: u64, until: u64) {
     if let Err(e) = w.run(secs(until)) {
         panic!("seed {seed}: {e}");
     }
 }
 
-fn job(w: &mut World, kind: Kind, tasks: u32, estimate: u64, needs: &[&str]) -> JobSpec {
+fn job(
+    w: &mut Simulation,
+    kind: JobKind,
+    tasks: u32,
+    estimate: u64,
+    dependencies: &[&str],
+) -> JobSpec {
     let mut spec = w.draw_job();
     spec.kind = kind;
     spec.priority = Priority::Low;
@@ -25,17 +31,17 @@
     (spec.need.cpu, spec.need.gpu) = (2_000, 0);
     (spec.checkpoint, spec.save) = (Micros::ZERO, Micros::ZERO);
     spec.estimate = secs(estimate);
-    spec.needs = needs.iter().map(|n| (*n).to_owned()).collect();
+    spec.dependencies = dependencies.iter().map(|n| (*n).to_owned()).collect();
     spec
 }
 
 /// A split, two branches of which one is a gang, and the job that needs all of them.
-fn diamond(w: &mut World) -> [&'static str; 4] {
+fn diamond(w: &mut Simulation) -> [&'static str; 4] {
     let ids = ["job-000040", "job-000030", "job-000020", "job-000010"];
-    let a = job(w, Kind::Array, 3, 8, &[]);
-    let b = job(w, Kind::Array, 4, 10, &[ids[0]]);
-    let c = job(w, Kind::Gang, 2, 6, &[ids[0]]);
-    let d = job(w, Kind::Array, 2, 4, &[ids[0], ids[1], ids[2]]);
+    let a = job(w, JobKind::Array, 3, 8, &[]);
+    let b = job(w, JobKind::Array, 4, 10, &[ids[0]]);
+    let c = job(w, JobKind::Gang, 2, 6, &[ids[0]]);
+    let d = job(w, JobKind::Array, 2, 4, &[ids[0], ids[1], ids[2]]);
     for (id, spec) in ids.iter().zip([a, b, c, d]) {
         assert!(w.submit(id, spec), "{id}");
     }
@@ -45,7 +51,7 @@
 #[test]
 fn each_stage_starts_when_all_that_it_needs_are_done() {
     for seed in 0..8 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
         let ids = diamond(&mut w);
         // Leaders change between the stages, in some histories.
@@ -61,7 +67,7 @@
             assert!(w.is_done(id), "seed {seed}: {id}");
         }
         // One that comes when all are over, and is named in the same breath.
-        let late = job(&mut w, Kind::Array, 1, 2, &[ids[1], ids[2]]);
+        let late = job(&mut w, JobKind::Array, 1, 2, &[ids[1], ids[2]]);
         w.submit("job-000050", late);
         run(&mut w, seed, 240);
         assert!(w.is_done("job-000050"));
@@ -73,10 +79,10 @@
 #[test]
 fn a_cancellation_withdraws_all_that_needs_the_job() {
     for seed in 20..32 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
         let ids = diamond(&mut w);
-        let wait = w.luck(25_000);
+        let wait = w.random_below(25_000);
         let at = w.now.plus(Micros::from_millis(wait));
         while w.now < at {
             w.step().expect("no rule is broken");
@@ -94,7 +100,7 @@
         }
         let off = w.jobs[cut].cancelled_at.is_some();
         assert_eq!(w.jobs[ids[3]].withdrawn_at.is_some(), off);
-        let late = job(&mut w, Kind::Array, 1, 2, &[ids[3]]);
+        let late = job(&mut w, JobKind::Array, 1, 2, &[ids[3]]);
         assert!(w.submit("job-000050", late), "accepted all the same");
         run(&mut w, seed, 300);
         let last = w.jobs["job-000050"].withdrawn_at.is_some();
@@ -108,7 +114,7 @@
         // Not only by what follows from the other records.
         let record = &w.store.keys[&job_key(ids[3])].value;
         assert_eq!(record.contains("cancelled"), off, "seed {seed}: {record}");
-        let end = job(&mut w, Kind::Array, 1, 2, &["job-000050"]);
+        let end = job(&mut w, JobKind::Array, 1, 2, &["job-000050"]);
         w.submit("job-000060", end);
         run(&mut w, seed, 340);
         assert_eq!(w.is_done("job-000060"), !off, "seed {seed}");
@@ -119,27 +125,27 @@
 #[test]
 fn a_waiting_job_holds_nothing() {
     for seed in 40..44 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
-        let mut first = job(&mut w, Kind::Array, 1, 400, &[]);
+        let mut first = job(&mut w, JobKind::Array, 1, 400, &[]);
         first.team = "red".to_owned();
         w.submit("job-000001", first);
         for i in 0..6 {
-            let mut spec = job(&mut w, Kind::Gang, 5, 300, &["job-000001"]);
+            let mut spec = job(&mut w, JobKind::Gang, 5, 300, &["job-000001"]);
             (spec.team, spec.need.cpu) = ("red".to_owned(), 4_000);
             spec.priority = Priority::High;
             w.submit(&format!("job-00002{i}"), spec);
         }
         run(&mut w, seed, 60);
-        let there = w.workers.values().filter(|m| !m.gone).count();
+        let there = w.agents.values().filter(|m| !m.gone).count();
         assert!(there <= 2, "seed {seed}: {there} machines for one task");
         // Only the task that runs counts against the team's limit.
         let leader = w.leader().expect("a leader");
-        let scheduler = w.nodes[leader].controller.leader().expect("leads");
+        let scheduler = w.nodes[leader].controller.scheduler().expect("leads");
         let first = w.jobs["job-000001"].spec.need;
         assert_eq!(scheduler.used_by("red"), first, "seed {seed}");
         for i in 0..4 {
-            let mut spec = job(&mut w, Kind::Array, 5, 10, &[]);
+            let mut spec = job(&mut w, JobKind::Array, 5, 10, &[]);
             spec.team = "red".to_owned();
             w.submit(&format!("job-00003{i}"), spec);
         }
@@ -147,7 +153,7 @@
         // places gets through twenty tasks of about ten seconds in seven rounds.
         for t in 75..100 {
             run(&mut w, seed, t);
-            let there = w.workers.values().filter(|m| !m.gone && m.is_up(w.now));
+            let there = w.agents.values().filter(|m| !m.gone && m.is_up(w.now));
             let places: u64 = there.map(|m| m.size.cpu / 2_000).sum();
             let ids = (0..4).map(|i| format!("job-00003{i}"));
             let (on, left) = ids.fold((0, 0), |(on, left), id| {
@@ -172,19 +178,19 @@
 #[test]
 fn the_last_jobs_priority_serves_the_whole_chain() {
     for seed in 60..64 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
         for t in 0..60u64 {
             run(&mut w, seed, 5 + t * 2);
-            let mut spec = job(&mut w, Kind::Array, 8, 12, &[]);
+            let mut spec = job(&mut w, JobKind::Array, 8, 12, &[]);
             spec.priority = Priority::Normal;
             w.submit(&format!("job-1{t:03}0"), spec);
             if t == 30 {
-                let a = job(&mut w, Kind::Array, 14, 12, &[]);
+                let a = job(&mut w, JobKind::Array, 14, 12, &[]);
                 w.submit("job-000090", a);
-                let b = job(&mut w, Kind::Array, 14, 12, &["job-000090"]);
+                let b = job(&mut w, JobKind::Array, 14, 12, &["job-000090"]);
                 w.submit("job-000080", b);
-                let mut c = job(&mut w, Kind::Array, 1, 3, &["job-000080"]);
+                let mut c = job(&mut w, JobKind::Array, 1, 3, &["job-000080"]);
                 c.priority = Priority::High;
                 c.deadline = Some(secs(90));
                 w.submit("job-000070", c);
--- a/crates/saltpitch-testkit/tests/world.rs
+++ b/crates/saltpitch-testkit/tests/simulation.rs
@@ -1,9 +1,9 @@
 //! Seeded histories of a whole site, the rules checked after each step.
 
-use saltpitch_core::job::{Kind, Priority};
+use saltpitch_core::job::{JobKind, Priority};
 use saltpitch_core::Micros;
 use saltpitch_testkit::histories::{play, served};
-use saltpitch_testkit::{rules, Faults, World};
+use saltpitch_testkit::{invariants, Faults, Simulation};
 
 fn many(seeds: std::ops::Range<u64>, faults: Faults, busy: u64, calm: u64) {
     for seed in seeds {
@@ -112,24 +112,24 @@
 #[test]
 fn machines_that_do_not_hear_the_controllers() {
     let f = Faults {
-        deaf: true,
+        inbound_partition: true,
         ..Faults::default()
     };
     many(800..812, f, 100, 300);
 }
 
-fn run(w: &mut World, until: u64) {
+fn run(w: &mut Simulation, until: u64) {
     w.run(Micros::from_secs(until)).expect("no rule is broken");
 }
 
-/// Nothing new goes to a deaf machine, its work goes on elsewhere, and it is returned in the end. A
+/// Nothing new goes to a inbound-partitioned machine, its work goes on elsewhere, and it is returned in the end. A
 /// group of them, most of those there are, does not unseat a healthy leader.
 #[test]
 fn deaf_machines_are_left_and_the_leader_stays() {
     for seed in 820..826 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         let mut spec = w.draw_job();
-        spec.kind = Kind::Service;
+        spec.kind = JobKind::Service;
         (spec.tasks, spec.spread, spec.zone) = (6, false, None);
         (spec.need.cpu, spec.need.gpu, spec.spot) = (6_000, 0, false);
         run(&mut w, 5);
@@ -137,16 +137,16 @@
         run(&mut w, 60);
         assert_eq!(w.running("job-000001"), 6, "seed {seed}");
         let leader = w.leader();
-        let there = w.workers.values().filter(|m| !m.gone);
+        let there = w.agents.values().filter(|m| !m.gone);
         let group: Vec<String> = there.map(|m| m.name.clone()).take(4).collect();
         for name in &group {
-            let m = w.workers.get_mut(name).expect("a machine");
-            m.deaf_until = Micros::from_secs(100_000);
+            let m = w.agents.get_mut(name).expect("a machine");
+            m.inbound_cut_until = Micros::from_secs(100_000);
         }
         run(&mut w, 160);
         assert_eq!(w.running("job-000001"), 6, "seed {seed}: went on elsewhere");
         for name in &group {
-            assert!(w.workers[name].gone, "seed {seed}: {name} is still there");
+            assert!(w.agents[name].gone, "seed {seed}: {name} is still there");
         }
         assert_eq!((w.leader(), w.resignations), (leader, 0), "seed {seed}");
     }
@@ -163,12 +163,12 @@
     many(900..916, f, 100, 300);
 }
 
-/// The leader loses the state service and the other controllers, but not its workers, for longer
-/// than any bound: another takes over, the workers move, cancellations stay within their time.
+/// The leader loses the state service and the other controllers, but not its agents, for longer
+/// than any bound: another takes over, the agents move, cancellations stay within their time.
 #[test]
 fn a_leader_without_store_and_peers() {
     for seed in 840..848 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, 5);
         for i in 0..8 {
             let spec = w.draw_job();
@@ -186,7 +186,7 @@
         let new = w.leader();
         assert!(new.is_some_and(|n| n != old), "seed {seed}: {new:?}");
         run(&mut w, 400);
-        rules::served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        invariants::served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
 }
 
@@ -195,11 +195,11 @@
 #[test]
 fn the_largest_begin_under_steady_overload() {
     for seed in 860..863 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         let mut count = 0;
-        let mut submit = |w: &mut World, kind: Kind, tasks: u32| {
+        let mut submit = |w: &mut Simulation, kind: JobKind, tasks: u32| {
             let mut spec = w.draw_job();
-            let gang = kind == Kind::Gang;
+            let gang = kind == JobKind::Gang;
             spec.kind = kind;
             spec.class = if gang { "train" } else { "batch" }.to_owned();
             spec.team = if count / 2 % 2 == 0 { "red" } else { "blue" }.to_owned();
@@ -216,17 +216,17 @@
         };
         for t in 0..300 {
             run(&mut w, t * 2);
-            submit(&mut w, Kind::Array, 8);
+            submit(&mut w, JobKind::Array, 8);
             if t % 3 == 0 {
-                submit(&mut w, Kind::Gang, 1);
+                submit(&mut w, JobKind::Gang, 1);
             }
             if t % 40 == 5 && t < 180 {
-                submit(&mut w, Kind::Array, 90);
-                submit(&mut w, Kind::Gang, 6);
+                submit(&mut w, JobKind::Array, 90);
+                submit(&mut w, JobKind::Gang, 6);
             }
         }
         run(&mut w, 800);
-        rules::served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        invariants::served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
 }
 
--- a/crates/saltpitch-testkit/tests/upgrade.rs
+++ b/crates/saltpitch-testkit/tests/upgrade.rs
@@ -1,9 +1,9 @@
 //! Nodes are replaced while jobs run and troubles come: both versions lead after one another on each
 //! other's records, what dies before its turn comes back old, and then the store's limits fall.
 
-use saltpitch_core::job::{JobSpec, Kind, Priority};
+use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::Micros;
-use saltpitch_testkit::{Faults, World};
+use saltpitch_testkit::{Faults, Simulation};
 
 /// When the store's next limits come into force, in steps of three seconds; the nodes are replaced at
 /// steps 12, 20 and 28.
@@ -16,8 +16,8 @@
     faults: Faults,
     limits: (usize, usize, u32),
     fall_at: u64,
-) -> Result<World, String> {
-    let mut w = World::new(seed, faults, Micros::from_secs(150));
+) -> Result<Simulation, String> {
+    let mut w = Simulation::new(seed, faults, Micros::from_secs(150));
     w.next_limits = Some(limits);
     for n in &mut w.nodes {
         n.old = true;
@@ -40,23 +40,23 @@
         let id = format!("job-{seed:03}{i:03}0");
         let mut spec = w.draw_job();
         // Nothing new is asked of the service before all have the new version.
-        if i > 30 && spec.kind != Kind::Service && w.luck(3) == 0 {
-            let at = w.luck(ids.len() as u64) as usize;
+        if i > 30 && spec.kind != JobKind::Service && w.random_below(3) == 0 {
+            let at = w.random_below(ids.len() as u64) as usize;
             let named = ids.get(at).filter(|n| w.jobs[*n].accepted);
-            let named = named.filter(|n| w.jobs[*n].spec.kind != Kind::Service);
-            spec.needs.extend(named.cloned());
+            let named = named.filter(|n| w.jobs[*n].spec.kind != JobKind::Service);
+            spec.dependencies.extend(named.cloned());
         }
         w.submit(&id, spec);
         ids.push(id);
-        if w.luck(5) == 0 {
-            let at = w.luck(ids.len() as u64) as usize;
+        if w.random_below(5) == 0 {
+            let at = w.random_below(ids.len() as u64) as usize;
             w.cancel(&ids[at].clone());
         }
     }
     w.heal();
     w.run(Micros::from_secs(400))?;
     for id in &ids {
-        if w.jobs[id].spec.kind == Kind::Service || w.jobs[id].mistaken {
+        if w.jobs[id].spec.kind == JobKind::Service || w.jobs[id].mistaken {
             w.cancel(id);
         }
     }
@@ -66,7 +66,7 @@
         if off && w.running(id) > 0 {
             return Err(format!("{id} was cancelled and still runs"));
         }
-        if !off && j.spec.kind != Kind::Service && !w.is_done(id) {
+        if !off && j.spec.kind != JobKind::Service && !w.is_done(id) {
             return Err(format!("{id} is not done"));
         }
     }
@@ -134,8 +134,8 @@
 }
 
 /// A site at work on which the node that leads runs protocol version 0 and the others the present one.
-fn led_by_version_0(seed: u64) -> (World, Vec<String>, usize) {
-    let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+fn led_by_version_0(seed: u64) -> (Simulation, Vec<String>, usize) {
+    let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
     for n in &mut w.nodes {
         n.old = true;
     }
@@ -161,16 +161,16 @@
     (w, ids, leader)
 }
 
-fn run(w: &mut World, seed: u64, until: u64) {
+fn run(w: &mut Simulation, seed: u64, until: u64) {
     if let Err(e) = w.run(Micros::from_secs(until)) {
         panic!("seed {seed}: {e}");
     }
 }
 
 /// Two tasks that run for longer than any of these histories, on any machine.
-fn long_array(w: &mut World) -> JobSpec {
+fn long_array(w: &mut Simulation) -> JobSpec {
     let mut spec = w.draw_job();
-    (spec.kind, spec.priority, spec.tasks) = (Kind::Array, Priority::Normal, 2);
+    (spec.kind, spec.priority, spec.tasks) = (JobKind::Array, Priority::Normal, 2);
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, false);
     (spec.need.cpu, spec.need.gpu) = (2_000, 0);
     (spec.checkpoint, spec.save) = (Micros::ZERO, Micros::ZERO);
@@ -223,7 +223,7 @@
 #[test]
 fn the_leadership_passes_between_versions_and_back() {
     for seed in 100..106 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         for n in &mut w.nodes {
             n.old = true;
         }
--- a/crates/saltpitch-testkit/tests/waiting.rs
+++ b/crates/saltpitch-testkit/tests/waiting_jobs.rs
@@ -1,32 +1,32 @@
 //! No job waits for long beside room that fits, and nothing is kept for work that can't have it. The
 //! checker counts the waits after each step.
 
-use saltpitch_core::job::{JobSpec, Kind, Priority};
+use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::Micros;
-use saltpitch_testkit::{Faults, World};
+use saltpitch_testkit::{Faults, Simulation};
 
 fn secs(s: u64) -> Micros {
     Micros::from_secs(s)
 }
 
-fn run(w: &mut World, seed: u64, until: u64) {
+fn run(w: &mut Simulation, seed: u64, until: u64) {
     if let Err(error) = w.run(secs(until)) {
         panic!("seed {seed}: {error}");
     }
 }
 
 /// A job of the team "red" whose tasks may run on any machine.
-fn red(w: &mut World, kind: Kind, tasks: u32, cpu: u64, estimate_s: u64) -> JobSpec {
+fn red(w: &mut Simulation, kind: JobKind, tasks: u32, cpu: u64, estimate_s: u64) -> JobSpec {
     let priority = match kind {
-        Kind::Service => Priority::Production,
-        Kind::Gang => Priority::High,
-        Kind::Array => Priority::Normal,
+        JobKind::Service => Priority::Production,
+        JobKind::Gang => Priority::High,
+        JobKind::Array => Priority::Normal,
     };
     let mut spec = w.draw_job();
     (spec.kind, spec.priority, spec.tasks) = (kind, priority, tasks);
     spec.team = "red".to_owned();
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, true);
-    (spec.need.cpu, spec.need.gpu) = (cpu, u64::from(kind == Kind::Gang) * 1_000);
+    (spec.need.cpu, spec.need.gpu) = (cpu, u64::from(kind == JobKind::Gang) * 1_000);
     (spec.checkpoint, spec.save) = (Micros::ZERO, Micros::ZERO);
     spec.estimate = secs(estimate_s);
     spec
@@ -37,19 +37,19 @@
 #[test]
 fn nothing_is_kept_for_a_gang_that_services_leave_no_room_for() {
     for seed in 500..504 {
-        let mut w = World::new(seed, Faults::default(), Micros::ZERO);
+        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
         for i in 0..4 {
-            let service = red(&mut w, Kind::Service, 4, 2_000, 0);
+            let service = red(&mut w, JobKind::Service, 4, 2_000, 0);
             w.submit(&format!("job-00000{i}"), service);
         }
         run(&mut w, seed, 60);
-        let gang = red(&mut w, Kind::Gang, 4, 3_000, 20);
+        let gang = red(&mut w, JobKind::Gang, 4, 3_000, 20);
         w.submit("job-000010", gang);
         // Long enough for the gang to have waited for its turn, with arrays coming all the while.
         for i in 0..40u64 {
             run(&mut w, seed, 60 + i * 10);
-            let array = red(&mut w, Kind::Array, 2, 2_000, 8);
+            let array = red(&mut w, JobKind::Array, 2, 2_000, 8);
             w.submit(&format!("job-0001{i:02}0"), array);
         }
         run(&mut w, seed, 560);
--- a/crates/saltpitch/src/api.rs
+++ b/crates/saltpitch/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface: users, workers and health checks.
+//! The HTTP interface: users, agents and health checks.
 
 use std::sync::Arc;
 
--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -8,8 +8,10 @@
 use clap::Subcommand;
 use saltpitch_cells::ids::{sent_id, MAX_NUMBER};
 use saltpitch_core::job::JobState;
-use saltpitch_core::leader::{Outcome, Write};
-use saltpitch_core::records::{job_key, Delegation, DelegationState, JobEntry, JobRecord, View};
+use saltpitch_core::records::{
+    job_key, Delegation, DelegationState, JobEntry, JobRecord, RecordCache,
+};
+use saltpitch_core::scheduler::{Precondition, TransactionOutcome, Write};
 
 use crate::clock::Clock;
 use crate::http::Client;
@@ -77,10 +79,10 @@
         limits,
         settings.size,
     );
-    let view = read(&store).await?;
+    let records = read(&store).await?;
     match command {
         CellsCommand::List => {
-            list(&view);
+            list(&records);
             Ok(())
         }
         CellsCommand::GiveUp {
@@ -92,34 +94,34 @@
                 let reason = "pass --nothing-runs-there only if you know that no task of the job runs at the neighbour and that none can be started there";
                 return Err(CommandError::Refused(reason.to_owned()));
             }
-            give_up(&store, &view, job, cell).await
+            give_up(&store, &records, job, cell).await
         }
     }
 }
 
-async fn read(store: &Store) -> Result<View, CommandError> {
-    let mut view = View::default();
+async fn read(store: &Store) -> Result<RecordCache, CommandError> {
+    let mut records = RecordCache::default();
     let listed = store.list(|rows| {
         for row in rows {
             let Some(value) = &row.value else { continue };
-            if let Err(error) = view.put(&row.key, value, row.revision) {
+            if let Err(error) = records.put(&row.key, value, row.revision) {
                 eprintln!("record {} is unreadable: {error}", row.key);
             }
         }
     });
     listed.await.ok_or(CommandError::Unreachable)?;
-    Ok(view)
+    Ok(records)
 }
 
-fn list(view: &View) {
-    for job in view.delegated() {
-        let entry = view.jobs.get(job).map(|entry| &entry.record);
+fn list(records: &RecordCache) {
+    for job in records.delegated() {
+        let entry = records.jobs.get(job).map(|entry| &entry.record);
         if let Some(delegation) = entry.and_then(|record| record.delegation.as_ref()) {
             println!("{}", describe(job, delegation));
         }
     }
-    for id in view.guests() {
-        let (running, done) = view.counts(id);
+    for id in records.guests() {
+        let (running, done) = records.counts(id);
         println!("guest {id}: {running} tasks placed, {done} done");
     }
 }
@@ -146,8 +148,13 @@
     format!("{job}: at cell {cell} as {sent}, {state}{cancel}")
 }
 
-async fn give_up(store: &Store, view: &View, job: &str, cell: &str) -> Result<(), CommandError> {
-    let entry = view.jobs.get(job);
+async fn give_up(
+    store: &Store,
+    records: &RecordCache,
+    job: &str,
+    cell: &str,
+) -> Result<(), CommandError> {
+    let entry = records.jobs.get(job);
     let delegated = entry.filter(|entry| entry.record.is_delegated());
     let Some(entry) = delegated else {
         let reason = format!("{job} is with no other cell");
@@ -155,17 +162,17 @@
     };
     let key = job_key(job);
     let record = taken_back(entry, cell)?;
-    let when = [(key.clone(), entry.rev)];
+    let preconditions = [Precondition::new(key.clone(), entry.rev)];
     let write = Write {
         key,
         value: serde_json::to_string(&record).ok(),
     };
-    match store.txn(&when, &[write], None, TXN_TIMEOUT).await {
-        Outcome::Done(_) => {
+    match store.txn(&preconditions, &[write], None, TXN_TIMEOUT).await {
+        TransactionOutcome::Committed(_) => {
             println!("{job} is this cell's own again");
             Ok(())
         }
-        Outcome::Failed(_) => {
+        TransactionOutcome::Conflict(_) => {
             let reason = "the job's record has changed meanwhile; list again".to_owned();
             Err(CommandError::Refused(reason))
         }
--- a/crates/saltpitch/src/cells/listener.rs
+++ b/crates/saltpitch/src/cells/listener.rs
@@ -6,15 +6,15 @@
 use anyhow::{Context, Result};
 use poem::http::{Method, StatusCode};
 use poem::{Endpoint, Request, Response, Server};
-use saltpitch_cells::host::{Admission, Door, GuestError, HostSite};
+use saltpitch_cells::host::{Admission, GuestError, HostAdmission, HostSite};
 use saltpitch_cells::link::{HostStatus, Submission};
-use saltpitch_core::leader::{Outcome, Write};
 use saltpitch_core::records::{job_key, JobRecord};
+use saltpitch_core::scheduler::{Precondition, TransactionOutcome, Write};
 use saltpitch_core::Micros;
 use serde_json::Value;
 
 use crate::api::{answer, answer_later, body, refuse};
-use crate::bounded::{Bounded, Connections};
+use crate::connection_limit::{Bounded, Connections};
 use crate::node::{listen, Node};
 use crate::users::{Cancellation, Unavailable};
 use crate::wire::users;
@@ -29,7 +29,7 @@
 const RETRY_AFTER_S: u64 = 2;
 
 /// Opens the listener for a neighbour.
-pub async fn start(node: Arc<Node>, door: Door) -> Result<()> {
+pub async fn start(node: Arc<Node>, door: HostAdmission) -> Result<()> {
     let address = *door
         .settings
         .listen
@@ -53,7 +53,7 @@
 /// Every path and method in one place.
 struct Guests {
     node: Arc<Node>,
-    door: Door,
+    door: HostAdmission,
 }
 
 impl Endpoint for Guests {
@@ -97,7 +97,7 @@
         if !self.node.is_up() {
             return refuse(StatusCode::SERVICE_UNAVAILABLE, "not ready");
         }
-        if !self.door.has_room(self.node.controller().view()) {
+        if !self.door.has_room(self.node.controller().records()) {
             let reason = GuestError::NoRoom.to_string();
             return answer_later(StatusCode::SERVICE_UNAVAILABLE, &reason, RETRY_AFTER_S);
         }
@@ -127,7 +127,9 @@
             catalog: &catalog,
             teams: &self.node.settings.teams,
         };
-        Ok(self.door.admit(controller.view(), submission, &site, wall))
+        Ok(self
+            .door
+            .admit(controller.records(), submission, &site, wall))
     }
 
     /// Puts a guest, or the record that closes its submission, on record.
@@ -138,29 +140,32 @@
         };
         let key = job_key(&self.door.guest_id(sent));
         let value = serde_json::to_string(&record).map_err(|_| Unavailable)?;
-        if value.len() > self.node.settings.store.value_bytes {
+        if value.len() > self.node.settings.store.max_value_bytes {
             let reason = "the description is too long";
             return Ok(refuse(StatusCode::UNPROCESSABLE_ENTITY, reason));
         }
-        let when = [(key.clone(), 0)];
+        let preconditions = [Precondition::new(key.clone(), 0)];
         let write = Write {
             key: key.clone(),
             value: Some(value.clone()),
         };
         let store = &self.node.store;
-        match store.txn(&when, &[write], None, CREATE_TIMEOUT).await {
-            Outcome::Done(revision) => {
+        match store
+            .txn(&preconditions, &[write], None, CREATE_TIMEOUT)
+            .await
+        {
+            TransactionOutcome::Committed(revision) => {
                 self.node.apply_own_write(&key, &value, revision);
                 tracing::info!("{} is taken from cell {}", sent, self.door.cell);
                 Ok(short(StatusCode::CREATED, sent, status))
             }
-            Outcome::Failed(_) => self.status(sent).await,
+            TransactionOutcome::Conflict(_) => self.status(sent).await,
             _ => Err(Unavailable),
         }
     }
 
     fn status_in_memory(&self, sent: &str) -> Option<HostStatus> {
-        self.door.status(self.node.controller().view(), sent)
+        self.door.status(self.node.controller().records(), sent)
     }
 
     /// A job's status on records as new as the request, unless it is final.
@@ -179,7 +184,7 @@
         };
         let (running, done) = {
             let id = self.door.guest_id(sent);
-            self.node.controller().view().counts(&id)
+            self.node.controller().records().counts(&id)
         };
         let body = users::full(sent, word(status), done, running);
         Ok(answer(StatusCode::OK, &body))
@@ -194,17 +199,17 @@
             };
             let cancels = {
                 let controller = self.node.controller();
-                self.door.cancels(controller.view(), sent, unless_begun)
+                self.door.cancels(controller.records(), sent, unless_begun)
             };
             if !cancels {
                 return Ok(short(StatusCode::OK, sent, status));
             }
             match self.node.write_cancellation(&id).await? {
-                Cancellation::Ended(Outcome::Done(_)) => {
+                Cancellation::Ended(TransactionOutcome::Committed(_)) => {
                     return Ok(short(StatusCode::OK, sent, HostStatus::Withdrawn));
                 }
                 // The record has changed: look again.
-                Cancellation::Ended(Outcome::Failed(_)) => {}
+                Cancellation::Ended(TransactionOutcome::Conflict(_)) => {}
                 _ => return Err(Unavailable),
             }
         }
--- a/crates/saltpitch/src/cells/mod.rs
+++ b/crates/saltpitch/src/cells/mod.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use saltpitch_cells::home::{CellEffect, Delegator, LinkCall, RecordWrite};
-use saltpitch_cells::host::Door;
+use saltpitch_cells::host::HostAdmission;
+use saltpitch_cells::origin::{CellEffect, Delegator, LinkCall, RecordWrite};
 use saltpitch_cells::settings::{CellsSettings, NeighbourSettings};
-use saltpitch_core::leader::{Outcome, Write};
 use saltpitch_core::records::job_key;
+use saltpitch_core::scheduler::{TransactionOutcome, Write};
 
 use crate::http::Client;
 use crate::node::Node;
@@ -69,9 +69,9 @@
     Ok(())
 }
 
-fn door(neighbour: &NeighbourSettings) -> Option<Door> {
+fn door(neighbour: &NeighbourSettings) -> Option<HostAdmission> {
     let settings = neighbour.guests.clone()?;
-    Some(Door {
+    Some(HostAdmission {
         cell: neighbour.name.clone(),
         settings,
     })
@@ -92,7 +92,7 @@
     let epoch = controller.epoch();
     let cancel = controller.config().scheduler.cancel;
     let mut leading = cells.leading();
-    let Some(mut access) = controller.lending_access(now) else {
+    let Some(mut access) = controller.delegation_access(now) else {
         return;
     };
     let current = leading.take().filter(|leading| leading.epoch == epoch);
@@ -128,7 +128,7 @@
     let mut controller = node.controller();
     let mut leading = cells.leading();
     let current = leading.as_mut().filter(|leading| leading.epoch == epoch);
-    let (Some(current), Some(leader)) = (current, controller.leader_in_epoch(epoch)) else {
+    let (Some(current), Some(leader)) = (current, controller.scheduler_in_epoch(epoch)) else {
         return;
     };
     let delegator = &mut current.delegator;
@@ -136,12 +136,12 @@
     node.wake.notify_one();
 }
 
-async fn transact(node: &Node, write: &RecordWrite) -> Outcome {
+async fn transact(node: &Node, write: &RecordWrite) -> TransactionOutcome {
     let Ok(value) = serde_json::to_string(&write.record) else {
-        return Outcome::Rejected;
+        return TransactionOutcome::TooLarge;
     };
-    if value.len() > node.settings.store.value_bytes {
-        return Outcome::Rejected;
+    if value.len() > node.settings.store.max_value_bytes {
+        return TransactionOutcome::TooLarge;
     }
     let key = job_key(&write.job);
     let change = Write {
@@ -150,9 +150,9 @@
     };
     let outcome = node
         .store
-        .txn(&write.when, &[change], None, TXN_TIMEOUT)
+        .txn(&write.preconditions, &[change], None, TXN_TIMEOUT)
         .await;
-    if let Outcome::Done(revision) = outcome {
+    if let TransactionOutcome::Committed(revision) = outcome {
         node.apply_own_write(&key, &value, revision);
     }
     outcome
--- a/crates/saltpitch/src/cloud.rs
+++ b/crates/saltpitch/src/cloud.rs
@@ -6,7 +6,7 @@
 
 use hyper::Method;
 use saltpitch_core::catalog::Catalog;
-use saltpitch_core::leader::{ListedMachine, Rented};
+use saltpitch_core::scheduler::{ListedMachine, ScaleOutOutcome};
 
 use crate::budget::Budget;
 use crate::clock::Clock;
@@ -27,7 +27,7 @@
 /// controllers, who read the catalogue when they start.
 const LIST_PART: f64 = 0.15;
 const CALLS_PART: f64 = 0.8;
-/// Of that, what the leader's core asks for in rentals; the rest is for returns.
+/// Of that, what the leader's core asks for in scale-out requests; the rest is for returns.
 pub const RENT_PART: f64 = 0.65;
 /// Calls that may come at once, in seconds of the cloud's rate: it allows two.
 const BURST: f64 = 1.5;
@@ -73,8 +73,8 @@
 
     /// Reads the list page by page and gives each to `take` as it comes: what a page shows is there
     /// whatever becomes of the rest. Pages keep to their own small part of the rate. A list that drew
-    /// on the budget of rentals was never read to its end once it had more pages than that held, and
-    /// kept rentals and returns waiting besides.
+    /// on the budget of scale-out requests was never read to its end once it had more pages than that held, and
+    /// kept scale-out requests and returns waiting besides.
     pub async fn list(&self, mut take: impl FnMut(&[ListedMachine])) {
         let mut path = format!("/machines?page={PAGE}");
         loop {
@@ -111,9 +111,9 @@
         zone: &str,
         spot: bool,
         count: u32,
-    ) -> Rented {
+    ) -> ScaleOutOutcome {
         if !self.may() {
-            return Rented::Later;
+            return ScaleOutOutcome::Later;
         }
         let body = wire::rent(request, type_name, zone, spot, count);
         let limit = Duration::from_secs(4);
@@ -123,20 +123,20 @@
             .await
         {
             Ok(r) if r.status == 200 => match wire::rented(&r.body) {
-                Ok(names) => Rented::Machines(names),
-                Err(_) => Rented::Unknown,
+                Ok(names) => ScaleOutOutcome::Machines(names),
+                Err(_) => ScaleOutOutcome::Unknown,
             },
             Ok(r)
                 if r.status == 503 && String::from_utf8_lossy(&r.body).contains("no capacity") =>
             {
-                Rented::NoCapacity
+                ScaleOutOutcome::NoCapacity
             }
             Ok(r) => {
                 tracing::info!("cloud: rental refused with {}", r.status);
-                Rented::Later
+                ScaleOutOutcome::Later
             }
-            Err(CallError::NotSent) => Rented::Later,
-            Err(CallError::Unknown) => Rented::Unknown,
+            Err(CallError::NotSent) => ScaleOutOutcome::Later,
+            Err(CallError::Unknown) => ScaleOutOutcome::Unknown,
         }
     }
 
@@ -163,7 +163,7 @@
     use poem::{endpoint::make_sync, Request, Server};
 
     /// A list of more pages than calls are allowed at once is read to its end, in whole pages, and
-    /// leaves the budget of rentals alone.
+    /// leaves the budget of scale-out requests alone.
     #[tokio::test]
     async fn a_long_list_is_read_to_its_end() {
         let calls = Arc::new(AtomicUsize::new(0));
--- a/crates/saltpitch/src/bounded.rs
+++ b/crates/saltpitch/src/connection_limit.rs
@@ -1,6 +1,6 @@
-//! The open connections of users and workers, kept within this node's share of sockets: the rest are
+//! The open connections of users and agents, kept within this node's share of sockets: the rest are
 //! for the store, the cloud, the machines and the peers. A site may have more machines than a node
-//! has sockets, so the connections of workers that have been quiet for longest give way to new ones.
+//! has sockets, so the connections of agents that have been quiet for longest give way to new ones.
 //! Machines that died or were returned leave theirs half open: these go first.
 
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
 
 use crate::clock::Clock;
 
-/// A worker's connection gives way when it has been quiet for this long: reports are answered at
+/// An agent's connection gives way when it has been quiet for this long: heartbeats are answered at
 /// once, so that nothing is under way on it.
 const QUIET_WORKER: Micros = Micros::from_secs(1);
 /// Any other connection: users ask every few seconds.
@@ -45,7 +45,7 @@
     search_after: Micros,
 }
 
-/// All connections accepted from users and workers.
+/// All connections accepted from users and agents.
 pub struct Connections {
     limit: usize,
     table: Mutex<Table>,
@@ -125,14 +125,14 @@
         }
     }
 
-    /// A report came by this connection.
+    /// A heartbeat came by this connection.
     pub fn is_worker(&self, from: &SocketAddr) {
         if let Some(c) = self.lock().open.get(from) {
             c.worker.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Whether a worker is to open a new connection for its next report.
+    /// Whether an agent is to open a new connection for its next heartbeat.
     pub fn crowded(&self) -> bool {
         let t = self.lock();
         (t.open.len() - t.leaving) * 3 > self.limit * 2
@@ -140,7 +140,7 @@
 }
 
 /// Accepts whoever comes, so that nobody waits where the kernel counts sockets, and closes at once
-/// what is too much: a worker then asks another node.
+/// what is too much: an agent then asks another node.
 pub struct Bounded<A> {
     inner: A,
     clock: Clock,
@@ -264,7 +264,7 @@
         SocketAddr::from((n.to_be_bytes(), 9))
     }
 
-    /// What a leader with `limit` places sees in a minute of `workers` machines reporting every 8 s,
+    /// What a leader with `limit` places sees in a minute of `agents` machines reporting every 8 s,
     /// each on a connection of its own that it never closes: how many were turned away.
     fn turned_away(limit: usize, workers: u32) -> usize {
         let all = Connections::new(limit);
@@ -294,7 +294,7 @@
         away
     }
 
-    /// Quiet workers give way in time whether there are more of them than places or not.
+    /// Quiet agents give way in time whether there are more of them than places or not.
     #[test]
     fn more_workers_than_sockets_are_all_heard() {
         assert_eq!(turned_away(1_750, 500), 0);
@@ -302,7 +302,7 @@
     }
 
     /// Connections of dead machines, and of users who went away, don't keep others out; those of
-    /// users who ask do not give way to workers.
+    /// users who ask do not give way to agents.
     #[test]
     fn the_dead_go_and_users_stay() {
         let all = Connections::new(100);
