--- a/crates/saltpitch/src/lead.rs
+++ b/crates/saltpitch/src/leadership.rs
@@ -5,16 +5,18 @@
 use std::time::Duration;
 
 use hyper::Method;
-use saltpitch_core::cluster::{Order, Report};
+use saltpitch_core::cluster::{Command, Heartbeat};
 use saltpitch_core::controller::{Candidacy, LossReason};
-use saltpitch_core::leader::{Effect, Leader, ListedMachine, Ordered, Outcome, Write};
 use saltpitch_core::leadership::LEADERSHIP_LEASE;
 use saltpitch_core::records::{LEADER_KEY, TERM_KEY};
+use saltpitch_core::scheduler::{
+    CommandOutcome, Effect, ListedMachine, Scheduler, Transaction, TransactionOutcome,
+};
 use saltpitch_core::Micros;
 
 use crate::http::CallError;
 use crate::node::Node;
-use crate::wire::workers;
+use crate::wire::agents;
 
 /// The pause between two renewals of the leadership lease.
 const RENEWAL_PAUSE: Duration = Duration::from_millis(600);
@@ -22,7 +24,7 @@
 const ELECTION_CHECK: Duration = Duration::from_millis(100);
 /// How long the leader's loop sleeps when this node does not lead.
 const IDLE_WAIT: Duration = Duration::from_millis(500);
-/// Reports that arrive within this time are answered by one pass.
+/// Heartbeats that arrive within this time are answered by one pass.
 const BATCHING: Duration = Duration::from_millis(5);
 /// How often the log gets a line on the scheduler's state.
 const SUMMARY_INTERVAL: Micros = Micros::from_secs(10);
@@ -36,11 +38,11 @@
 /// Stands for election when the leadership is vacant, renews the lease, and resigns when nobody hears
 /// this node.
 pub async fn hold_leadership(node: Arc<Node>) {
-    let mut vacant_since: Option<Micros> = None;
+    let mut leaderless_since: Option<Micros> = None;
     loop {
         let store_lease = node.controller().store_lease();
         if let Some(store_lease) = store_lease {
-            vacant_since = None;
+            leaderless_since = None;
             renew(&node, store_lease).await;
             let now = node.now();
             if node.controller().should_resign(now) {
@@ -51,8 +53,8 @@
             continue;
         }
         tokio::time::sleep(ELECTION_CHECK).await;
-        if stands(&node, &mut vacant_since) {
-            vacant_since = None;
+        if should_campaign(&node, &mut leaderless_since) {
+            leaderless_since = None;
             if !stand_for_election(&node).await {
                 node.pause(300).await;
             }
@@ -61,16 +63,16 @@
 }
 
 /// Whether to stand for election now.
-fn stands(node: &Node, vacant_since: &mut Option<Micros>) -> bool {
+fn should_campaign(node: &Node, leaderless_since: &mut Option<Micros>) -> bool {
     let now = node.now();
     match node.controller().candidacy(now, node.random()) {
         Candidacy::No => {
-            *vacant_since = None;
+            *leaderless_since = None;
             false
         }
         Candidacy::AtOnce => true,
         Candidacy::After(delay) => {
-            let since = *vacant_since.get_or_insert(now);
+            let since = *leaderless_since.get_or_insert(now);
             now.since(since) >= delay
         }
     }
@@ -92,11 +94,17 @@
     let Some(resignation) = node.controller().resign(now, wall) else {
         return;
     };
-    let (when, writes) = (&resignation.when, &resignation.writes);
-    let outcome = node.store.txn(when, writes, None, ELECTION_TIMEOUT).await;
+    let Transaction {
+        preconditions,
+        writes,
+    } = &resignation.transaction;
+    let outcome = node
+        .store
+        .txn(preconditions, writes, None, ELECTION_TIMEOUT)
+        .await;
     tracing::info!("resigned: {outcome:?}");
-    if !matches!(outcome, Outcome::Done(_)) {
-        node.store.drop_hold(resignation.store_lease).await;
+    if !matches!(outcome, TransactionOutcome::Committed(_)) {
+        node.store.revoke_lease(resignation.store_lease).await;
         node.controller().resignation_failed();
     }
 }
@@ -106,30 +114,33 @@
     if !node.fresh().await {
         return false;
     }
-    let Some(store_lease) = node.store.open_hold(LEADERSHIP_LEASE).await else {
+    let Some(store_lease) = node.store.grant_lease(LEADERSHIP_LEASE).await else {
         return false;
     };
     let opened_at = node.now();
-    if bid(node, store_lease, opened_at).await {
+    if campaign(node, store_lease, opened_at).await {
         node.store.set_leading(true);
         node.wake.notify_one();
         return true;
     }
-    node.store.drop_hold(store_lease).await;
+    node.store.revoke_lease(store_lease).await;
     false
 }
 
-async fn bid(node: &Node, store_lease: u64, opened_at: Micros) -> bool {
-    let Some(bid) = node.controller().bid(node.clock.wall()) else {
+async fn campaign(node: &Node, store_lease: u64, opened_at: Micros) -> bool {
+    let Some(campaign) = node.controller().campaign(node.clock.wall()) else {
         return false;
     };
     let attached = Some((store_lease, LEADER_KEY));
-    let (when, writes) = (&bid.when, &bid.writes);
+    let Transaction {
+        preconditions,
+        writes,
+    } = &campaign.transaction;
     let outcome = node
         .store
-        .txn(when, writes, attached, ELECTION_TIMEOUT)
+        .txn(preconditions, writes, attached, ELECTION_TIMEOUT)
         .await;
-    let Outcome::Done(revision) = outcome else {
+    let TransactionOutcome::Committed(revision) = outcome else {
         return false;
     };
     // Without the records there is nothing to lead with.
@@ -138,8 +149,8 @@
     }
     let (now, wall) = (node.now(), node.clock.wall());
     let mut controller = node.controller();
-    let elected = controller.elected(bid, store_lease, revision, opened_at, now, wall);
-    if let Some(leader) = controller.leader().filter(|_| elected) {
+    let elected = controller.elected(campaign, store_lease, revision, opened_at, now, wall);
+    if let Some(leader) = controller.scheduler().filter(|_| elected) {
         tracing::info!("leader in term {}, {}", leader.term, leader.summary());
     }
     elected
@@ -164,13 +175,13 @@
     if !controller.may_answer(now) {
         return IDLE_WAIT;
     }
-    let Some(leader) = controller.leader_in_epoch(epoch) else {
+    let Some(leader) = controller.scheduler_in_epoch(epoch) else {
         return IDLE_WAIT;
     };
-    for fault in leader.take_faults(now) {
+    for fault in leader.take_alerts(now) {
         tracing::error!("{fault}");
     }
-    for job in leader.take_faulty_jobs() {
+    for job in leader.take_failing_jobs() {
         tracing::info!("{job} fails on several machines: it is tried ever less often until a task of it completes");
     }
     if now.since(*summarised_at) > SUMMARY_INTERVAL {
@@ -186,10 +197,10 @@
 
 impl Node {
     /// Gives an answer to the scheduler that asked for it, if it still leads.
-    fn tell(&self, epoch: u64, deliver: impl FnOnce(&mut Leader, Micros)) {
+    fn tell(&self, epoch: u64, deliver: impl FnOnce(&mut Scheduler, Micros)) {
         let now = self.now();
-        if let Some(leader) = self.controller().leader_in_epoch(epoch) {
-            deliver(leader, now);
+        if let Some(scheduler) = self.controller().scheduler_in_epoch(epoch) {
+            deliver(scheduler, now);
             self.wake.notify_one();
         }
     }
@@ -197,24 +208,24 @@
 
 async fn carry_out(node: Arc<Node>, epoch: u64, effect: Effect) {
     match effect {
-        Effect::Txn { when, writes } => commit(&node, epoch, &when, &writes).await,
-        Effect::Refresh => refresh(&node, epoch).await,
-        Effect::Orders {
+        Effect::Commit(transaction) => commit(&node, epoch, &transaction).await,
+        Effect::ReloadRecords => refresh(&node, epoch).await,
+        Effect::SendCommands {
             machine,
             addr,
-            session,
-            token,
-            orders,
+            agent_epoch,
+            fencing_token,
+            commands,
         } => {
-            let starts = orders.iter().any(|o| matches!(o, Order::Start { .. }));
-            tracing::debug!("{machine}: {orders:?}");
-            let end = send_orders(&node, &addr, session, token, &orders).await;
-            node.tell(epoch, |leader, now| {
-                leader.ordered(&machine, session, token, starts, end, now);
+            let starts = commands.iter().any(|o| matches!(o, Command::Start { .. }));
+            tracing::debug!("{machine}: {commands:?}");
+            let end = send_orders(&node, &addr, agent_epoch, fencing_token, &commands).await;
+            node.tell(epoch, |scheduler, now| {
+                scheduler.command_ended(&machine, agent_epoch, fencing_token, starts, end, now);
             });
         }
         Effect::Probe { machine, addr } => probe(&node, epoch, &machine, &addr).await,
-        Effect::Rent {
+        Effect::ScaleOut {
             request,
             type_name,
             zone,
@@ -226,22 +237,31 @@
                 .rent(&request, &type_name, &zone, spot, count)
                 .await;
             tracing::info!("rent {count} {type_name} in {zone} spot {spot}: {rented:?}");
-            node.tell(epoch, |leader, now| leader.rented(&request, rented, now));
+            node.tell(epoch, |scheduler, now| {
+                scheduler.rented(&request, rented, now)
+            });
         }
-        Effect::Return { names } => return_machines(&node, epoch, &names).await,
+        Effect::ScaleIn { names } => return_machines(&node, epoch, &names).await,
         Effect::RaiseTerm => raise_term(&node, epoch).await,
     }
 }
 
-async fn commit(node: &Node, epoch: u64, when: &[(String, u64)], writes: &[Write]) {
-    let outcome = node.store.leader_txn(when, writes, TXN_TIMEOUT).await;
-    if let Outcome::Failed(keys) = &outcome {
+async fn commit(node: &Node, epoch: u64, transaction: &Transaction) {
+    let Transaction {
+        preconditions,
+        writes,
+    } = transaction;
+    let outcome = node
+        .store
+        .leader_txn(preconditions, writes, TXN_TIMEOUT)
+        .await;
+    if let TransactionOutcome::Conflict(keys) = &outcome {
         tracing::info!("transaction failed on {keys:?}");
         if keys.iter().any(|key| key == TERM_KEY) {
             return node.controller().term_conflict(epoch);
         }
     }
-    node.tell(epoch, |leader, now| leader.committed(outcome, now));
+    node.tell(epoch, |scheduler, now| scheduler.committed(outcome, now));
 }
 
 async fn refresh(node: &Node, epoch: u64) {
@@ -251,15 +271,17 @@
     node.wake.notify_one();
 }
 
-/// Asks a machine for its report.
+/// Asks a machine for its heartbeat.
 async fn probe(node: &Node, epoch: u64, machine: &str, addr: &str) {
     match show(node, machine, addr).await {
-        Some(report) => node.tell(epoch, |leader, now| leader.heard_directly(report, now)),
-        None => node.tell(epoch, |leader, now| leader.probe_failed(machine, now)),
+        Some(report) => node.tell(epoch, |scheduler, now| {
+            scheduler.probe_answered(report, now)
+        }),
+        None => node.tell(epoch, |scheduler, now| scheduler.probe_failed(machine, now)),
     }
 }
 
-async fn show(node: &Node, machine: &str, addr: &str) -> Option<Report> {
+async fn show(node: &Node, machine: &str, addr: &str) -> Option<Heartbeat> {
     let addr = addr.parse::<SocketAddr>().ok()?;
     let answer = node
         .http
@@ -269,7 +291,7 @@
         tracing::debug!("{machine} does not answer");
         return None;
     };
-    workers::report(&answer.body)
+    agents::decode_heartbeat(&answer.body)
         .map_err(|error| tracing::error!("{machine}: unreadable report: {error}"))
         .ok()
 }
@@ -279,7 +301,7 @@
         let returned = node.cloud.give_back(part).await;
         tracing::info!("return {part:?}: {returned}");
         if returned {
-            node.tell(epoch, |leader, now| leader.returned(part, now));
+            node.tell(epoch, |scheduler, now| scheduler.returned(part, now));
         }
     }
 }
@@ -287,27 +309,27 @@
 async fn send_orders(
     node: &Node,
     addr: &str,
-    session: u64,
-    token: u64,
-    orders: &[Order],
-) -> Ordered {
+    agent_epoch: u64,
+    fencing_token: u64,
+    commands: &[Command],
+) -> CommandOutcome {
     let Ok(addr) = addr.parse::<SocketAddr>() else {
-        return Ordered::NotSent;
+        return CommandOutcome::NotSent;
     };
-    let body = workers::orders(token, Some(session), orders);
+    let body = agents::encode_commands(fencing_token, Some(agent_epoch), commands);
     match node
         .http
         .call(addr, Method::POST, "/orders", body, ORDERS_TIMEOUT)
         .await
     {
-        Ok(r) => match (r.status, workers::report(&r.body)) {
-            (200, Ok(report)) => Ordered::Done(report),
-            (409, Ok(report)) => Ordered::Stale(report),
-            (400 | 409, _) => Ordered::NotSent,
-            _ => Ordered::Unknown,
+        Ok(r) => match (r.status, agents::decode_heartbeat(&r.body)) {
+            (200, Ok(report)) => CommandOutcome::Executed(report),
+            (409, Ok(report)) => CommandOutcome::Stale(report),
+            (400 | 409, _) => CommandOutcome::NotSent,
+            _ => CommandOutcome::Unknown,
         },
-        Err(CallError::NotSent) => Ordered::NotSent,
-        Err(CallError::Unknown) => Ordered::Unknown,
+        Err(CallError::NotSent) => CommandOutcome::NotSent,
+        Err(CallError::Unknown) => CommandOutcome::Unknown,
     }
 }
 
@@ -316,17 +338,22 @@
     let Some(increment) = node.controller().term_increment(epoch) else {
         return;
     };
-    let (term, when) = (increment.term, &increment.when);
+    let (term, transaction) = (increment.term, &increment.transaction);
     let outcome = node
         .store
-        .txn(when, &[increment.write], None, TXN_TIMEOUT)
+        .txn(
+            &transaction.preconditions,
+            &transaction.writes,
+            None,
+            TXN_TIMEOUT,
+        )
         .await;
     match outcome {
-        Outcome::Done(revision) => {
+        TransactionOutcome::Committed(revision) => {
             tracing::info!("token raised to {term}");
-            node.tell(epoch, |leader, _| leader.term_raised(term, revision));
+            node.tell(epoch, |scheduler, _| scheduler.term_raised(term, revision));
         }
-        _ => node.tell(epoch, |leader, _| leader.raise_failed()),
+        _ => node.tell(epoch, |scheduler, _| scheduler.term_raise_failed()),
     }
 }
 
--- a/crates/saltpitch/src/main.rs
+++ b/crates/saltpitch/src/main.rs
@@ -1,21 +1,21 @@
 //! saltpitch: a cluster scheduler for small sites.
 
+mod agents;
 mod api;
-mod bounded;
 mod budget;
 mod cells;
 mod clock;
 mod cloud;
+mod connection_limit;
 mod http;
-mod lead;
+mod leadership;
 mod node;
 mod peer;
+mod record_sync;
 mod settings;
 mod store;
-mod sync;
 mod users;
 mod wire;
-mod workers;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/saltpitch/src/node.rs
+++ b/crates/saltpitch/src/node.rs
@@ -15,27 +15,27 @@
 use tokio::sync::{Notify, Semaphore};
 
 use crate::api::Api;
-use crate::bounded::{Bounded, Connections};
 use crate::cells::{self, Cells};
 use crate::clock::Clock;
 use crate::cloud::Cloud;
+use crate::connection_limit::{Bounded, Connections};
 use crate::http::Client;
 use crate::peer::{self, Links};
+use crate::record_sync::FreshReads;
 use crate::settings::Settings;
 use crate::store::Store;
-use crate::sync::FreshReads;
-use crate::{lead, sync};
+use crate::{leadership, record_sync};
 
 /// A connection on which nothing moves for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// How the sockets are shared out, in percent: connections accepted from users and workers, those
+/// How the sockets are shared out, in percent: connections accepted from users and agents, those
 /// that wait to be accepted, and kept ones to machines. The rest is for the store, the cloud, the peers
 /// and calls under way.
 const ACCEPTED_PERCENT: usize = 70;
 const BACKLOG_PERCENT: usize = 10;
 const KEPT_PERCENT: usize = 10;
-/// Questions of users that may wait for the newest records at a time, as a part of the sockets: reports,
+/// Questions of users that may wait for the newest records at a time, as a part of the sockets: heartbeats,
 /// submissions and cancellations share the processor with them.
 const QUESTIONS_PERCENT: usize = 20;
 
@@ -62,7 +62,7 @@
     pub http: Arc<Client>,
     /// Connections to the other controllers.
     pub links: Links,
-    /// The connections of users and workers.
+    /// The connections of users and agents.
     pub connections: Arc<Connections>,
     /// Wakes the leader's loop.
     pub wake: Notify,
@@ -116,13 +116,13 @@
         .with_context(|| format!("cannot listen on peer_bind {peer_bind}"))?;
     tracing::info!("node {} starts", node.settings.node);
     tokio::spawn(peer::serve(node.clone(), listener));
-    tokio::spawn(sync::follow(node.clone()));
-    tokio::spawn(sync::read_fresh(node.clone()));
+    tokio::spawn(record_sync::follow(node.clone()));
+    tokio::spawn(record_sync::read_fresh(node.clone()));
     peer::spawn_heartbeats(&node);
-    tokio::spawn(sync::load_catalog(node.clone()));
-    tokio::spawn(lead::hold_leadership(node.clone()));
-    tokio::spawn(lead::run(node.clone()));
-    tokio::spawn(lead::list_machines(node.clone()));
+    tokio::spawn(record_sync::load_catalog(node.clone()));
+    tokio::spawn(leadership::hold_leadership(node.clone()));
+    tokio::spawn(leadership::run(node.clone()));
+    tokio::spawn(leadership::list_machines(node.clone()));
     cells::start(&node).await?;
     let cannot_serve = || format!("cannot serve on api_addr {api}");
     let acceptor = listen(api, backlog).with_context(cannot_serve)?;
--- a/crates/saltpitch/src/peer.rs
+++ b/crates/saltpitch/src/peer.rs
@@ -158,7 +158,9 @@
     match request {
         PeerRequest::Heartbeat(status) => {
             let (store, now) = (node.store_health(), node.now());
-            let answer = node.controller().heartbeat_received(status, store, now);
+            let answer = node
+                .controller()
+                .peer_heartbeat_received(status, store, now);
             PeerResponse::Heartbeat(answer)
         }
         PeerRequest::User(request) => match node.user_request_here(&request).await {
@@ -181,19 +183,19 @@
 async fn send_heartbeats(node: Arc<Node>, peer: Peer) {
     loop {
         let asked_at = node.now();
-        let (heartbeat, epoch) = {
+        let (peer_heartbeat, epoch) = {
             let store = node.store_health();
             let controller = node.controller();
-            let heartbeat = controller.heartbeat(&peer.node, store, asked_at);
-            (heartbeat, controller.epoch())
+            let peer_heartbeat = controller.peer_heartbeat(&peer.node, store, asked_at);
+            (peer_heartbeat, controller.epoch())
         };
-        let request = PeerRequest::Heartbeat(heartbeat);
+        let request = PeerRequest::Heartbeat(peer_heartbeat);
         let answer = node.links.ask(peer.addr, &request, HEARTBEAT_TIMEOUT).await;
         if let Some(PeerResponse::Heartbeat(status)) = answer {
             let now = node.now();
             let more = node
                 .controller()
-                .heartbeat_answered(status, asked_at, epoch, now);
+                .peer_heartbeat_answered(status, asked_at, epoch, now);
             node.wake.notify_one();
             if more {
                 continue;
--- a/crates/saltpitch/src/sync.rs
+++ b/crates/saltpitch/src/record_sync.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use saltpitch_core::leader::Outcome;
-use saltpitch_core::records::{node_key, RecordChange, View};
+use saltpitch_core::records::{node_key, RecordCache, RecordChange};
+use saltpitch_core::scheduler::{Precondition, TransactionOutcome};
 use serde_json::value::RawValue;
 use tokio::sync::{watch, Notify};
 
@@ -99,11 +99,11 @@
 
     /// Reads all records anew.
     async fn list_records(&self) -> bool {
-        let mut view = View::default();
+        let mut records = RecordCache::default();
         let take = |rows: Vec<RecordChange>| {
             for row in rows {
                 let Some(value) = &row.value else { continue };
-                if let Err(error) = view.put(&row.key, value, row.revision) {
+                if let Err(error) = records.put(&row.key, value, row.revision) {
                     tracing::error!("record {} is unreadable and was skipped: {error}", row.key);
                 }
             }
@@ -111,9 +111,9 @@
         let Some(revision) = self.store.list(take).await else {
             return false;
         };
-        view.rev = revision;
+        records.rev = revision;
         let (now, wall) = (self.now(), self.clock.wall());
-        let replaced = self.controller().replace_records(view, now, wall);
+        let replaced = self.controller().replace_records(records, now, wall);
         if let Err(error) = replaced {
             tracing::error!("{error}");
             return false;
@@ -128,12 +128,12 @@
             return;
         };
         let key = node_key(&self.settings.node);
-        let when = [(key, announcement.expected_revision)];
+        let preconditions = [Precondition::new(key, announcement.expected_revision)];
         let outcome = self
             .store
-            .txn(&when, &[announcement.write], None, TXN_TIMEOUT)
+            .txn(&preconditions, &[announcement.write], None, TXN_TIMEOUT)
             .await;
-        let written = matches!(outcome, Outcome::Done(_));
+        let written = matches!(outcome, TransactionOutcome::Committed(_));
         // The answer may have been lost.
         if !written && !self.fresh().await {
             return;
@@ -158,7 +158,7 @@
                 let _ = node.fresh().await;
             }
         }
-        let from = node.controller().view().rev;
+        let from = node.controller().records().rev;
         match node.store.news(from, WATCH_WAIT).await {
             News::Changes(changes, revision) => {
                 failures = 0;
@@ -198,7 +198,7 @@
 async fn read_newest(node: &Node) -> bool {
     let (synced, from) = {
         let controller = node.controller();
-        (controller.is_synced(), controller.view().rev)
+        (controller.is_synced(), controller.records().rev)
     };
     if !synced {
         return false;
--- a/crates/saltpitch/src/settings.rs
+++ b/crates/saltpitch/src/settings.rs
@@ -6,9 +6,9 @@
 use anyhow::{bail, Context, Result};
 use saltpitch_cells::settings::{CellsSettings, Site};
 use saltpitch_core::controller::{ControllerConfig, PeerIdentity};
-use saltpitch_core::leader::{Aim, Config, Objective};
 use saltpitch_core::policy::Policy;
 use saltpitch_core::quota::TeamLimits;
+use saltpitch_core::scheduler::{Objective, ObjectiveTarget, SchedulerConfig};
 use saltpitch_core::Micros;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -72,8 +72,8 @@
     pub write_rps: f64,
     /// The most that is written: the smaller of the present and the next limits, since the latter come
     /// into force without notice.
-    pub value_bytes: usize,
-    pub txn_ops: usize,
+    pub max_value_bytes: usize,
+    pub max_transaction_writes: usize,
     /// The rates of the next limits, or the present ones if there are none.
     pub next_rps: f64,
     pub next_write_rps: f64,
@@ -88,8 +88,8 @@
             self.write_rps,
             self.next_rps,
             self.next_write_rps,
-            self.value_bytes,
-            self.txn_ops
+            self.max_value_bytes,
+            self.max_transaction_writes
         )
     }
 }
@@ -160,7 +160,7 @@
             listens: &[("api_addr", self.api), ("peer_bind", self.peer_bind)],
             teams: &self.teams,
             controllers: self.size,
-            txn_ops: self.store.txn_ops,
+            max_transaction_writes: self.store.max_transaction_writes,
         };
         Ok(CellsSettings::parse(&text, &site)?)
     }
@@ -224,21 +224,21 @@
     }
 
     /// The scheduler's part of the settings.
-    fn scheduler(&self) -> Config {
-        Config {
-            report: self.workers.report,
+    fn scheduler(&self) -> SchedulerConfig {
+        SchedulerConfig {
+            heartbeat_interval: self.workers.report,
             lease: self.workers.lease,
             gang_peer: self.workers.gang_peer,
             cancel: self.workers.cancel,
             nodes: self.size,
             calls: (self.sockets / SOCKETS_PER_CALL).max(MIN_CALLS),
-            txn_ops: self.store.txn_ops,
-            txn_bytes: 56 * 1024,
+            max_transaction_writes: self.store.max_transaction_writes,
+            max_transaction_bytes: 56 * 1024,
             write_rate: self.store.write_rps * crate::store::leader_share(self.size),
             next_write_rate: self.store.next_write_rps * crate::store::leader_share(self.size),
-            value_bytes: self.store.value_bytes,
-            rent_rate: self.cloud_rps * crate::cloud::RENT_PART,
-            log_ring: LOG_RING,
+            max_value_bytes: self.store.max_value_bytes,
+            scale_out_rate: self.cloud_rps * crate::cloud::RENT_PART,
+            log_segments: LOG_RING,
             teams: self.teams.clone(),
             objectives: self.objectives.clone(),
             guarantee_within: self.guarantee_within,
@@ -252,7 +252,7 @@
     let rps = f.number("cluster.state.rps", 1.0, 1e6)?;
     let write_rps = f.number("cluster.state.write_rps", 1.0, 1e6)?;
     let value_kb = f.number("cluster.state.value_kb", 4.0, 1e5)?;
-    let txn_ops = f.number("cluster.state.txn_ops", 2.0, 1e4)?;
+    let max_transaction_writes = f.number("cluster.state.txn_ops", 2.0, 1e4)?;
     let there = |path: &str| f.value(path).is_ok_and(|v| !v.is_null());
     if there("cluster.state.next") && !f.value("cluster.state.next")?.is_object() {
         bail!("settings: field `cluster.state.next` must be an object");
@@ -269,8 +269,9 @@
     Ok(StoreLimits {
         rps,
         write_rps,
-        value_bytes: (next("value_kb", 1.0, 1e5, value_kb)?.min(value_kb) * 1024.0) as usize,
-        txn_ops: next("txn_ops", 2.0, 1e4, txn_ops)?.min(txn_ops) as usize,
+        max_value_bytes: (next("value_kb", 1.0, 1e5, value_kb)?.min(value_kb) * 1024.0) as usize,
+        max_transaction_writes: next("txn_ops", 2.0, 1e4, max_transaction_writes)?
+            .min(max_transaction_writes) as usize,
         next_rps: next("rps", 1.0, 1e6, rps)?.min(rps),
         next_write_rps: next("write_rps", 1.0, 1e6, write_rps)?.min(write_rps),
     })
@@ -286,14 +287,16 @@
     for (i, o) in list.iter().enumerate() {
         let o = Fields(o);
         let place = || format!("settings: field `cluster.objectives[{i}]`");
-        let aim = match o.text("kind").with_context(place)?.as_str() {
-            "wait" => Aim::Wait(o.span("within_s").with_context(place)?),
-            "finished" => Aim::Finished(o.span("within_s").with_context(place)?),
-            "deadline" => Aim::Deadline(o.number("times", 0.01, 1e3).with_context(place)?),
+        let target = match o.text("kind").with_context(place)?.as_str() {
+            "wait" => ObjectiveTarget::Started(o.span("within_s").with_context(place)?),
+            "finished" => ObjectiveTarget::Finished(o.span("within_s").with_context(place)?),
+            "deadline" => {
+                ObjectiveTarget::Deadline(o.number("times", 0.01, 1e3).with_context(place)?)
+            }
             _ => continue,
         };
         let class = o.text("class").with_context(place)?;
-        all.push(Objective { class, aim });
+        all.push(Objective { class, target });
     }
     Ok(all)
 }
--- a/crates/saltpitch/src/settings/contradictions.rs
+++ b/crates/saltpitch/src/settings/contradictions.rs
@@ -179,7 +179,8 @@
             .then_some(Warning::FewReportsPerLease),
         (bound < workers.report.times(2.0)).then_some(Warning::ShortAnswerBound(bound)),
         (store.next_write_rps < FEW_CHANGES).then_some(Warning::FewChanges(store.next_write_rps)),
-        (store.value_bytes < SMALL_VALUE).then_some(Warning::SmallValues(store.value_bytes)),
+        (store.max_value_bytes < SMALL_VALUE)
+            .then_some(Warning::SmallValues(store.max_value_bytes)),
     ];
     found.into_iter().flatten().collect()
 }
--- a/crates/saltpitch/src/store.rs
+++ b/crates/saltpitch/src/store.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use hyper::Method;
-use saltpitch_core::leader::{Outcome, Write};
 use saltpitch_core::records::{RecordChange, PREFIX};
+use saltpitch_core::scheduler::{Precondition, TransactionOutcome, Write};
 use saltpitch_core::Micros;
 
 use crate::budget::Budget;
@@ -221,57 +221,59 @@
 
     pub async fn txn(
         &self,
-        when: &[(String, u64)],
+        preconditions: &[Precondition],
         writes: &[Write],
         hold: Option<(u64, &str)>,
         limit: Duration,
-    ) -> Outcome {
+    ) -> TransactionOutcome {
         if !self.may(1.0, writes.len() as f64) {
-            return Outcome::Refused;
+            return TransactionOutcome::Unavailable;
         }
-        self.send(when, writes, hold, limit).await
+        self.send(preconditions, writes, hold, limit).await
     }
 
     /// A transaction of the leader's core, which keeps to its share of the changes by itself.
     pub async fn leader_txn(
         &self,
-        when: &[(String, u64)],
+        preconditions: &[Precondition],
         writes: &[Write],
         limit: Duration,
-    ) -> Outcome {
+    ) -> TransactionOutcome {
         if !self.may(1.0, 0.0) {
-            return Outcome::Refused;
+            return TransactionOutcome::Unavailable;
         }
-        self.send(when, writes, None, limit).await
+        self.send(preconditions, writes, None, limit).await
     }
 
     async fn send(
         &self,
-        when: &[(String, u64)],
+        preconditions: &[Precondition],
         writes: &[Write],
         hold: Option<(u64, &str)>,
         limit: Duration,
-    ) -> Outcome {
-        let body = wire::transaction(when, writes, hold);
+    ) -> TransactionOutcome {
+        let body = wire::transaction(preconditions, writes, hold);
         match self.call(Method::POST, "/txn", body, limit).await {
-            Ok(r) if r.status == 200 => {
-                wire::txn(&r.body).map_or(Outcome::Unknown, |t| Outcome::Done(t.0))
-            }
-            Ok(r) if r.status == 409 => {
-                wire::txn(&r.body).map_or(Outcome::Unknown, |t| Outcome::Failed(t.1))
-            }
+            Ok(r) if r.status == 200 => wire::txn(&r.body)
+                .map_or(TransactionOutcome::Unknown, |t| {
+                    TransactionOutcome::Committed(t.0)
+                }),
+            Ok(r) if r.status == 409 => wire::txn(&r.body)
+                .map_or(TransactionOutcome::Unknown, |t| {
+                    TransactionOutcome::Conflict(t.1)
+                }),
             Ok(r) if r.status == 429 => {
                 self.throttled();
-                Outcome::Throttled
+                TransactionOutcome::RateLimited
             }
-            Ok(r) if r.status == 503 => Outcome::Refused,
+            Ok(r) if r.status == 503 => TransactionOutcome::Unavailable,
             Ok(r) if r.status == 400 => {
                 tracing::error!(
                     "store: a transaction of {} writes was turned down: {}",
                     writes.len(),
                     String::from_utf8_lossy(&r.body)
                 );
-                Outcome::Rejected
+                TransactionOutcome::TooLarge
             }
             Ok(r) => {
                 tracing::error!(
@@ -279,19 +281,19 @@
                     r.status,
                     String::from_utf8_lossy(&r.body)
                 );
-                Outcome::Unknown
+                TransactionOutcome::Unknown
             }
-            Err(CallError::NotSent) => Outcome::Refused,
-            Err(CallError::Unknown) => Outcome::Unknown,
+            Err(CallError::NotSent) => TransactionOutcome::Unavailable,
+            Err(CallError::Unknown) => TransactionOutcome::Unknown,
         }
     }
 
-    pub async fn open_hold(&self, ttl: Micros) -> Option<u64> {
+    pub async fn grant_lease(&self, ttl: Micros) -> Option<u64> {
         let r = self
             .call(
                 Method::POST,
                 "/holds",
-                wire::open_hold(ttl.0 / 1_000),
+                wire::grant_lease(ttl.0 / 1_000),
                 Duration::from_secs(1),
             )
             .await
@@ -319,7 +321,7 @@
         }
     }
 
-    pub async fn drop_hold(&self, hold: u64) {
+    pub async fn revoke_lease(&self, hold: u64) {
         let path = format!("/holds/{hold}");
         let _ = self
             .call(Method::DELETE, &path, Vec::new(), Duration::from_secs(1))
--- a/crates/saltpitch/src/users.rs
+++ b/crates/saltpitch/src/users.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use saltpitch_core::job::{JobSpec, JobState, Kind};
-use saltpitch_core::leader::{Outcome, Write};
+use saltpitch_core::job::{JobKind, JobSpec, JobState};
 use saltpitch_core::messages::{PeerRequest, PeerResponse, UserRequest};
 use saltpitch_core::records::{self, CancelStep, DelegationState, JobRecord};
+use saltpitch_core::scheduler::{Precondition, TransactionOutcome, Write};
 use serde_json::{json, Value};
 
 use crate::node::Node;
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Cancellation {
     /// The transaction ended like this.
-    Ended(Outcome),
+    Ended(TransactionOutcome),
     /// Another cell has the job and has yet to confirm; the record says that the user asked.
     Requested,
 }
@@ -111,10 +111,10 @@
 
     fn status_in_memory(&self, id: &str) -> Option<JobStatus> {
         let controller = self.controller();
-        let state = controller.view().state(id)?;
-        let (running, done) = controller.view().counts(id);
+        let state = controller.records().state(id)?;
+        let (running, done) = controller.records().counts(id);
         let running = if state.is_final() { 0 } else { running };
-        let record = controller.view().jobs.get(id).map(|entry| &entry.record);
+        let record = controller.records().jobs.get(id).map(|entry| &entry.record);
         let delegation = record.and_then(|record| record.delegation.as_ref());
         let runs_elsewhere = delegation.is_some_and(|d| d.state == DelegationState::Running);
         Some(JobStatus {
@@ -164,11 +164,11 @@
                 return Ok(UserReply::known(id, status));
             }
             match self.write_cancellation(id).await? {
-                Cancellation::Ended(Outcome::Done(_)) => {
+                Cancellation::Ended(TransactionOutcome::Committed(_)) => {
                     return Ok(UserReply::new(200, users::short(id, "withdrawn")));
                 }
                 // The record has changed: look again.
-                Cancellation::Ended(Outcome::Failed(_)) => continue,
+                Cancellation::Ended(TransactionOutcome::Conflict(_)) => continue,
                 Cancellation::Ended(_) => return Err(Unavailable),
                 Cancellation::Requested => {
                     let reason = "the cell that has the job is asked to give it up; come back";
@@ -182,7 +182,7 @@
     /// Cancelled and done are both written on condition of the record's revision: one of them wins and
     /// stays.
     pub async fn write_cancellation(&self, id: &str) -> Result<Cancellation, Unavailable> {
-        let entry = self.controller().view().jobs.get(id).cloned();
+        let entry = self.controller().records().jobs.get(id).cloned();
         let entry = entry.ok_or(Unavailable)?;
         let (record, confirms) = match entry.record.cancel_step() {
             CancelStep::Confirm(record) => (record, true),
@@ -191,13 +191,16 @@
         };
         let key = records::job_key(id);
         let value = self.cancelled_record(record).ok_or(Unavailable)?;
-        let when = [(key.clone(), entry.rev)];
+        let preconditions = [Precondition::new(key.clone(), entry.rev)];
         let write = Write {
             key: key.clone(),
             value: Some(value.clone()),
         };
-        let outcome = self.store.txn(&when, &[write], None, CANCEL_TIMEOUT).await;
-        if let Outcome::Done(revision) = outcome {
+        let outcome = self
+            .store
+            .txn(&preconditions, &[write], None, CANCEL_TIMEOUT)
+            .await;
+        if let TransactionOutcome::Committed(revision) = outcome {
             // Known here before the user is told: a leader without the state service asks for it.
             self.apply_own_write(&key, &value, revision);
             if !confirms {
@@ -213,7 +216,7 @@
 
     fn cancelled_record(&self, mut record: JobRecord) -> Option<String> {
         let value = serde_json::to_string(&record).ok()?;
-        if value.len() <= self.settings.store.value_bytes {
+        if value.len() <= self.settings.store.max_value_bytes {
             return Some(value);
         }
         // Stored when the store took more. Its leader only needs to know what its tasks take.
@@ -287,39 +290,46 @@
 
     fn unknown_dependency(&self, spec: &JobSpec) -> Option<String> {
         let controller = self.controller();
-        let jobs = &controller.view().jobs;
-        let unknown = spec.needs.iter().find(|name| !jobs.contains_key(*name));
+        let jobs = &controller.records().jobs;
+        let unknown = spec
+            .dependencies
+            .iter()
+            .find(|name| !jobs.contains_key(*name));
         unknown.cloned()
     }
 
     fn service_dependency(&self, spec: &JobSpec) -> Option<String> {
         let controller = self.controller();
-        let jobs = &controller.view().jobs;
+        let jobs = &controller.records().jobs;
         let is_service = |name: &&String| {
             let spec = jobs.get(*name).and_then(|e| e.record.spec.as_ref());
-            spec.is_some_and(|s| s.kind == Kind::Service)
+            spec.is_some_and(|s| s.kind == JobKind::Service)
         };
-        spec.needs.iter().find(is_service).cloned()
+        spec.dependencies.iter().find(is_service).cloned()
     }
 
     async fn create(&self, id: &str, spec: JobSpec) -> Result<UserReply, Unavailable> {
         let key = records::job_key(id);
         let record = JobRecord::accepted(self.clock.wall(), Arc::new(spec));
         let value = serde_json::to_string(&record).map_err(|_| Unavailable)?;
-        if value.len() > self.settings.store.value_bytes {
+        if value.len() > self.settings.store.max_value_bytes {
             return Ok(UserReply::error(400, "the description is too long"));
         }
-        let when = [(key.clone(), 0)];
+        let preconditions = [Precondition::new(key.clone(), 0)];
         let write = Write {
             key,
             value: Some(value),
         };
-        match self.store.txn(&when, &[write], None, SUBMIT_TIMEOUT).await {
-            Outcome::Done(_) => {
+        match self
+            .store
+            .txn(&preconditions, &[write], None, SUBMIT_TIMEOUT)
+            .await
+        {
+            TransactionOutcome::Committed(_) => {
                 tracing::debug!("{id} is accepted");
                 Ok(UserReply::new(201, users::short(id, "pending")))
             }
-            Outcome::Failed(_) => {
+            TransactionOutcome::Conflict(_) => {
                 let status = self.status(id).await?.ok_or(Unavailable)?;
                 Ok(UserReply::known(id, status))
             }
--- a/crates/saltpitch/src/wire/workers.rs
+++ b/crates/saltpitch/src/wire/agents.rs
@@ -1,6 +1,6 @@
 //! Reports and orders.
 
-use saltpitch_core::cluster::{Cause, Order, Report, SeenTask, TaskState};
+use saltpitch_core::cluster::{Cause, Command, Heartbeat, TaskState, TaskStatus};
 use serde::{Deserialize, Serialize};
 
 use super::span;
@@ -58,7 +58,7 @@
 }
 
 /// Reads a report; a malformed one is refused whole.
-pub fn report(body: &[u8]) -> Result<Report, String> {
+pub fn decode_heartbeat(body: &[u8]) -> Result<Heartbeat, String> {
     let raw: RawReport = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     if raw.bollard.is_empty() || raw.bollard.len() > 150 || raw.bollard.contains([' ', '/']) {
         return Err("field `bollard` is not a machine's name".to_owned());
@@ -85,23 +85,23 @@
                 saved: t.kept.unwrap_or(false),
             },
         };
-        tasks.push(SeenTask {
+        tasks.push(TaskStatus {
             job,
             task,
             attempt: t.launch_no,
             state,
         });
     }
-    Ok(Report {
+    Ok(Heartbeat {
         machine: raw.bollard,
         addr: raw.endpoint,
         type_name: raw.hull_type,
         zone: raw.basin,
         spot: raw.lay_by,
-        session: raw.watch,
-        seq: raw.log_no,
-        token: raw.helm_mark.unwrap_or(0),
-        notice: raw.warning_s.and_then(span),
+        agent_epoch: raw.watch,
+        sequence: raw.log_no,
+        fencing_token: raw.helm_mark.unwrap_or(0),
+        spot_notice: raw.warning_s.and_then(span),
         tasks,
     })
 }
@@ -129,25 +129,25 @@
 }
 
 /// The body that carries orders: the answer to a report, or, with a session, a direct request.
-pub fn orders(token: u64, session: Option<u64>, list: &[Order]) -> Vec<u8> {
+pub fn encode_commands(token: u64, agent_epoch: Option<u64>, list: &[Command]) -> Vec<u8> {
     let orders = list.iter().map(raw).collect();
     let body = RawOrders {
         helm_mark: token,
-        watch: session,
+        watch: agent_epoch,
         orders,
     };
     serde_json::to_vec(&body).unwrap_or_default()
 }
 
-fn raw(o: &Order) -> RawOrder {
+fn raw(o: &Command) -> RawOrder {
     match o {
-        Order::Start { job, task, attempt } => RawOrder {
+        Command::Start { job, task, attempt } => RawOrder {
             order_kind: "launch",
             leg: format!("{job}/{task}"),
             launch_no: *attempt,
             slack_s: None,
         },
-        Order::Stop {
+        Command::Stop {
             job,
             task,
             attempt,
@@ -158,7 +158,7 @@
             launch_no: *attempt,
             slack_s: Some(grace.as_secs_f64()),
         },
-        Order::Forget { job, task, attempt } => RawOrder {
+        Command::Forget { job, task, attempt } => RawOrder {
             order_kind: "reap",
             leg: format!("{job}/{task}"),
             launch_no: *attempt,
@@ -186,8 +186,11 @@
         let good = br#"{"bollard":"vm-1","endpoint":"10.1.0.2:9000","hull_type":"g8","basin":"a",
             "watch":1,"log_no":8,"helm_mark":4,"warning_s":null,"new":1,
             "legs":[{"leg":"job-1/3","launch_no":2,"status":"exited","cause":"no_such"}]}"#;
-        let r = report(good).expect("well formed");
-        assert_eq!((r.session, r.seq, r.token, r.spot), (1, 8, 4, false));
+        let r = decode_heartbeat(good).expect("well formed");
+        assert_eq!(
+            (r.agent_epoch, r.sequence, r.fencing_token, r.spot),
+            (1, 8, 4, false)
+        );
         assert_eq!(r.tasks[0].task, 3);
         let text = String::from_utf8_lossy(good);
         for (from, to) in [
@@ -198,7 +201,10 @@
             ("vm-1", "vm 1"),
             ("}", ""),
         ] {
-            assert!(report(text.replace(from, to).as_bytes()).is_err(), "{from}");
+            assert!(
+                decode_heartbeat(text.replace(from, to).as_bytes()).is_err(),
+                "{from}"
+            );
         }
     }
 }
--- a/crates/saltpitch/src/wire/cloud.rs
+++ b/crates/saltpitch/src/wire/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud's words.
 
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
-use saltpitch_core::leader::ListedMachine;
+use saltpitch_core::scheduler::ListedMachine;
 use serde::Deserialize;
 
 use super::{milli, span};
--- a/crates/saltpitch/src/wire/mod.rs
+++ b/crates/saltpitch/src/wire/mod.rs
@@ -1,9 +1,9 @@
 //! The words of the wire. Outside these modules the project's own terms are used.
 
+pub mod agents;
 pub mod cloud;
 pub mod store;
 pub mod users;
-pub mod workers;
 
 use saltpitch_core::Micros;
 
--- a/crates/saltpitch/src/wire/store.rs
+++ b/crates/saltpitch/src/wire/store.rs
@@ -1,7 +1,7 @@
 //! The state service's words.
 
-use saltpitch_core::leader::Write;
 use saltpitch_core::records::RecordChange;
+use saltpitch_core::scheduler::{Precondition, Write};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -95,22 +95,29 @@
         .map_err(|e| e.to_string())
 }
 
-pub fn open_hold(ttl_ms: u64) -> Vec<u8> {
+pub fn grant_lease(ttl_ms: u64) -> Vec<u8> {
     serde_json::json!({ "ttl_ms": ttl_ms })
         .to_string()
         .into_bytes()
 }
 
 /// A transaction's body. Values are JSON already; `hold` attaches the writes of `held` to it.
-pub fn transaction(when: &[(String, u64)], writes: &[Write], hold: Option<(u64, &str)>) -> Vec<u8> {
+pub fn transaction(
+    preconditions: &[Precondition],
+    writes: &[Write],
+    hold: Option<(u64, &str)>,
+) -> Vec<u8> {
     let mut s = String::with_capacity(256 + writes.len() * 128);
     let quoted = |k: &str| serde_json::Value::from(k).to_string();
     s.push_str("{\"when\":[");
-    for (i, (key, rev)) in when.iter().enumerate() {
+    for (i, Precondition { key, revision }) in preconditions.iter().enumerate() {
         if i > 0 {
             s.push(',');
         }
-        s.push_str(&format!("{{\"path\":{},\"entry_no\":{rev}}}", quoted(key)));
+        s.push_str(&format!(
+            "{{\"path\":{},\"entry_no\":{revision}}}",
+            quoted(key)
+        ));
     }
     s.push_str("],\"writes\":[");
     for (i, w) in writes.iter().enumerate() {
--- a/crates/saltpitch/src/wire/users.rs
+++ b/crates/saltpitch/src/wire/users.rs
@@ -2,7 +2,7 @@
 
 use saltpitch_cells::link::Submission;
 use saltpitch_core::catalog::Resources;
-use saltpitch_core::job::{JobSpec, JobState, Kind, Priority, MAX_TASKS};
+use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority, MAX_TASKS};
 use saltpitch_core::Micros;
 use serde_json::{json, Map, Value};
 
@@ -36,9 +36,9 @@
 pub fn submission(body: &Value) -> Result<JobSpec, String> {
     let o = body.as_object().ok_or("the body is not a JSON object")?;
     let kind = match text(o, "rig")? {
-        "sweep" => Kind::Array,
-        "ensemble" => Kind::Gang,
-        "service" => Kind::Service,
+        "sweep" => JobKind::Array,
+        "ensemble" => JobKind::Gang,
+        "service" => JobKind::Service,
         other => return Err(format!("field `rig` has no value {other:?}")),
     };
     let priority = match text(o, "precedence")? {
@@ -77,7 +77,7 @@
         None | Some(Value::Null) => None,
         Some(_) => Some(seconds(o, "arrive_by_s")?),
     };
-    let needs = match o.get("waits_on") {
+    let dependencies = match o.get("waits_on") {
         None | Some(Value::Null) => Vec::new(),
         Some(Value::Array(list)) if list.len() <= MAX_NEEDS => {
             let mut names = list
@@ -112,7 +112,7 @@
         checkpoint: seconds(o, "moor_every_s")?,
         save: seconds(o, "tie_up_s")?,
         deadline,
-        needs,
+        dependencies,
     })
 }
 
@@ -213,11 +213,11 @@
     field.and_then(Value::as_bool).unwrap_or(false)
 }
 
-fn kind_word(kind: Kind) -> &'static str {
+fn kind_word(kind: JobKind) -> &'static str {
     match kind {
-        Kind::Array => "sweep",
-        Kind::Gang => "ensemble",
-        Kind::Service => "service",
+        JobKind::Array => "sweep",
+        JobKind::Gang => "ensemble",
+        JobKind::Service => "service",
     }
 }
 
--- a/crates/saltpitch/src/wire/users/tests.rs
+++ b/crates/saltpitch/src/wire/users/tests.rs
@@ -119,17 +119,17 @@
 
 #[test]
 fn waits_on_holds_job_ids_or_is_left_out() {
-    let with = |needs: Value| {
+    let with = |dependencies: Value| {
         let mut body = good();
-        body["waits_on"] = needs;
+        body["waits_on"] = dependencies;
         submission(&body)
     };
     for none in [json!(null), json!([])] {
-        assert!(with(none).expect("accepted").needs.is_empty());
+        assert!(with(none).expect("accepted").dependencies.is_empty());
     }
     // Named twice is named.
     let two = with(json!(["job-000405", "job-000398", "job-000405"])).expect("accepted");
-    assert_eq!(two.needs, ["job-000398", "job-000405"]);
+    assert_eq!(two.dependencies, ["job-000398", "job-000405"]);
     for bad in [
         json!("job-000398"),
         json!(7),
@@ -152,7 +152,7 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        with(json!(many(MAX_NEEDS))).map(|s| s.needs.len()),
+        with(json!(many(MAX_NEEDS))).map(|s| s.dependencies.len()),
         Ok(MAX_NEEDS)
     );
     assert!(with(json!(many(MAX_NEEDS + 1))).is_err());
--- a/crates/saltpitch/tests/end_to_end/one_cell.rs
+++ b/crates/saltpitch/tests/end_to_end/one_cell.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use poem::http::Method;
-use saltpitch_core::job::Kind;
+use saltpitch_core::job::JobKind;
 use serde_json::json;
 
 use crate::site::{self, call, job, submit, until, wait_for, Programs};
@@ -46,7 +46,7 @@
         assert_eq!(r.0, status, "{path}: {r:?}");
         assert!(r.1["error"].is_string(), "{path}: {r:?}");
     }
-    let (mut huge, _) = job("job-000009", Kind::Array, 1);
+    let (mut huge, _) = job("job-000009", JobKind::Array, 1);
     huge["cpus"] = json!(9.0);
     let r = call(api[0], Method::POST, "/v2/runs", Some(huge)).await;
     assert_eq!(r.expect("an answer").0, 422);
@@ -54,9 +54,9 @@
     assert_eq!(r.expect("an answer").0, 404);
 
     // Arrays, gangs and services, asked for on either node.
-    submit(&site, api[0], "job-000001", Kind::Array, 6).await;
-    submit(&site, api[1], "job-000002", Kind::Gang, 3).await;
-    submit(&site, api[0], "job-000003", Kind::Service, 2).await;
+    submit(&site, api[0], "job-000001", JobKind::Array, 6).await;
+    submit(&site, api[1], "job-000002", JobKind::Gang, 3).await;
+    submit(&site, api[0], "job-000003", JobKind::Service, 2).await;
     wait_for(api[1], "job-000001", "done").await;
     wait_for(api[0], "job-000002", "done").await;
     wait_for(api[1], "job-000003", "running").await;
@@ -67,7 +67,7 @@
         .contains("\"n0\"");
     let (dead, alive) = if leader { (0, 1) } else { (1, 0) };
     nodes.kill(dead);
-    submit(&site, api[alive], "job-000004", Kind::Array, 3).await;
+    submit(&site, api[alive], "job-000004", JobKind::Array, 3).await;
     wait_for(api[alive], "job-000004", "done").await;
     wait_for(api[alive], "job-000001", "done").await;
     nodes.start(dead);
@@ -78,7 +78,7 @@
     for n in [dead, alive] {
         site.lock().expect("lock").refused = Some(n);
         let id = format!("job-00001{n}");
-        submit(&site, api[n], &id, Kind::Array, 2).await;
+        submit(&site, api[n], &id, JobKind::Array, 2).await;
         wait_for(api[n], &id, "done").await;
         wait_for(api[n], "job-000003", "running").await;
         let path = "/v2/runs/job-000099";
@@ -98,7 +98,7 @@
     assert_eq!(r.1["status"], "withdrawn");
     wait_for(api[alive], "job-000003", "withdrawn").await;
     for _ in 0..600 {
-        let left = site.lock().expect("lock").workers.values().any(|w| {
+        let left = site.lock().expect("lock").agents.values().any(|w| {
             !w.gone
                 && w.tasks
                     .iter()
--- a/crates/saltpitch/tests/end_to_end/site/workers.rs
+++ b/crates/saltpitch/tests/end_to_end/site/agents.rs
@@ -1,11 +1,11 @@
-//! Machines: reports, orders and running tasks.
+//! Machines: heartbeats, commands and running tasks.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use poem::http::Method;
-use saltpitch_core::cluster::{Cause, Order, TaskState};
-use saltpitch_core::job::Kind;
+use saltpitch_core::cluster::{Cause, Command, TaskState};
+use saltpitch_core::job::JobKind;
 use saltpitch_core::Micros;
 use serde_json::{json, Value};
 
@@ -14,7 +14,7 @@
 
 fn report_body(s: &mut Site, name: &str) -> Value {
     let addr = s.addrs[name].to_string();
-    let r = s.workers.get_mut(name).expect("worker").report();
+    let r = s.agents.get_mut(name).expect("an agent").heartbeat();
     let legs: Vec<Value> = r
         .tasks
         .iter()
@@ -43,13 +43,13 @@
         })
         .collect();
     json!({"bollard": r.machine, "endpoint": addr, "hull_type": r.type_name, "basin": r.zone,
-        "lay_by": r.spot, "watch": r.session, "log_no": r.seq, "helm_mark": r.token,
+        "lay_by": r.spot, "watch": r.agent_epoch, "log_no": r.sequence, "helm_mark": r.fencing_token,
         "warning_s": null, "legs": legs})
 }
 
-fn execute(s: &mut Site, name: &str, token: u64, orders: &Value) -> bool {
+fn execute(s: &mut Site, name: &str, fencing_token: u64, commands: &Value) -> bool {
     let now = s.now();
-    let orders: Vec<Order> = orders
+    let commands: Vec<Command> = commands
         .as_array()
         .into_iter()
         .flatten()
@@ -61,9 +61,9 @@
             let (job, task) = (job.into(), task.parse().expect("task"));
             let attempt = o["launch_no"].as_u64().expect("launch_no") as u32;
             match o["order_kind"].as_str().expect("order_kind") {
-                "launch" => Order::Start { job, task, attempt },
-                "reap" => Order::Forget { job, task, attempt },
-                "kill" => Order::Stop {
+                "launch" => Command::Start { job, task, attempt },
+                "reap" => Command::Forget { job, task, attempt },
+                "kill" => Command::Stop {
                     job,
                     task,
                     attempt,
@@ -73,39 +73,41 @@
             }
         })
         .collect();
-    let specs = s.specs_of(orders.iter().map(|order| match order {
-        Order::Start { job, .. } | Order::Stop { job, .. } | Order::Forget { job, .. } => &**job,
+    let specs = s.specs_of(commands.iter().map(|order| match order {
+        Command::Start { job, .. } | Command::Stop { job, .. } | Command::Forget { job, .. } => {
+            &**job
+        }
     }));
-    let w = s.workers.get_mut(name).expect("worker");
-    if !w.take_token(token) {
+    let w = s.agents.get_mut(name).expect("worker");
+    if !w.take_token(fencing_token) {
         return false;
     }
-    w.execute(&orders, &|id| specs.get(id).cloned(), &mut |_| 0, now);
+    w.execute(&commands, &|id| specs.get(id).cloned(), &mut |_| 0, now);
     true
 }
 
-pub fn worker_call(site: &Shared, name: &str, uri: &str, body: &Value) -> Reply {
+pub fn agent_call(site: &Shared, name: &str, uri: &str, body: &Value) -> Reply {
     let mut s = site.lock().expect("lock");
-    if s.workers[name].gone {
+    if s.agents[name].gone {
         return (500, json!({}));
     }
     if uri == "/show" {
         return (200, report_body(&mut s, name));
     }
-    let same = body["watch"].as_u64() == Some(s.workers[name].session);
-    let token = body["helm_mark"].as_u64().unwrap_or(0);
-    let done = same && execute(&mut s, name, token, &body["orders"]);
+    let same = body["watch"].as_u64() == Some(s.agents[name].agent_epoch);
+    let fencing_token = body["helm_mark"].as_u64().unwrap_or(0);
+    let done = same && execute(&mut s, name, fencing_token, &body["orders"]);
     let report = report_body(&mut s, name);
     (if done { 200 } else { 409 }, report)
 }
 
-/// One worker: reports, follows redirects, runs its tasks.
+/// One agent: heartbeats, follows redirects, runs its tasks.
 pub async fn work(site: Shared, name: String) {
     let mut target = 0;
     loop {
         let (node, body) = {
             let mut s = site.lock().expect("lock");
-            if s.workers[&name].gone {
+            if s.agents[&name].gone {
                 return;
             }
             run_tasks(&mut s, &name);
@@ -113,11 +115,11 @@
         };
         match call(node, Method::POST, "/v1/report", Some(body)).await {
             Some((200, answer)) => {
-                let token = answer["helm_mark"].as_u64().unwrap_or(0);
+                let fencing_token = answer["helm_mark"].as_u64().unwrap_or(0);
                 let mut s = site.lock().expect("lock");
-                execute(&mut s, &name, token, &answer["orders"]);
+                execute(&mut s, &name, fencing_token, &answer["orders"]);
                 let now = s.now();
-                s.workers.get_mut(&name).expect("worker").lease_from = now;
+                s.agents.get_mut(&name).expect("worker").lease_from = now;
             }
             Some((421, answer)) => {
                 let s = site.lock().expect("lock");
@@ -136,10 +138,10 @@
 
 fn run_tasks(s: &mut Site, name: &str) {
     let now = s.now();
-    let held = s.workers[name].tasks.keys();
+    let held = s.agents[name].tasks.keys();
     let specs = s.specs_of(held.map(|((job, _), _)| job.as_str()));
     let mut waiting: HashMap<String, u32> = HashMap::new();
-    for w in s.workers.values().filter(|w| !w.gone) {
+    for w in s.agents.values().filter(|w| !w.gone) {
         for ((id, _), h) in &w.tasks {
             if matches!(h.state, TaskState::Waiting | TaskState::Running) {
                 *waiting.entry(id.0.clone()).or_default() += 1;
@@ -147,16 +149,16 @@
         }
     }
     let Site {
-        workers,
+        agents,
         completions,
         ..
     } = s;
-    let w = workers.get_mut(name).expect("worker");
+    let w = agents.get_mut(name).expect("worker");
     for ((id, _), h) in w.tasks.iter_mut() {
         let Some(spec) = specs.get(&id.0) else {
             continue;
         };
-        let gang = spec.kind == Kind::Gang;
+        let gang = spec.kind == JobKind::Gang;
         match h.state {
             TaskState::Fetching if now >= h.until => {
                 h.state = if gang {
@@ -170,7 +172,7 @@
                 h.state = TaskState::Running;
                 h.until = now.plus(spec.estimate);
             }
-            TaskState::Running if now >= h.until && spec.kind != Kind::Service => {
+            TaskState::Running if now >= h.until && spec.kind != JobKind::Service => {
                 *completions.entry(id.clone()).or_default() += 1;
                 h.state = TaskState::Exited {
                     cause: Cause::Done,
--- a/crates/saltpitch/tests/end_to_end/site/cloud.rs
+++ b/crates/saltpitch/tests/end_to_end/site/cloud.rs
@@ -3,11 +3,11 @@
 use poem::http::Method;
 use saltpitch_core::catalog::Resources;
 use saltpitch_core::Micros;
-use saltpitch_testkit::workers::Worker;
+use saltpitch_testkit::agents::Agent;
 use serde_json::{json, Value};
 
+use super::agents::{agent_call, work};
 use super::http::{free_addr, serve};
-use super::workers::{work, worker_call};
 use super::{Reply, Shared};
 
 pub async fn cloud_call(site: Shared, method: Method, uri: String, body: Value) -> Reply {
@@ -22,7 +22,7 @@
         (Method::GET, "/machines") => {
             let s = site.lock().expect("lock");
             let mut list: Vec<Value> = s
-                .workers
+                .agents
                 .values()
                 .filter(|w| !w.gone)
                 .map(|w| {
@@ -38,7 +38,7 @@
         (Method::POST, "/machines/return") => {
             let mut s = site.lock().expect("lock");
             for n in body["bollards"].as_array().into_iter().flatten() {
-                if let Some(w) = s.workers.get_mut(n.as_str().unwrap_or_default()) {
+                if let Some(w) = s.agents.get_mut(n.as_str().unwrap_or_default()) {
                     w.gone = true;
                 }
             }
@@ -52,14 +52,14 @@
     let mut names = Vec::new();
     for _ in 0..body["count"].as_u64().unwrap_or(0).min(2) {
         let mut s = site.lock().expect("lock");
-        let there = s.workers.values().filter(|w| !w.gone).count();
+        let there = s.agents.values().filter(|w| !w.gone).count();
         if there >= s.max_machines {
             break;
         }
-        let name = format!("vm-{:06}", s.workers.len());
+        let name = format!("vm-{:06}", s.agents.len());
         let addr = free_addr();
         let now = s.now();
-        let worker = Worker {
+        let agent = Agent {
             name: name.clone(),
             type_name: "box".to_owned(),
             zone: body["basin"].as_str().unwrap_or_default().to_owned(),
@@ -73,11 +73,11 @@
             boots_at: now,
             gone: false,
             hung_until: Micros::ZERO,
-            deaf_until: Micros::ZERO,
-            mute_until: Micros::ZERO,
-            session: 1,
-            seq: 0,
-            token: 0,
+            inbound_cut_until: Micros::ZERO,
+            outbound_cut_until: Micros::ZERO,
+            agent_epoch: 1,
+            sequence: 0,
+            fencing_token: 0,
             lease_from: now,
             notice: None,
             tasks: Default::default(),
@@ -86,13 +86,13 @@
             waiting: None,
             changed: false,
         };
-        s.workers.insert(name.clone(), worker);
+        s.agents.insert(name.clone(), agent);
         s.addrs.insert(name.clone(), addr);
         drop(s);
         let (shared, me) = (site.clone(), name.clone());
         serve(addr, move |_, uri, body| {
             let (site, me) = (shared.clone(), me.clone());
-            async move { worker_call(&site, &me, &uri, &body) }
+            async move { agent_call(&site, &me, &uri, &body) }
         });
         tokio::spawn(work(site.clone(), name.clone()));
         names.push(name);
--- a/crates/saltpitch/tests/end_to_end/site/jobs.rs
+++ b/crates/saltpitch/tests/end_to_end/site/jobs.rs
@@ -4,20 +4,20 @@
 
 use poem::http::Method;
 use saltpitch_core::catalog::Resources;
-use saltpitch_core::job::{JobSpec, Kind, Priority};
+use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::Micros;
 use serde_json::{json, Value};
 
 use super::http::until;
 use super::Shared;
 
-pub fn job(id: &str, kind: Kind, tasks: u32) -> (Value, JobSpec) {
+pub fn job(id: &str, kind: JobKind, tasks: u32) -> (Value, JobSpec) {
     let word = match kind {
-        Kind::Array => "sweep",
-        Kind::Gang => "ensemble",
-        Kind::Service => "service",
+        JobKind::Array => "sweep",
+        JobKind::Gang => "ensemble",
+        JobKind::Service => "service",
     };
-    let run = if kind == Kind::Service { 0.0 } else { 0.5 };
+    let run = if kind == JobKind::Service { 0.0 } else { 0.5 };
     let body = json!({"ref": id, "berth": "class", "crew": "crew", "rig": word,
         "precedence": "normal", "legs": tasks, "cpus": 2.0, "accelerators": 0.0, "mem_gb": 2.0,
         "hull": "img", "image_gb": 0.1, "hulls_list": null, "basin": null, "together": false,
@@ -45,13 +45,13 @@
         checkpoint: Micros::ZERO,
         save: Micros::ZERO,
         deadline: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     };
     (body, spec)
 }
 
 /// Submits a job until it is accepted.
-pub async fn submit(site: &Shared, addr: SocketAddr, id: &str, kind: Kind, tasks: u32) {
+pub async fn submit(site: &Shared, addr: SocketAddr, id: &str, kind: JobKind, tasks: u32) {
     let (body, spec) = job(id, kind, tasks);
     submit_body(site, addr, id, body, spec).await;
 }
--- a/crates/saltpitch/tests/end_to_end/site/mod.rs
+++ b/crates/saltpitch/tests/end_to_end/site/mod.rs
@@ -1,11 +1,11 @@
 //! A site on loopback: stand-ins for everything outside the controllers, and the controllers' processes.
 
+mod agents;
 mod cloud;
 mod http;
 mod jobs;
 mod programs;
 mod store;
-mod workers;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,8 +15,8 @@
 use saltpitch_core::job::JobSpec;
 use saltpitch_core::records::{job_key, JobRecord};
 use saltpitch_core::Micros;
+use saltpitch_testkit::agents::Agent;
 use saltpitch_testkit::store::Store;
-use saltpitch_testkit::workers::Worker;
 use serde_json::{json, Value};
 
 pub use http::{call, free_addr, serve, until};
@@ -30,7 +30,7 @@
 pub struct Site {
     pub started: Instant,
     pub store: Store,
-    pub workers: HashMap<String, Worker>,
+    pub agents: HashMap<String, Agent>,
     pub addrs: HashMap<String, SocketAddr>,
     pub specs: HashMap<String, JobSpec>,
     /// The most machines that the cloud has at a time.
@@ -82,7 +82,7 @@
 
     /// The tasks of a job that machines have and that have not ended.
     pub fn held(&self, id: &str) -> usize {
-        let machines = self.workers.values().filter(|machine| !machine.gone);
+        let machines = self.agents.values().filter(|machine| !machine.gone);
         let tasks = machines.flat_map(|machine| &machine.tasks);
         tasks
             .filter(|((task, _), held)| task.0 == id && !held.exited())
@@ -101,7 +101,7 @@
     let site: Shared = Arc::new(Mutex::new(Site {
         started: Instant::now(),
         store: Store::default(),
-        workers: HashMap::new(),
+        agents: HashMap::new(),
         addrs: HashMap::new(),
         specs: HashMap::new(),
         max_machines: usize::MAX,
--- a/crates/saltpitch/tests/end_to_end/site/store.rs
+++ b/crates/saltpitch/tests/end_to_end/site/store.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use poem::http::Method;
-use saltpitch_core::leader::{Outcome, Write};
+use saltpitch_core::scheduler::{Precondition, TransactionOutcome, Write};
 use saltpitch_core::Micros;
 use saltpitch_testkit::store::Store;
 use serde_json::{json, Value};
@@ -67,29 +67,30 @@
     }
     if path == "/holds" {
         let ttl = Micros::from_millis(body["ttl_ms"].as_u64().unwrap_or(0));
-        let id = s.store.open_hold(ttl, now).expect("a hold");
+        let id = s.store.grant_lease(ttl, now).expect("a hold");
         return (200, json!({ "mooring": id }));
     }
     let parts: Vec<&str> = path.split('/').collect();
     let id: u64 = parts.get(2).and_then(|p| p.parse().ok()).unwrap_or(0);
     if method == Method::DELETE {
-        s.store.drop_hold(id);
+        s.store.revoke_lease(id);
         return (200, json!({}));
     }
-    match s.store.touch(id, now) {
+    match s.store.keep_alive(id, now) {
         Some(true) => (200, json!({})),
         _ => (404, json!({"error": "no such lease"})),
     }
 }
 
 fn store_txn(store: &mut Store, body: &Value) -> Reply {
-    let when: Vec<(String, u64)> = body["when"]
+    let preconditions: Vec<Precondition> = body["when"]
         .as_array()
         .expect("when")
         .iter()
         .map(|w| {
             let key = w["path"].as_str().expect("path").to_owned();
-            (key, w["entry_no"].as_u64().expect("entry_no"))
+            let revision = w["entry_no"].as_u64().expect("entry_no");
+            Precondition { key, revision }
         })
         .collect();
     let mut hold = None;
@@ -115,9 +116,11 @@
         })
         .collect();
     let held = hold.as_ref().map(|(id, key)| (*id, key.as_str()));
-    match store.txn(&when, &writes, held) {
-        Outcome::Done(rev) => (200, json!({ "ledger_no": rev })),
-        Outcome::Failed(keys) => (409, json!({"failed": keys, "ledger_no": store.rev})),
+    match store.txn(&preconditions, &writes, held) {
+        TransactionOutcome::Committed(rev) => (200, json!({ "ledger_no": rev })),
+        TransactionOutcome::Conflict(keys) => {
+            (409, json!({"failed": keys, "ledger_no": store.rev}))
+        }
         _ => (400, json!({"error": "no such lease"})),
     }
 }
--- a/crates/saltpitch/tests/end_to_end/two_cells.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells.rs
@@ -11,7 +11,7 @@
 
 use link::Link;
 use poem::http::Method;
-use saltpitch_core::job::{JobState, Kind, Priority};
+use saltpitch_core::job::{JobKind, JobState, Priority};
 use saltpitch_core::records::DelegationState;
 use saltpitch_core::Micros;
 use serde_json::json;
@@ -94,7 +94,7 @@
 
     /// The same, with tasks that run for so many seconds.
     async fn submit_with(&self, id: &str, tasks: u32, run_s: f64) {
-        let (mut body, mut spec) = job(id, Kind::Array, tasks);
+        let (mut body, mut spec) = job(id, JobKind::Array, tasks);
         body["passage_s"] = json!(run_s);
         spec.estimate = Micros::from_secs_f64(run_s);
         submit_body(&self.home.site, self.home.addresses.api[0], id, body, spec).await;
@@ -125,7 +125,7 @@
 
 /// Submits a service of production to a cell.
 async fn submit_service(cell: &Cell, id: &str, replicas: u32) {
-    let (mut body, mut spec) = job(id, Kind::Service, replicas);
+    let (mut body, mut spec) = job(id, JobKind::Service, replicas);
     body["precedence"] = json!("production");
     spec.priority = Priority::Production;
     submit_body(&cell.site, cell.addresses.api[0], id, body, spec).await;
@@ -164,7 +164,7 @@
 /// The tasks that a cell's machines have and that have not ended, by their jobs' ids at home.
 fn running(site: &Shared) -> BTreeSet<(String, u32)> {
     let site = site.lock().expect("lock");
-    let machines = site.workers.values().filter(|machine| !machine.gone);
+    let machines = site.agents.values().filter(|machine| !machine.gone);
     let tasks = machines.flat_map(|machine| &machine.tasks);
     tasks
         .filter(|(_, held)| !held.exited())
@@ -222,12 +222,12 @@
     cells.home.programs.kill(leader);
     let serving = cells.home.addresses.api[(leader + 1) % CONTROLLERS];
     let host_api = cells.host.addresses.api[0];
-    submit(&cells.host.site, host_api, "job-000801", Kind::Array, 2).await;
+    submit(&cells.host.site, host_api, "job-000801", JobKind::Array, 2).await;
     wait_for(host_api, "job-000801", "done").await;
     let before: u64 = cells.links.iter().map(Link::connections).sum();
     cells.home.site.lock().expect("lock").max_machines = 2;
     for id in &jobs[8..12] {
-        submit(&cells.home.site, serving, id, Kind::Array, 2).await;
+        submit(&cells.home.site, serving, id, JobKind::Array, 2).await;
         wait_for(serving, id, "done").await;
     }
     let calls = cells.links.iter().map(Link::connections).sum::<u64>() - before;
--- a/crates/saltpitch/tests/end_to_end/two_cells/load.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells/load.rs
@@ -27,7 +27,7 @@
 
 /// What a run came to.
 #[derive(Default)]
-pub struct Outcome {
+pub struct TransactionOutcome {
     pub samples: Vec<Sample>,
     /// From each job's submission to its first task, in seconds.
     pub job_waits: Vec<f64>,
@@ -57,10 +57,10 @@
 }
 
 /// Plays the load; the link is cut in the middle third of the time.
-pub async fn play(cells: &TwoCells, time: Duration) -> Outcome {
+pub async fn play(cells: &TwoCells, time: Duration) -> TransactionOutcome {
     cells.home.site.lock().expect("lock").max_machines = HOME_MACHINES;
     let began = Instant::now();
-    let mut outcome = Outcome::default();
+    let mut outcome = TransactionOutcome::default();
     let (mut jobs, mut services) = (Arrivals::default(), Arrivals::default());
     let (mut next_job, mut next_service) = (began, began);
     while began.elapsed() < time {
@@ -105,7 +105,7 @@
     let now = Instant::now();
     for cell in [&cells.home, &cells.host] {
         let site = cell.site.lock().expect("lock");
-        let machines = site.workers.values().filter(|machine| !machine.gone);
+        let machines = site.agents.values().filter(|machine| !machine.gone);
         for ((id, _), held) in machines.flat_map(|machine| &machine.tasks) {
             let id = home_id(&id.0);
             for arrivals in [&mut *jobs, &mut *services] {
@@ -140,7 +140,7 @@
 }
 
 /// Waits until all jobs are done, for as long again at most.
-async fn finish(cells: &TwoCells, jobs: &Arrivals, outcome: &mut Outcome) {
+async fn finish(cells: &TwoCells, jobs: &Arrivals, outcome: &mut TransactionOutcome) {
     cells.home.site.lock().expect("lock").max_machines = 8;
     for _ in 0..1_200 {
         outcome.done = count_done(cells, jobs);
--- a/crates/saltpitch/tests/end_to_end/two_cells/report.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells/report.rs
@@ -2,14 +2,18 @@
 
 use plotters::prelude::*;
 
-use super::load::Outcome;
+use super::load::TransactionOutcome;
 
 const SIZE: (u32, u32) = (860, 320);
 
 type Line = (&'static str, RGBColor, Vec<(f64, f64)>);
 
 /// Writes the report.
-pub fn write(path: &std::path::Path, spilling: &Outcome, without: &Outcome) -> std::io::Result<()> {
+pub fn write(
+    path: &std::path::Path,
+    spilling: &TransactionOutcome,
+    without: &TransactionOutcome,
+) -> std::io::Result<()> {
     let samples = |value: &dyn Fn(&super::load::Sample) -> f64| -> Vec<(f64, f64)> {
         let points = spilling.samples.iter();
         points.map(|sample| (sample.at_s, value(sample))).collect()
@@ -62,7 +66,7 @@
     <th>job waits: median, 90%, most (s)</th><th>service waits: median, 90%, most (s)</th>\
     <th>calls</th></tr>";
 
-fn row(name: &str, run: &Outcome) -> String {
+fn row(name: &str, run: &TransactionOutcome) -> String {
     let calls = run.samples.last().map_or(0, |sample| sample.calls);
     format!(
         "<tr><td>{name}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{calls}</td></tr>",
