--- a/crates/saltpitch-cells/src/origin/mod.rs
+++ b/crates/saltpitch-cells/src/origin/mod.rs
@@ -267,8 +267,10 @@
             Step::Write(transition) => {
                 if self.writes.take_credit(now) {
                     let record = written_record(&entry.record, transition, wall);
-                    let preconditions =
-                        vec![Precondition::new(TERM_KEY, access.scheduler.term_rev())];
+                    let preconditions = vec![Precondition::new(
+                        TERM_KEY,
+                        access.scheduler.term_revision(),
+                    )];
                     self.writes
                         .begin(job, transition, record, entry.rev, preconditions);
                 }
--- a/crates/saltpitch-cells/src/origin/offers.rs
+++ b/crates/saltpitch-cells/src/origin/offers.rs
@@ -143,7 +143,10 @@
             delegation: Some(Box::new(delegation)),
             ..entry.record.clone()
         };
-        let mut preconditions = vec![Precondition::new(TERM_KEY, access.scheduler.term_rev())];
+        let mut preconditions = vec![Precondition::new(
+            TERM_KEY,
+            access.scheduler.term_revision(),
+        )];
         preconditions.extend_from_slice(announcements);
         self.writes
             .begin(job, Transition::Offer, record, revision, preconditions);
--- a/crates/saltpitch-core/src/controller/agent_heartbeats.rs
+++ b/crates/saltpitch-core/src/controller/agent_heartbeats.rs
@@ -38,7 +38,7 @@
         let Some(leadership) = &mut self.leadership else {
             return nobody;
         };
-        let fencing_token = leadership.scheduler.term;
+        let fencing_token = leadership.scheduler.term();
         let seen_token = heartbeat.fencing_token;
         let machine = heartbeat.machine.clone();
         match leadership.scheduler.heartbeat(heartbeat, returned, now) {
--- a/crates/saltpitch-core/src/controller/leader_election.rs
+++ b/crates/saltpitch-core/src/controller/leader_election.rs
@@ -1,5 +1,6 @@
 //! Acquiring the leadership, renewing it and giving it up.
 
+use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use crate::catalog::Catalog;
@@ -119,7 +120,7 @@
     ) -> Scheduler {
         let config = self.config.scheduler.clone();
         let mut scheduler = Scheduler::new(config, &self.records, catalog, fenced_at, now, wall);
-        scheduler.reachable_zones.insert(self.config.zone.clone());
+        scheduler.set_reachable_zones(BTreeSet::from([self.config.zone.clone()]));
         scheduler
     }
 
@@ -139,7 +140,7 @@
     /// Ends the leadership at once.
     pub fn lose_leadership(&mut self, reason: LossReason) {
         if let Some(leadership) = self.leadership.take() {
-            let term = leadership.scheduler.term;
+            let term = leadership.scheduler.term();
             self.notices.push(Notice::LeadershipLost { term, reason });
             self.epoch += 1;
         }
@@ -156,7 +157,7 @@
     pub(super) fn term_seen(&mut self, term: u64) {
         if self
             .scheduler()
-            .is_some_and(|scheduler| scheduler.term < term)
+            .is_some_and(|scheduler| scheduler.term() < term)
         {
             self.lose_leadership(LossReason::NewerTerm);
         }
@@ -171,7 +172,7 @@
             return self.term_seen(term);
         }
         if let Some(leadership) = &mut self.leadership {
-            if leadership.scheduler.term < term {
+            if leadership.scheduler.term() < term {
                 leadership.scheduler.term_raised(term, revision);
             }
         }
@@ -208,7 +209,7 @@
     pub fn resign(&mut self, now: Micros, wall: Micros) -> Option<Resignation> {
         let leadership = self.leadership.as_ref()?;
         let store_lease = leadership.store_lease;
-        let term_revision = leadership.scheduler.term_rev();
+        let term_revision = leadership.scheduler.term_revision();
         self.lose_leadership(LossReason::AgentsUnreachable);
         self.deferring_until = now.plus(DEFERENCE);
         self.incarnation = wall.0.max(self.incarnation + 1);
@@ -229,7 +230,7 @@
     pub fn term_increment(&self, epoch: u64) -> Option<TermIncrement> {
         let scheduler = self.scheduler().filter(|_| self.epoch == epoch)?;
         let record = TermRecord {
-            term: scheduler.term + 1,
+            term: scheduler.term() + 1,
             node: self.config.name.clone(),
             incarnation: self.incarnation,
             earlier_leaders_fenced_at: self.records.term.1.earlier_leaders_fenced_at,
@@ -241,7 +242,7 @@
         Some(TermIncrement {
             term: record.term,
             transaction: Transaction {
-                preconditions: vec![Precondition::new(TERM_KEY, scheduler.term_rev())],
+                preconditions: vec![Precondition::new(TERM_KEY, scheduler.term_revision())],
                 writes: vec![write],
             },
         })
--- a/crates/saltpitch-core/src/controller/mod.rs
+++ b/crates/saltpitch-core/src/controller/mod.rs
@@ -226,7 +226,7 @@
         let Some(leadership) = &mut self.leadership else {
             return Vec::new();
         };
-        leadership.scheduler.reachable_zones = reachable_zones;
+        leadership.scheduler.set_reachable_zones(reachable_zones);
         leadership.scheduler.poll(now)
     }
 
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -22,7 +22,7 @@
 impl Scheduler {
     /// Whether accelerators that other work needs make this machine type a last resort for `spec`.
     pub(super) fn contested_for(&self, spec: &JobSpec, size: &Resources) -> bool {
-        spec.need.gpu == 0 && placement::contested(size, &self.accelerator_demands)
+        spec.need.gpu == 0 && placement::contested(size, &self.autoscaler.accelerator_demands)
     }
 
     /// Machines whose accelerators others need lend their processors only to tasks that can save
@@ -50,14 +50,14 @@
     /// needed them.
     pub(super) fn end_accelerator_sharing(&mut self, now: Micros) {
         let mut looked = Vec::new();
-        for group in &mut self.index.groups {
+        for group in &mut self.inventory.index.groups {
             if group.kind.size.gpu > 0 {
                 looked.extend(group.next_part(LOOKS));
             }
         }
         self.steps += looked.len() as u64;
         let is_over = |name: &Arc<str>| {
-            let machine = self.machines.get(name);
+            let machine = self.inventory.machines.get(name);
             machine.is_some_and(|machine| self.sharing_is_over(machine, now))
         };
         looked.retain(is_over);
@@ -70,7 +70,7 @@
     fn sharing_is_over(&self, machine: &Machine, now: Micros) -> bool {
         machine.takes_tasks()
             && !machine.allocations.is_empty()
-            && placement::contested(&machine.kind.size, &self.accelerator_demands)
+            && placement::contested(&machine.kind.size, &self.autoscaler.accelerator_demands)
             && now.since(machine.wanted_at) > self.keep(machine, now)
             && machine
                 .allocations
@@ -79,7 +79,7 @@
     }
 
     fn shares_and_saves(&self, (number, task): (JobNumber, u32)) -> bool {
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return false;
         };
         let allocation = job.tasks[task as usize].allocation.as_deref();
@@ -90,14 +90,14 @@
 
     /// Nothing new goes there, and what is there is told to save.
     fn evict_sharing(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(machine) = self.machines.get_mut(name) else {
+        let Some(machine) = self.inventory.machines.get_mut(name) else {
             return;
         };
         machine.cordoned = true;
         let allocated: Vec<(JobNumber, u32)> = machine.allocations.iter().copied().collect();
         self.reindex(name);
         for (number, task) in allocated {
-            let save = self.jobs.get(&number).map(|job| job.spec.save);
+            let save = self.job_table.jobs.get(&number).map(|job| job.spec.save);
             let grace = save.unwrap_or_default().plus(SAVE_MARGIN);
             self.stop(number, task, grace, now);
         }
--- a/crates/saltpitch-core/src/scheduler/agent_health.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_health.rs
@@ -14,7 +14,7 @@
         let mut over = Vec::new();
         let mut unresponsive = Vec::new();
         let mut returns = Vec::new();
-        while let Some((at, name)) = self.health_checks.first().cloned() {
+        while let Some((at, name)) = self.inventory.health_checks.first().cloned() {
             if at > now {
                 break;
             }
@@ -44,7 +44,7 @@
         let (heartbeat, heartbeat_freshness) =
             (self.config.heartbeat_interval, self.heartbeat_freshness());
         let soon = now.plus(Micros::from_millis(500));
-        let Some(machine) = self.machines.get_mut(name) else {
+        let Some(machine) = self.inventory.machines.get_mut(name) else {
             return soon;
         };
         match machine.phase {
@@ -58,19 +58,19 @@
             }
             _ => {}
         }
-        let quiet = now.since(machine.last_heard.max(self.resumed_at));
+        let quiet = now.since(machine.last_heard.max(self.clock.resumed_at()));
         let asks = machine.phase == MachinePhase::Up || !machine.allocations.is_empty();
         // Machines that an earlier leader knew; what boots for us will heartbeat by itself.
         let unfenced = machine.phase == MachinePhase::Unregistered
             && machine.recorded
-            && machine.created_at < self.elected_at;
+            && machine.created_at < self.leader_term.elected_at;
         let waits = unfenced
             || (asks && quiet > heartbeat.times(1.4))
             || machine.inbound_partition.is_suspected();
         if waits
             && now >= machine.next_probe_at
             && !machine.addr.is_empty()
-            && self.probes_in_flight < self.config.calls
+            && self.dispatch.probes_in_flight < self.config.calls
         {
             let wait = if machine.phase == MachinePhase::Up {
                 1
@@ -79,7 +79,7 @@
             };
             machine.next_probe_at = now.plus(Micros::from_secs(wait));
             machine.probe_sent_at = now;
-            self.probes_in_flight += 1;
+            self.dispatch.probes_in_flight += 1;
             self.effects.push(Effect::Probe {
                 machine: name.clone(),
                 addr: machine.addr.clone(),
@@ -107,13 +107,13 @@
         if waits || inbound_partition || last_unanswered_probe_at || long {
             return soon;
         }
-        let Some(machine) = self.machines.get(name) else {
+        let Some(machine) = self.inventory.machines.get(name) else {
             return soon;
         };
         let next = if machine.phase == MachinePhase::Up {
             machine
                 .last_heard
-                .max(self.resumed_at)
+                .max(self.clock.resumed_at())
                 .plus(heartbeat.times(1.4))
         } else {
             now.plus(Micros::from_secs(2))
@@ -127,9 +127,9 @@
     /// this node that is not reached.
     fn detect_outbound_partition(&mut self, name: &Arc<str>, lease_end: Micros, now: Micros) {
         let (heartbeat, lease) = (self.config.heartbeat_interval, self.config.lease);
-        let others = now.since(self.last_report) < heartbeat.times(1.5);
-        let awake = self.resumed_at;
-        let Some(machine) = self.machines.get_mut(name) else {
+        let others = now.since(self.inventory.last_heartbeat) < heartbeat.times(1.5);
+        let awake = self.clock.resumed_at();
+        let Some(machine) = self.inventory.machines.get_mut(name) else {
             return;
         };
         if machine.phase != MachinePhase::Up || machine.unresponsive || !others {
@@ -165,6 +165,7 @@
     fn agent_lease_end(&self, name: &Arc<str>, over: &mut Vec<Arc<str>>, now: Micros) -> Micros {
         let far = now.plus(self.config.lease);
         let Some(machine) = self
+            .inventory
             .machines
             .get(name)
             .filter(|machine| !machine.allocations.is_empty())
@@ -174,7 +175,10 @@
         // A epoch that began after our last answer has its lease from its own beginning.
         let base = match machine.fenced_at {
             Some(at) => at.max(machine.last_answer),
-            None => self.previous_leader_fenced_at.max(machine.last_answer),
+            None => self
+                .leader_term
+                .previous_leader_fenced_at
+                .max(machine.last_answer),
         };
         let end = base
             .max(machine.agent_epoch_started_at)
@@ -189,12 +193,12 @@
     /// like a cut, and so does a zone from which nobody is heard: then the lease decides.
     fn return_unresponsive(&mut self, unresponsive: Vec<Arc<str>>, now: Micros) {
         let heartbeat = self.config.heartbeat_interval;
-        if unresponsive.is_empty() || now.since(self.last_heard) > heartbeat.times(2.5) {
+        if unresponsive.is_empty() || now.since(self.inventory.last_heard) > heartbeat.times(2.5) {
             return;
         }
         // When each machine that hears us was heard last, by zone.
         let mut heard: HashMap<Arc<str>, Vec<Micros>> = HashMap::new();
-        for machine in self.machines.values() {
+        for machine in self.inventory.machines.values() {
             if machine.is_up() && !machine.inbound_partition.is_suspected() {
                 heard
                     .entry(machine.zone.clone())
@@ -202,19 +206,22 @@
                     .push(machine.last_heard);
             }
         }
-        self.steps += self.machines.len() as u64;
+        self.steps += self.inventory.machines.len() as u64;
         for times in heard.values_mut() {
             times.sort_unstable();
         }
         let all: usize = heard.values().map(Vec::len).sum();
         let mut alike: HashMap<(Arc<str>, bool), usize> = HashMap::new();
-        for machine in unresponsive.iter().filter_map(|n| self.machines.get(n)) {
+        for machine in unresponsive
+            .iter()
+            .filter_map(|n| self.inventory.machines.get(n))
+        {
             *alike
                 .entry((machine.zone.clone(), machine.spot))
                 .or_default() += 1;
         }
         for name in &unresponsive {
-            let Some(machine) = self.machines.get(name) else {
+            let Some(machine) = self.inventory.machines.get(name) else {
                 continue;
             };
             // What was heard before this one should have sent a heartbeat says nothing of a cut that began in
@@ -240,7 +247,7 @@
             };
             let heard_there = heard.get(&machine.zone).map_or(0, heard_in);
             let heard_at_all: usize = heard.values().map(heard_in).sum();
-            let open = self.reachable_zones.contains(&*machine.zone);
+            let open = self.inventory.reachable_zones.contains(&*machine.zone);
             let silent_alike = alike
                 .get(&(machine.zone.clone(), machine.spot))
                 .copied()
@@ -263,9 +270,10 @@
         let mut settled = Vec::new();
         let mut rewritten = Vec::new();
         let mut doubtful = false;
-        for name in &self.awaiting_effect {
+        for name in &self.dispatch.awaiting_effect {
             self.steps += 1;
             let Some(machine) = self
+                .inventory
                 .machines
                 .get(name)
                 .filter(|machine| !machine.allocations.is_empty())
@@ -280,10 +288,10 @@
             doubtful |= machine.is_up()
                 && !machine.unresponsive
                 && !machine.inbound_partition.is_suspected()
-                && in_doubt.is_some_and(|d| d.0 >= self.term);
+                && in_doubt.is_some_and(|d| d.0 >= self.leader_term.term);
             let mut waits = machine.unacknowledged_start.is_some();
             for &(number, task) in &machine.allocations {
-                let allocation = (self.jobs.get_mut(&number))
+                let allocation = (self.job_table.jobs.get_mut(&number))
                     .and_then(|job| job.tasks[task as usize].allocation.as_mut());
                 let Some(allocation) = allocation else {
                     continue;
@@ -311,11 +319,11 @@
             }
         }
         for name in settled {
-            self.awaiting_effect.remove(&name);
+            self.dispatch.awaiting_effect.remove(&name);
         }
-        self.pending_dispatch.extend(rewritten);
-        if doubtful && !self.term_raise_in_flight {
-            self.term_raise_in_flight = true;
+        self.dispatch.pending.extend(rewritten);
+        if doubtful && !self.leader_term.raise_in_flight {
+            self.leader_term.raise_in_flight = true;
             self.effects.push(Effect::RaiseTerm);
         }
     }
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -32,15 +32,15 @@
         gone: bool,
         now: Micros,
     ) -> Result<Vec<Command>, HeartbeatRejection> {
-        if gone || self.returned_machines.contains(r.machine.as_str()) {
+        if gone || self.inventory.returned.contains(r.machine.as_str()) {
             return Err(HeartbeatRejection::Returned);
         }
-        if r.fencing_token > self.term {
+        if r.fencing_token > self.leader_term.term {
             return Err(HeartbeatRejection::NewerToken);
         }
         let name = self.register_agent(&r, now)?;
         let (sequence, agent_epoch) = (r.sequence, r.agent_epoch);
-        let Some(machine) = self.machines.get_mut(&name) else {
+        let Some(machine) = self.inventory.machines.get_mut(&name) else {
             return Err(HeartbeatRejection::Returned);
         };
         if agent_epoch < machine.agent_epoch {
@@ -62,7 +62,7 @@
             machine.outbound_partition_since,
             machine.evicted,
         ) = (false, None, false);
-        self.last_report = now;
+        self.inventory.last_heartbeat = now;
         let fencing_token = r.fencing_token;
         // Its sequence number counts heartbeats to any node.
         let stays = self.config.nodes > 1
@@ -70,8 +70,8 @@
             && sequence == machine.sequence + 1;
         let stays = stays && machine.last_heartbeat_sequence > 0;
         self.apply_status(&name, r, true, now);
-        let (term, heartbeat_freshness) = (self.term, self.heartbeat_freshness());
-        let Some(machine) = self.machines.get_mut(&name) else {
+        let (term, heartbeat_freshness) = (self.leader_term.term, self.heartbeat_freshness());
+        let Some(machine) = self.inventory.machines.get_mut(&name) else {
             return Err(HeartbeatRejection::Returned);
         };
         if agent_epoch < machine.agent_epoch {
@@ -90,7 +90,7 @@
         machine.last_heartbeat_sequence = machine.last_heartbeat_sequence.max(sequence);
         self.reindex(&name);
         let commands = self.commands_for(&name, Some(sequence));
-        self.pending_dispatch.remove(&name);
+        self.dispatch.pending.remove(&name);
         Ok(commands)
     }
 
@@ -100,7 +100,7 @@
         r: &Heartbeat,
         now: Micros,
     ) -> Result<Arc<str>, HeartbeatRejection> {
-        if let Some(machine) = self.machines.get(r.machine.as_str()) {
+        if let Some(machine) = self.inventory.machines.get(r.machine.as_str()) {
             return Ok(machine.name.clone());
         }
         let kind = self
@@ -111,7 +111,7 @@
         let zone = r.zone.as_str().into();
         let mut machine = Machine::new(&r.machine, Arc::new(kind), zone, r.spot, &r.addr, now);
         let name = machine.name.clone();
-        self.machine_blocks.changed(&mut machine, now);
+        self.persistence.machine_blocks.changed(&mut machine, now);
         self.add_machine(machine);
         Ok(name)
     }
@@ -128,8 +128,8 @@
     pub fn probe_answered(&mut self, r: Heartbeat, now: Micros) {
         let heartbeat_freshness = self.heartbeat_freshness();
         // Whoever answered at that address: the probe is over.
-        self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
-        if let Some(machine) = self.machines.get_mut(r.machine.as_str()) {
+        self.dispatch.probes_in_flight = self.dispatch.probes_in_flight.saturating_sub(1);
+        if let Some(machine) = self.inventory.machines.get_mut(r.machine.as_str()) {
             let name = machine.name.clone();
             machine
                 .inbound_partition
@@ -142,8 +142,8 @@
     /// A probe got no answer.
     pub fn probe_failed(&mut self, name: &str, now: Micros) {
         let heartbeat_freshness = self.heartbeat_freshness();
-        self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
-        if let Some(machine) = self.machines.get_mut(name) {
+        self.dispatch.probes_in_flight = self.dispatch.probes_in_flight.saturating_sub(1);
+        if let Some(machine) = self.inventory.machines.get_mut(name) {
             machine.failed_probes += 1;
             machine.last_unanswered_probe_at = machine.probe_sent_at;
             machine
@@ -164,10 +164,10 @@
         now: Micros,
     ) {
         let heartbeat_freshness = self.heartbeat_freshness();
-        let came_up = (self.machines.get(name))
+        let came_up = (self.inventory.machines.get(name))
             .is_some_and(|machine| machine.phase == MachinePhase::Unregistered);
         let quiet_news = {
-            let Some(machine) = self.machines.get_mut(name) else {
+            let Some(machine) = self.inventory.machines.get_mut(name) else {
                 return;
             };
             if (r.agent_epoch, r.sequence) <= (machine.agent_epoch, machine.sequence) {
@@ -178,7 +178,7 @@
                 machine.up_since = now;
                 machine.idle_since = now;
                 machine.wanted_at = now;
-                self.pass_requested = true;
+                self.placement_pass.requested = true;
             }
             if machine.addr != r.addr {
                 machine.addr.clone_from(&r.addr);
@@ -188,16 +188,16 @@
                 } else {
                     now
                 };
-                self.machine_blocks.changed(machine, due);
+                self.persistence.machine_blocks.changed(machine, due);
             }
             machine.last_heard = now;
             machine.unresponsive = false;
-            self.last_heard = now;
+            self.inventory.last_heard = now;
             machine.failed_probes = 0;
             machine.fencing_token = machine.fencing_token.max(r.fencing_token);
-            if machine.fenced_at.is_none() && machine.fencing_token >= self.first_term {
+            if machine.fenced_at.is_none() && machine.fencing_token >= self.leader_term.first_term {
                 machine.fenced_at = Some(now);
-                self.pass_requested = true;
+                self.placement_pass.requested = true;
             }
             if machine
                 .unacknowledged_start
@@ -217,7 +217,7 @@
                 .is_some_and(|s| r.agent_epoch > s)
             {
                 let went = machine.forget_images();
-                self.index.images(&machine.zone, &[], &went);
+                self.inventory.index.images(&machine.zone, &[], &went);
             }
             if r.agent_epoch > machine.agent_epoch {
                 machine.unacknowledged_start = None;
@@ -225,7 +225,7 @@
                 machine.last_start_sequence = 0;
                 if machine.agent_epoch > 0 {
                     let went = machine.forget_images();
-                    self.index.images(&machine.zone, &[], &went);
+                    self.inventory.index.images(&machine.zone, &[], &went);
                     // Its lease ran out although we answered its heartbeats: it did not hear us.
                     let recent = now.since(machine.last_answer) < self.config.lease;
                     machine.inbound_partition.epoch_started(
@@ -251,7 +251,7 @@
     }
 
     fn reconcile_tasks(&mut self, name: &Arc<str>, r: Heartbeat, by_report: bool, now: Micros) {
-        let Some(machine) = self.machines.get(name) else {
+        let Some(machine) = self.inventory.machines.get(name) else {
             return;
         };
         // Held tasks that the heartbeat has not mentioned: what stays in here is not on the machine.
@@ -265,13 +265,13 @@
             // Tasks of a job stand together in a heartbeat.
             let number = match &known {
                 Some((id, number)) if *id == observed.job => Some(*number),
-                _ => self.job_numbers.get(observed.job.as_str()).copied(),
+                _ => self.job_table.by_id.get(observed.job.as_str()).copied(),
             };
             let allocated =
                 number.filter(|number| machine.allocations.contains(&(*number, observed.task)));
             let allocation = allocated.and_then(|number| {
                 known = Some((observed.job.clone(), number));
-                let job = self.jobs.get_mut(&number)?;
+                let job = self.job_table.jobs.get_mut(&number)?;
                 let allocation = job.tasks[observed.task as usize]
                     .allocation
                     .as_deref_mut()?;
@@ -307,7 +307,7 @@
             && !machine.command_in_flight;
         let mut images: BTreeMap<JobNumber, (String, u64)> = BTreeMap::new();
         for &(number, task) in &machine.allocations {
-            let Some(job) = self.jobs.get(&number) else {
+            let Some(job) = self.job_table.jobs.get(&number) else {
                 continue;
             };
             let Some(allocation) = job.tasks[task as usize].allocation.as_deref() else {
@@ -338,16 +338,16 @@
                 lost.push((number, task, None));
             }
         }
-        if let Some(machine) = self.machines.get_mut(name) {
+        if let Some(machine) = self.inventory.machines.get_mut(name) {
             for (image, mb) in images.into_values() {
                 let (came, went) = machine.use_image(&image, mb, now);
-                self.index.images(&machine.zone, &came, &went);
+                self.inventory.index.images(&machine.zone, &came, &went);
             }
             machine.unowned_tasks = unowned_tasks;
             // What has exited is told to go in the answer to a heartbeat; what still runs is not ours
             // to leave there.
             if machine.has_running_unowned_tasks() || (had && machine.unowned_tasks.is_empty()) {
-                self.pending_dispatch.insert(name.clone());
+                self.dispatch.pending.insert(name.clone());
             }
         }
         for (number, task, end) in lost {
@@ -364,7 +364,7 @@
         end: Option<(Cause, bool)>,
         now: Micros,
     ) {
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return;
         };
         let Some(allocation) = job.tasks[task as usize].allocation.as_deref() else {
@@ -379,7 +379,7 @@
                     self.note_run_time(number, now.since(at));
                 }
                 self.task_done(number, task, now);
-                if let Some(job) = self.jobs.get(&number) {
+                if let Some(job) = self.job_table.jobs.get(&number) {
                     if job.spec.kind == JobKind::Gang {
                         // They complete together: when one is done, all of them are.
                         for t in 0..job.spec.tasks {
@@ -400,7 +400,7 @@
         if retry_after > Micros::ZERO {
             self.defer_task(number, task, retry_after, now);
         }
-        let Some(job) = self.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return;
         };
         if job.spec.kind == JobKind::Gang && !job.complete() {
@@ -411,7 +411,7 @@
                 self.stop_all(number, Micros::ZERO, now);
             }
         }
-        if let Some(job) = self.jobs.get_mut(&number) {
+        if let Some(job) = self.job_table.jobs.get_mut(&number) {
             if job.spec.kind == JobKind::Gang && job.placed == 0 {
                 job.gang = Gang::Parked { until: now };
                 job.parked_at = now;
@@ -422,21 +422,21 @@
 
     /// Learns how far a class's estimates are off.
     fn note_run_time(&mut self, number: JobNumber, ran: Micros) {
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return;
         };
         if job.spec.estimate == Micros::ZERO || job.spec.kind == JobKind::Service {
             return;
         }
         let ratio = (ran.0 as f64 / job.spec.estimate.0 as f64).clamp(0.1, 10.0);
-        if let Some(c) = self.classes.get_mut(job.class) {
+        if let Some(c) = self.job_table.classes.get_mut(job.class) {
             c.ratio += (ratio - c.ratio) * 0.05;
         }
     }
 
     /// Every task on this machine is proven gone.
     pub(super) fn release_all(&mut self, name: &Arc<str>, now: Micros) {
-        let allocated: Vec<(JobNumber, u32)> = match self.machines.get(name) {
+        let allocated: Vec<(JobNumber, u32)> = match self.inventory.machines.get(name) {
             Some(machine) => machine.allocations.iter().copied().collect(),
             None => return,
         };
--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -21,8 +21,8 @@
         now: Micros,
     ) {
         let (Some(job), Some(machine)) = (
-            self.jobs.get_mut(&number),
-            self.machines.get_mut(&machine_name),
+            self.job_table.jobs.get_mut(&number),
+            self.inventory.machines.get_mut(&machine_name),
         ) else {
             return;
         };
@@ -44,7 +44,7 @@
         }));
         job.idle.remove(&task);
         if job.idle.is_empty() {
-            self.unplaced_jobs.remove(&number);
+            self.job_table.unplaced.remove(&number);
         }
         job.placed += 1;
         // What is assumed at the gang barrier may have to be given back.
@@ -58,22 +58,24 @@
         if committed {
             // What an earlier epoch says is older than this.
             machine.agent_epoch = machine.agent_epoch.max(agent_epoch);
-            self.awaiting_effect.insert(machine_name.clone());
+            self.dispatch.awaiting_effect.insert(machine_name.clone());
         }
         if job.spec.kind == JobKind::Array {
-            self.batch_placed += batch_seconds(&job.spec);
+            self.autoscaler.batch_placed += batch_seconds(&job.spec);
         } else {
             machine.steady_cpu += job.spec.need.cpu;
         }
         self.quota.add(job.team, &job.spec.need);
-        self.index.loaded(machine, job.spec.priority, true);
-        self.index.update(machine);
-        self.idle_machines.remove(&machine_name);
+        self.inventory
+            .index
+            .loaded(machine, job.spec.priority, true);
+        self.inventory.index.update(machine);
+        self.inventory.idle.remove(&machine_name);
     }
 
     /// A task's place is proven to be free, or was never sent.
     pub(super) fn release(&mut self, number: JobNumber, task: u32, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return;
         };
         let Some(allocation) = job.tasks[task as usize].allocation.take() else {
@@ -90,14 +92,14 @@
         if !job.tasks[task as usize].done {
             job.idle.insert(task);
             if job.active() {
-                self.unplaced_jobs.insert(number);
+                self.job_table.unplaced.insert(number);
             }
         }
         self.quota.remove(job.team, &job.spec.need);
         if job.spec.kind == JobKind::Array {
-            self.batch_placed -= batch_seconds(&job.spec);
+            self.autoscaler.batch_placed -= batch_seconds(&job.spec);
         }
-        if let Some(machine) = self.machines.get_mut(&allocation.machine) {
+        if let Some(machine) = self.inventory.machines.get_mut(&allocation.machine) {
             if let Some(n) = job.zones.get_mut(&machine.zone) {
                 *n -= 1;
                 if *n == 0 {
@@ -115,21 +117,23 @@
             }
             if machine.allocations.is_empty() {
                 machine.idle_since = now;
-                self.idle_machines.insert(allocation.machine.clone());
+                self.inventory.idle.insert(allocation.machine.clone());
             }
-            self.index.loaded(machine, job.spec.priority, false);
-            self.index.update(machine);
+            self.inventory
+                .index
+                .loaded(machine, job.spec.priority, false);
+            self.inventory.index.update(machine);
         }
         // In doubt, the record is written again: it must not keep a place that memory has dropped.
         if allocation.committed || allocation.in_transaction {
-            self.unsaved.outcome(number, task, now);
+            self.persistence.unsaved_tasks.outcome(number, task, now);
         }
-        self.pass_requested = true;
+        self.placement_pass.requested = true;
     }
 
     /// Stops every placed task of a job; those whose start was never sent are dropped at once.
     pub(super) fn stop_all(&mut self, number: JobNumber, grace: Micros, now: Micros) {
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return;
         };
         let placed: Vec<u32> = (0..job.spec.tasks)
@@ -142,6 +146,7 @@
 
     pub(super) fn stop(&mut self, number: JobNumber, task: u32, grace: Micros, now: Micros) {
         let Some(allocation) = self
+            .job_table
             .jobs
             .get_mut(&number)
             .and_then(|job| job.tasks[task as usize].allocation.as_mut())
@@ -163,7 +168,7 @@
 
     /// Marks a job that is over, and of which nothing is left on any machine, for its final record.
     pub(super) fn check_complete(&mut self, number: JobNumber) {
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return;
         };
         let over = match job.state {
@@ -172,13 +177,13 @@
         };
         if over {
             self.dequeue(number);
-            self.finished_jobs.insert(number);
+            self.persistence.finished_jobs.insert(number);
         }
     }
 
     /// A task ended with its result kept.
     pub(super) fn task_done(&mut self, number: JobNumber, task: u32, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return;
         };
         if job.spec.kind == JobKind::Service {
@@ -194,9 +199,9 @@
             }
             job.idle.remove(&task);
             if job.idle.is_empty() {
-                self.unplaced_jobs.remove(&number);
+                self.job_table.unplaced.remove(&number);
             }
-            self.unsaved.outcome(number, task, now);
+            self.persistence.unsaved_tasks.outcome(number, task, now);
         }
     }
 }
--- a/crates/saltpitch-core/src/scheduler/capacity_plan.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 
 use super::capacity_pools::{find, CapacityPool, ScaleOutTerms, ZoneSpread};
-use super::Scheduler;
 use crate::catalog::Resources;
 use crate::cluster::{JobNumber, Machine, MachinePhase};
 use crate::gang::Gang;
 use crate::job::{JobKind, Priority};
+use crate::scheduler::Scheduler;
 use crate::time::Micros;
 
 /// The most tasks of one job that are planned for at a time, beyond one for each machine of the site: a
@@ -22,24 +22,26 @@
 
 impl Scheduler {
     /// Rents what the waiting tasks need beyond what is on its way; returns what stands idle.
-    pub(super) fn plan_capacity(&mut self, now: Micros) {
+    pub(in crate::scheduler) fn plan_capacity(&mut self, now: Micros) {
         // What was planned and not asked for yet is planned anew.
-        self.scale_out_requests.retain(|r| r.sent);
+        self.autoscaler.requests.retain(|r| r.sent);
         if self.too_many_unreachable(now) {
             self.scale_in_idle(now);
             return self.send_scale_outs(now);
         }
         let mut pools = self.pools(now);
-        let room: u64 = (self.index.groups.iter())
-            .filter(|g| !crate::placement::contested(&g.kind.size, &self.accelerator_demands))
+        let room: u64 = (self.inventory.index.groups.iter())
+            .filter(|g| {
+                !crate::placement::contested(&g.kind.size, &self.autoscaler.accelerator_demands)
+            })
             .map(|g| g.batch)
             .sum();
         // What is running has half of its time left on average.
-        let mut work = (self.batch_placed.max(0.0) / 2.0) as u64 * 1_000;
+        let mut work = (self.autoscaler.batch_placed.max(0.0) / 2.0) as u64 * 1_000;
         let mut claimed: Vec<Resources> =
             (0..self.quota.len()).map(|t| self.quota.used(t)).collect();
         for (at, w) in self.queued_jobs(now).into_iter().enumerate() {
-            let Some(job) = self.jobs.get(&w.number) else {
+            let Some(job) = self.job_table.jobs.get(&w.number) else {
                 continue;
             };
             if matches!(job.gang, Gang::Committing | Gang::Allowed) {
@@ -89,7 +91,7 @@
                 slack: w.slack,
                 at,
             };
-            let most = self.machines.len() as u64 + RESERVED_BEYOND_MACHINES;
+            let most = self.inventory.machines.len() as u64 + RESERVED_BEYOND_MACHINES;
             self.reserve_capacity(w.number, &terms, want.min(most), &mut pools);
         }
         self.plan_scale_out(&pools, now);
@@ -101,11 +103,12 @@
     /// empty room.
     fn pools(&mut self, now: Micros) -> Vec<CapacityPool> {
         let waiting = self
-            .unplaced_jobs
+            .job_table
+            .unplaced
             .iter()
-            .filter_map(|number| self.jobs.get(number));
+            .filter_map(|number| self.job_table.jobs.get(number));
         let smallest_need = waiting.map(|job| job.spec.need.cpu).min().unwrap_or(0);
-        self.steps += self.unplaced_jobs.len() as u64;
+        self.steps += self.job_table.unplaced.len() as u64;
         let mut pools = Vec::new();
         for t in &self.catalog.types {
             let kind = Arc::new(t.clone());
@@ -122,22 +125,28 @@
                         new: 0,
                         wanted_by: usize::MAX,
                         production: false,
-                        refused: self.refusals.get(&key).is_some_and(|r| r.until > now),
+                        refused: self
+                            .autoscaler
+                            .refusals
+                            .get(&key)
+                            .is_some_and(|r| r.until > now),
                         stalled: false,
                         max_new: u32::MAX,
                     });
                 }
             }
         }
-        self.steps += (self.provisioning.len() + self.idle_machines.len()) as u64;
+        self.steps += (self.inventory.provisioning.len() + self.inventory.idle.len()) as u64;
         let coming = self
+            .inventory
             .provisioning
             .iter()
-            .filter_map(|n| self.machines.get(n));
+            .filter_map(|n| self.inventory.machines.get(n));
         let empty = self
-            .idle_machines
+            .inventory
+            .idle
             .iter()
-            .filter_map(|n| self.machines.get(n));
+            .filter_map(|n| self.inventory.machines.get(n));
         // Found by a test: what had just come up was neither on its way nor in use yet, and was ordered
         // once more.
         let fresh =
@@ -151,7 +160,7 @@
                 }
             }
         }
-        for r in &self.scale_out_requests {
+        for r in &self.autoscaler.requests {
             if let Some(p) = find(&mut pools, &r.type_name, &r.zone, r.spot) {
                 let size = p.kind.size;
                 p.bins.extend(std::iter::repeat_n(size, r.count as usize));
@@ -178,10 +187,10 @@
         room: u64,
         work: &mut u64,
     ) -> u64 {
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return 0;
         };
-        let drain = self.batch_completion_target;
+        let drain = self.autoscaler.batch_completion_target;
         let time = slack.map_or(drain.times(3.0), |s| {
             s.max(drain.times(0.5)).min(drain.times(3.0))
         });
@@ -203,7 +212,7 @@
         want: u64,
         pools: &mut [CapacityPool],
     ) {
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return;
         };
         let spec = &job.spec;
@@ -242,7 +251,13 @@
         // not just refused; between equals, the zone with less of it.
         while left > 0 {
             let there = |p: &CapacityPool| {
-                self.index.by_zone.get(&p.zone).copied().unwrap_or(0) + p.new as usize
+                self.inventory
+                    .index
+                    .by_zone
+                    .get(&p.zone)
+                    .copied()
+                    .unwrap_or(0)
+                    + p.new as usize
             };
             let best = (pools.iter_mut())
                 .filter(|p| suits(p) && !p.refused && p.new < p.max_new && zones.room(&p.zone) > 0)
@@ -271,13 +286,17 @@
 
     /// Processors of ordinary machines beyond what production is expected to ask for before a
     /// machine could boot. Batch work there makes way for it.
-    pub(super) fn spare_above_warm_pool(&self, now: Micros) -> u64 {
+    pub(in crate::scheduler) fn spare_above_warm_pool(&self, now: Micros) -> u64 {
         let boot = self.catalog.types.iter().map(|t| t.boot).max();
-        let rate = self.faded_demand(now) / super::FADE.as_secs_f64();
+        let rate = self.faded_demand(now) / crate::scheduler::FADE.as_secs_f64();
         let keep = rate * boot.unwrap_or_default().as_secs_f64() * WARM;
-        let there: u64 = (self.index.groups.iter())
+        let there: u64 = (self.inventory.index.groups.iter())
             .filter(|g| {
-                !g.spot && !crate::placement::contested(&g.kind.size, &self.accelerator_demands)
+                !g.spot
+                    && !crate::placement::contested(
+                        &g.kind.size,
+                        &self.autoscaler.accelerator_demands,
+                    )
             })
             .map(|g| g.batch)
             .sum();
@@ -286,9 +305,10 @@
 
     /// How long an empty machine is kept: what the policy says; and while work with accelerators
     /// keeps coming, a machine for it as long again as its images would take to have elsewhere.
-    pub(super) fn keep(&self, machine: &Machine, now: Micros) -> Micros {
-        let keep = self.index.groups[machine.group].keep;
-        let comes = machine.kind.size.gpu > 0 && now.since(self.accelerators_requested_at) < keep;
+    pub(in crate::scheduler) fn keep(&self, machine: &Machine, now: Micros) -> Micros {
+        let keep = self.inventory.index.groups[machine.group].keep;
+        let comes = machine.kind.size.gpu > 0
+            && now.since(self.autoscaler.accelerators_requested_at) < keep;
         keep.plus(if comes {
             machine.image_worth()
         } else {
@@ -299,11 +319,12 @@
     fn scale_in_idle(&mut self, now: Micros) {
         let mut back = Vec::new();
         let mut spare = self.spare_above_warm_pool(now);
-        self.steps += self.idle_machines.len() as u64;
+        self.steps += self.inventory.idle.len() as u64;
         for machine in self
-            .idle_machines
+            .inventory
+            .idle
             .iter()
-            .filter_map(|n| self.machines.get(n))
+            .filter_map(|n| self.inventory.machines.get(n))
         {
             if !machine.allocations.is_empty() || machine.has_running_unowned_tasks() {
                 continue;
@@ -320,7 +341,10 @@
             let warm = machine.phase == MachinePhase::Up
                 && !machine.cordoned
                 && !machine.spot
-                && !crate::placement::contested(&machine.kind.size, &self.accelerator_demands);
+                && !crate::placement::contested(
+                    &machine.kind.size,
+                    &self.autoscaler.accelerator_demands,
+                );
             if stale && warm {
                 if spare < machine.kind.size.cpu {
                     continue;
--- a/crates/saltpitch-core/src/scheduler/capacity_pools.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_pools.rs
@@ -12,7 +12,7 @@
 
 /// Room to come in one type, zone and kind: machines that boot, are being rented, or are to be
 /// rented.
-pub(super) struct CapacityPool {
+pub(in crate::scheduler) struct CapacityPool {
     pub kind: Arc<MachineType>,
     pub zone: Arc<str>,
     pub spot: bool,
@@ -78,7 +78,7 @@
     }
 }
 
-pub(super) fn find<'a>(
+pub(in crate::scheduler) fn find<'a>(
     pools: &'a mut [CapacityPool],
     type_name: &str,
     zone: &str,
@@ -90,7 +90,7 @@
 }
 
 /// On what terms machines are rented for a job.
-pub(super) struct ScaleOutTerms {
+pub(in crate::scheduler) struct ScaleOutTerms {
     pub spot: bool,
     /// Machines that cost more than this many times the cheapest are for pressing work only.
     pub dear: f64,
@@ -109,7 +109,7 @@
 }
 
 /// How a job's tasks may be spread over zones, and how many it has in each.
-pub(super) struct ZoneSpread {
+pub(in crate::scheduler) struct ZoneSpread {
     pub counts: BTreeMap<Arc<str>, u64>,
     pub fixed: Option<Arc<str>>,
     pub one: bool,
--- a/crates/saltpitch-core/src/scheduler/provisioning_times.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-use super::Scheduler;
 use crate::catalog::MachineType;
 use crate::cluster::{Machine, MachinePhase};
+use crate::scheduler::Scheduler;
 use crate::time::Micros;
 
 /// A machine is overdue after this many times its type's boot time, unless others took longer.
@@ -39,7 +39,7 @@
 
 /// The machines that came up lately.
 #[derive(Debug, Default)]
-pub(super) struct ProvisioningTimes {
+pub(in crate::scheduler) struct ProvisioningTimes {
     /// By type and zone.
     observed: HashMap<(String, Arc<str>), VecDeque<Provisioned>>,
 }
@@ -103,20 +103,24 @@
 
 impl Scheduler {
     /// A machine that this leader ordered is heard for the first time.
-    pub(super) fn note_provisioned(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(machine) = self.machines.get(name) else {
+    pub(in crate::scheduler) fn note_provisioned(&mut self, name: &Arc<str>, now: Micros) {
+        let Some(machine) = self.inventory.machines.get(name) else {
             return;
         };
         // Others may have been up for long, unheard by this leader.
-        if machine.created_at > self.elected_at && machine.created_at < now {
-            self.provisioning_times
-                .joined(&machine.kind, &machine.zone, machine.created_at, now);
+        if machine.created_at > self.leader_term.elected_at && machine.created_at < now {
+            self.autoscaler.provisioning_times.joined(
+                &machine.kind,
+                &machine.zone,
+                machine.created_at,
+                now,
+            );
         }
     }
 
     /// Whether a machine that has not been heard should have been by now: it is no longer counted as room
     /// to come, and what it was ordered for is ordered elsewhere.
-    pub(super) fn is_overdue(&self, machine: &Machine, now: Micros) -> bool {
+    pub(in crate::scheduler) fn is_overdue(&self, machine: &Machine, now: Micros) -> bool {
         let age = now.since(machine.created_at);
         // Most are not, and need no look at the others.
         if machine.phase != MachinePhase::Unregistered
@@ -124,24 +128,25 @@
         {
             return false;
         }
-        let expected = self
-            .provisioning_times
-            .expected(&machine.kind, &machine.zone, now);
+        let expected =
+            self.autoscaler
+                .provisioning_times
+                .expected(&machine.kind, &machine.zone, now);
         let first_report = self.config.heartbeat_interval.plus(FIRST_REPORT_MARGIN);
         age > expected.plus(first_report)
     }
 
     /// Whether to give up a machine that has not been heard. As long as no later one of its kind is up,
     /// all of them may be late, and giving them up would only begin the wait anew.
-    pub(super) fn is_given_up(&self, machine: &Machine, now: Micros) -> bool {
+    pub(in crate::scheduler) fn is_given_up(&self, machine: &Machine, now: Micros) -> bool {
         // It may be up, and known to an earlier leader alone: it has to find this one first.
         let settled = self
             .config
             .lease
             .plus(self.config.heartbeat_interval.times(2.0));
-        let known_for = now.since(self.elected_at);
+        let known_for = now.since(self.leader_term.elected_at);
         if machine.phase != MachinePhase::Unregistered
-            || (machine.created_at <= self.elected_at && known_for < settled)
+            || (machine.created_at <= self.leader_term.elected_at && known_for < settled)
         {
             return false;
         }
@@ -152,19 +157,24 @@
             .plus(GIVEN_UP_MARGIN);
         let never = now.since(machine.created_at) > limit;
         never
-            || (self.is_overdue(machine, now) && self.provisioning_times.is_overtaken(machine, now))
+            || (self.is_overdue(machine, now)
+                && self
+                    .autoscaler
+                    .provisioning_times
+                    .is_overtaken(machine, now))
     }
 
     /// Zones in which machines are overdue and none that was ordered later has come up: a few are ordered
     /// there at a time, to see whether it boots again, and the others elsewhere.
-    pub(super) fn stalled_zones(&self, now: Micros) -> Vec<Arc<str>> {
+    pub(in crate::scheduler) fn stalled_zones(&self, now: Micros) -> Vec<Arc<str>> {
         let mut zones: BTreeMap<&Arc<str>, OverdueInZone> = BTreeMap::new();
         let coming = self
+            .inventory
             .provisioning
             .iter()
-            .filter_map(|n| self.machines.get(n));
+            .filter_map(|n| self.inventory.machines.get(n));
         // Machines of an earlier leader may be up.
-        let own = coming.filter(|machine| machine.created_at > self.elected_at);
+        let own = coming.filter(|machine| machine.created_at > self.leader_term.elected_at);
         for machine in own.filter(|machine| self.is_overdue(machine, now)) {
             let zone = zones.entry(&machine.zone).or_insert(OverdueInZone {
                 overdue: 0,
@@ -175,13 +185,13 @@
         }
         let stalled = zones.into_iter().filter(|(zone, boots)| {
             boots.overdue >= OVERDUE_IN_STALLED_ZONE
-                && self.provisioning_times.last_ordered(zone) < boots.first_overdue
+                && self.autoscaler.provisioning_times.last_ordered(zone) < boots.first_overdue
         });
         stalled.map(|(zone, _)| zone.clone()).collect()
     }
 
     /// How many machines may be ordered of one type and kind, `coming` of which are on their way.
-    pub(super) fn order_limit(stalled: bool, coming: usize) -> u32 {
+    pub(in crate::scheduler) fn order_limit(stalled: bool, coming: usize) -> u32 {
         if stalled {
             ZONE_PROBES.saturating_sub(coming as u32)
         } else {
--- a/crates/saltpitch-core/src/scheduler/scale_out.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::capacity_pools::CapacityPool;
-use super::{Effect, Scheduler};
 use crate::cluster::Machine;
+use crate::scheduler::{Effect, Scheduler};
 use crate::time::Micros;
 
 /// Rentals of one type, zone and kind that are asked for at a time.
@@ -25,7 +25,7 @@
 
 /// A scale-out request under way.
 #[derive(Clone, Debug)]
-pub(super) struct ScaleOutRequest {
+pub(in crate::scheduler) struct ScaleOutRequest {
     pub request: String,
     pub type_name: String,
     pub zone: String,
@@ -52,11 +52,12 @@
     /// Plans the requests for the pools' new machines, by turns: calls are scarce, and a rush that
     /// takes dozens of them for one type must not keep others waiting for theirs. Production gets
     /// more calls than others in a turn.
-    pub(super) fn plan_scale_out(&mut self, pools: &[CapacityPool], now: Micros) {
+    pub(in crate::scheduler) fn plan_scale_out(&mut self, pools: &[CapacityPool], now: Micros) {
         let mut planned = Vec::new();
         for p in pools.iter().filter(|p| p.new > 0) {
             let key = (p.kind.name.clone(), p.zone.to_string(), p.spot);
             let recent = self
+                .autoscaler
                 .recent_scale_outs
                 .get(&key)
                 .filter(|a| now.since(a.1) < RUSH);
@@ -70,9 +71,12 @@
         planned.sort_by_key(|x| x.0);
         for (_, count, p) in planned {
             // A request's name is never used again: the term is this leader's alone.
-            let request = format!("t{}-{}", self.term, self.next_request);
-            self.next_request += 1;
-            self.scale_out_requests.push(ScaleOutRequest {
+            let request = format!(
+                "t{}-{}",
+                self.leader_term.term, self.autoscaler.next_request
+            );
+            self.autoscaler.next_request += 1;
+            self.autoscaler.requests.push(ScaleOutRequest {
                 request,
                 type_name: p.kind.name.clone(),
                 zone: p.zone.to_string(),
@@ -86,11 +90,12 @@
     }
 
     /// Asks for what was planned, as far as the cloud's rate goes.
-    pub(super) fn send_scale_outs(&mut self, now: Micros) {
+    pub(in crate::scheduler) fn send_scale_outs(&mut self, now: Micros) {
         let mut calls = self
-            .scale_out_budget
+            .autoscaler
+            .budget
             .level(self.config.scale_out_rate * 2.0, now);
-        for r in &mut self.scale_out_requests {
+        for r in &mut self.autoscaler.requests {
             if r.out || now < r.after {
                 continue;
             }
@@ -98,11 +103,11 @@
                 return;
             }
             calls -= 1.0;
-            self.scale_out_budget.spend(1.0);
+            self.autoscaler.budget.spend(1.0);
             r.out = true;
             r.sent = true;
             let key = (r.type_name.clone(), r.zone.clone(), r.spot);
-            let asked = self.recent_scale_outs.entry(key).or_default();
+            let asked = self.autoscaler.recent_scale_outs.entry(key).or_default();
             let before = if now.since(asked.1) < RUSH {
                 asked.0
             } else {
@@ -122,21 +127,22 @@
     /// The answer to [`Effect::ScaleOut`].
     pub fn rented(&mut self, request: &str, end: ScaleOutOutcome, now: Micros) {
         let Some(at) = self
-            .scale_out_requests
+            .autoscaler
+            .requests
             .iter()
             .position(|r| r.request == request)
         else {
             return;
         };
-        let r = self.scale_out_requests[at].clone();
+        let r = self.autoscaler.requests[at].clone();
         let key = (r.type_name.clone(), r.zone.clone(), r.spot);
         match end {
             ScaleOutOutcome::Machines(names) => {
-                self.scale_out_requests.remove(at);
+                self.autoscaler.requests.remove(at);
                 if (names.len() as u32) < r.count {
                     self.refuse(key, now);
                 } else {
-                    self.refusals.remove(&key);
+                    self.autoscaler.refusals.remove(&key);
                 }
                 let Some(kind) = self.catalog.get(&r.type_name).cloned() else {
                     return;
@@ -144,22 +150,23 @@
                 let kind = Arc::new(kind);
                 let zone: Arc<str> = r.zone.as_str().into();
                 for n in names {
-                    if self.machines.contains_key(n.as_str()) {
+                    if self.inventory.machines.contains_key(n.as_str()) {
                         continue;
                     }
                     let mut machine = Machine::new(&n, kind.clone(), zone.clone(), r.spot, "", now);
-                    self.machine_blocks
+                    self.persistence
+                        .machine_blocks
                         .changed(&mut machine, now.plus(Micros::from_millis(300)));
                     self.add_machine(machine);
                 }
             }
             ScaleOutOutcome::NoCapacity => {
-                self.scale_out_requests.remove(at);
+                self.autoscaler.requests.remove(at);
                 self.refuse(key, now);
             }
             ScaleOutOutcome::Later => {
-                self.scale_out_requests.remove(at);
-                self.refusals.insert(
+                self.autoscaler.requests.remove(at);
+                self.autoscaler.refusals.insert(
                     key,
                     Refusal {
                         until: now.plus(Micros::from_secs(2)),
@@ -168,7 +175,7 @@
                 );
             }
             ScaleOutOutcome::Unknown => {
-                if let Some(r) = self.scale_out_requests.get_mut(at) {
+                if let Some(r) = self.autoscaler.requests.get_mut(at) {
                     r.out = false;
                     r.after = now.plus(Micros::from_secs(2));
                 }
@@ -178,7 +185,7 @@
 
     /// The cloud has no such machines now.
     fn refuse(&mut self, key: (String, String, bool), now: Micros) {
-        let r = self.refusals.entry(key).or_insert(Refusal {
+        let r = self.autoscaler.refusals.entry(key).or_insert(Refusal {
             until: now,
             times: 0,
         });
--- a/crates/saltpitch-core/src/scheduler/cloud_listing.rs
+++ b/crates/saltpitch-core/src/scheduler/cloud_listing.rs
@@ -22,7 +22,7 @@
 impl Scheduler {
     /// Intends the return of a machine. The intent goes on record first.
     pub(super) fn scale_in(&mut self, name: &Arc<str>, now: Micros) {
-        if let Some(machine) = self.machines.get_mut(name) {
+        if let Some(machine) = self.inventory.machines.get_mut(name) {
             if !matches!(machine.phase, MachinePhase::Returning(_)) {
                 machine.phase = MachinePhase::Returning(false);
                 // What holds work is waited for; what is empty can gather.
@@ -31,7 +31,8 @@
                 } else {
                     0
                 };
-                self.machine_blocks
+                self.persistence
+                    .machine_blocks
                     .changed(machine, now.plus(Micros::from_millis(wait)));
                 self.reindex(name);
             }
@@ -42,28 +43,29 @@
     pub fn returned(&mut self, names: &[Arc<str>], now: Micros) {
         for name in names {
             self.release_all(name, now);
-            if let Some(machine) = self.machines.get(name) {
+            if let Some(machine) = self.inventory.machines.get(name) {
                 // What was given back can be had again.
                 let key = (
                     machine.kind.name.clone(),
                     machine.zone.to_string(),
                     machine.spot,
                 );
-                self.refusals.remove(&key);
+                self.autoscaler.refusals.remove(&key);
                 self.drop_machine(name, now);
             }
         }
-        self.pass_requested = true;
+        self.placement_pass.requested = true;
     }
 
     /// The cloud's list. What is on it is there, or was a while ago; absence proves nothing.
     pub fn listed(&mut self, list: &[ListedMachine], gone: &dyn Fn(&str) -> bool, now: Micros) {
         for e in list {
-            if let Some(machine) = self.machines.get_mut(e.name.as_str()) {
+            if let Some(machine) = self.inventory.machines.get_mut(e.name.as_str()) {
                 let name = machine.name.clone();
                 if machine.addr.is_empty() && !e.addr.is_empty() {
                     machine.addr.clone_from(&e.addr);
-                    self.machine_blocks
+                    self.persistence
+                        .machine_blocks
                         .changed(machine, now.plus(Micros::from_secs(3)));
                 }
                 if e.failed {
@@ -72,7 +74,7 @@
                 }
                 continue;
             }
-            if gone(&e.name) || self.returned_machines.contains(e.name.as_str()) {
+            if gone(&e.name) || self.inventory.returned.contains(e.name.as_str()) {
                 continue;
             }
             let kind = self.catalog.get(&e.type_name).cloned();
@@ -81,7 +83,8 @@
             let mut machine = Machine::new(&e.name, kind, zone, e.spot, &e.addr, now);
             machine.created_at = now.since(e.age);
             let name = machine.name.clone();
-            self.machine_blocks
+            self.persistence
+                .machine_blocks
                 .changed(&mut machine, now.plus(Micros::from_millis(300)));
             self.add_machine(machine);
             if e.failed {
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -31,7 +31,7 @@
     /// the heartbeat that they answer; none for direct commands.
     pub(super) fn commands_for(&mut self, name: &Arc<str>, answering: Option<u64>) -> Vec<Command> {
         let mut commands = Vec::new();
-        let Some(machine) = self.machines.get(name) else {
+        let Some(machine) = self.inventory.machines.get(name) else {
             return commands;
         };
         for s in &machine.unowned_tasks {
@@ -66,7 +66,7 @@
             if commands.len() + starts.len() >= MAX_ORDERS {
                 break;
             }
-            let Some(job) = self.jobs.get_mut(&number) else {
+            let Some(job) = self.job_table.jobs.get_mut(&number) else {
                 continue;
             };
             let gang_ready = job.spec.kind != JobKind::Gang || job.gang == Gang::Allowed;
@@ -98,7 +98,7 @@
             }
         }
         if let (Some(sequence), false) = (answering, starts.is_empty()) {
-            if let Some(machine) = self.machines.get_mut(name) {
+            if let Some(machine) = self.inventory.machines.get_mut(name) {
                 machine.last_start_sequence = machine.last_start_sequence.max(sequence);
             }
         }
@@ -108,16 +108,19 @@
 
     /// Whether nothing on record points to this exited attempt any more.
     pub(super) fn is_recorded(&self, s: &TaskStatus) -> bool {
-        let Some(number) = self.job_numbers.get(s.job.as_str()) else {
+        let Some(number) = self.job_table.by_id.get(s.job.as_str()) else {
             return true;
         };
-        if self.unsaved.contains(*number, s.task) || self.finished_jobs.contains(number) {
+        if self.persistence.unsaved_tasks.contains(*number, s.task)
+            || self.persistence.finished_jobs.contains(number)
+        {
             return false;
         }
         if self.is_in_flight(*number, s.task) {
             return false;
         }
         let allocation = self
+            .job_table
             .jobs
             .get(number)
             .and_then(|job| job.tasks.get(s.task as usize))
@@ -127,24 +130,25 @@
 
     /// Sends direct commands to the machines that need some, a bounded number at a time.
     pub(super) fn send_commands(&mut self, now: Micros) {
-        while let Some((due, name)) = self.delayed_dispatch.first().cloned() {
+        while let Some((due, name)) = self.dispatch.delayed.first().cloned() {
             if due > now {
                 break;
             }
-            self.delayed_dispatch.pop_first();
-            self.pending_dispatch.insert(name);
+            self.dispatch.delayed.pop_first();
+            self.dispatch.pending.insert(name);
         }
-        while self.commands_in_flight < self.config.calls {
-            let Some(name) = self.pending_dispatch.pop_first() else {
+        while self.dispatch.commands_in_flight < self.config.calls {
+            let Some(name) = self.dispatch.pending.pop_first() else {
                 return;
             };
-            let Some(machine) = self.machines.get(&name) else {
+            let Some(machine) = self.inventory.machines.get(&name) else {
                 continue;
             };
             if machine.command_in_flight || now < machine.next_command_at {
                 // Its answer, or the time, brings it back.
                 if !machine.command_in_flight {
-                    self.delayed_dispatch
+                    self.dispatch
+                        .delayed
                         .insert((machine.next_command_at, name));
                 }
                 continue;
@@ -152,22 +156,22 @@
             if !machine.is_up() || machine.addr.is_empty() {
                 continue;
             }
-            let unfenced = machine.fencing_token < self.term;
+            let unfenced = machine.fencing_token < self.leader_term.term;
             let commands = self.commands_for(&name, None);
             if commands.is_empty() && !unfenced {
                 continue;
             }
-            let Some(machine) = self.machines.get_mut(&name) else {
+            let Some(machine) = self.inventory.machines.get_mut(&name) else {
                 continue;
             };
             machine.command_in_flight = true;
             machine.next_command_at = now.plus(REPEAT);
-            self.commands_in_flight += 1;
+            self.dispatch.commands_in_flight += 1;
             self.effects.push(Effect::SendCommands {
                 machine: name,
                 addr: machine.addr.clone(),
                 agent_epoch: machine.agent_epoch,
-                fencing_token: self.term,
+                fencing_token: self.leader_term.term,
                 commands,
             });
         }
@@ -183,9 +187,9 @@
         end: CommandOutcome,
         now: Micros,
     ) {
-        self.commands_in_flight = self.commands_in_flight.saturating_sub(1);
+        self.dispatch.commands_in_flight = self.dispatch.commands_in_flight.saturating_sub(1);
         let heartbeat_freshness = self.heartbeat_freshness();
-        let Some(machine) = self.machines.get_mut(name) else {
+        let Some(machine) = self.inventory.machines.get_mut(name) else {
             return;
         };
         machine.command_in_flight = false;
@@ -201,7 +205,7 @@
                     .inbound_partition
                     .direct_call_ended(false, heartbeat_freshness, now);
                 machine.next_command_at = now.plus(Micros::from_millis(700));
-                self.pending_dispatch.insert(name.clone());
+                self.dispatch.pending.insert(name.clone());
             }
             CommandOutcome::Unknown => {
                 machine
@@ -210,9 +214,9 @@
                 machine.next_command_at = now.plus(Micros::from_secs(1));
                 if starts && machine.agent_epoch == agent_epoch {
                     machine.unacknowledged_start = Some((fencing_token, now));
-                    self.awaiting_effect.insert(name.clone());
+                    self.dispatch.awaiting_effect.insert(name.clone());
                 }
-                self.pending_dispatch.insert(name.clone());
+                self.dispatch.pending.insert(name.clone());
             }
         }
         self.reindex(name);
--- a/crates/saltpitch-core/src/scheduler/consolidation.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -22,21 +22,21 @@
     /// Empties the machines whose replicas cost most, a few at a time, if the others have room for
     /// them where their images are. Nothing may be waiting: room is not taken from anybody.
     pub(super) fn consolidate(&mut self, now: Micros) {
-        if !self.unplaced_jobs.is_empty() {
-            self.last_waiting_at = now;
+        if !self.job_table.unplaced.is_empty() {
+            self.placement_pass.last_waiting_at = now;
         }
-        if now.since(self.last_waiting_at) < CALM || !self.consolidates() {
+        if now.since(self.placement_pass.last_waiting_at) < CALM || !self.consolidates() {
             return;
         }
         let mut parts = Vec::new();
-        for g in 0..self.index.groups.len() {
-            parts.extend(self.index.groups[g].next_part(LOOKS));
+        for g in 0..self.inventory.index.groups.len() {
+            parts.extend(self.inventory.index.groups[g].next_part(LOOKS));
         }
         self.steps += parts.len() as u64;
         let mut worst: Vec<(u64, Arc<str>)> = parts
             .into_iter()
             .filter_map(|name| {
-                let machine = self.machines.get(&name)?;
+                let machine = self.inventory.machines.get(&name)?;
                 self.movable(machine, now)
                     .then(|| (unit_price(machine), name))
             })
@@ -45,6 +45,7 @@
         let mut spare = self.spare_above_warm_pool(now);
         for (price, name) in worst.into_iter().rev().take(MOVES) {
             let size = self
+                .inventory
                 .machines
                 .get(&name)
                 .map_or(0, |machine| machine.kind.size.cpu);
@@ -52,7 +53,7 @@
                 continue;
             }
             spare -= size;
-            let Some(machine) = self.machines.get_mut(&name) else {
+            let Some(machine) = self.inventory.machines.get_mut(&name) else {
                 continue;
             };
             machine.cordoned = true;
@@ -70,7 +71,7 @@
             && !machine.allocations.is_empty()
             && machine.used.cpu * 10 <= machine.kind.size.cpu * 7
             && machine.allocations.iter().all(|(number, task)| {
-                self.jobs.get(number).is_some_and(|job| {
+                self.job_table.jobs.get(number).is_some_and(|job| {
                     let allocation = job.tasks[*task as usize].allocation.as_deref();
                     job.spec.kind == JobKind::Service
                         && job.spec.priority == Priority::Production
@@ -86,32 +87,32 @@
     /// Whether every replica of this machine has a place, with its image, on machines that are in
     /// use anyway and are better used or cheaper.
     fn fits_elsewhere(&mut self, name: &Arc<str>, price: u64) -> bool {
-        let Some(machine) = self.machines.get(name) else {
+        let Some(machine) = self.inventory.machines.get(name) else {
             return false;
         };
         let allocated: Vec<_> = machine.allocations.iter().copied().collect();
         let zone = machine.zone.clone();
         let mut taken: Vec<(Arc<str>, Resources)> = Vec::new();
         for (number, _) in allocated {
-            let Some(spec) = self.jobs.get(&number).map(|job| job.spec.clone()) else {
+            let Some(spec) = self.job_table.jobs.get(&number).map(|job| job.spec.clone()) else {
                 return false;
             };
             let mut found = None;
-            for g in 0..self.index.groups.len() {
-                let group = &mut self.index.groups[g];
+            for g in 0..self.inventory.index.groups.len() {
+                let group = &mut self.inventory.index.groups[g];
                 // In the same zone: what is spread stays spread.
                 if group.zone != zone
                     || !spec.need.fits(&group.kind.size)
                     || !spec.allows(&group.kind.name, &group.zone, group.spot)
-                    || self.contested_for(&spec, &self.index.groups[g].kind.size)
+                    || self.contested_for(&spec, &self.inventory.index.groups[g].kind.size)
                 {
                     continue;
                 }
-                let group = &mut self.index.groups[g];
+                let group = &mut self.inventory.index.groups[g];
                 let search = group.search(&spec.need, TARGETS);
                 self.steps += search.steps;
                 found = search.fits.into_iter().find(|n| {
-                    let Some(t) = self.machines.get(n).filter(|_| n != name) else {
+                    let Some(t) = self.inventory.machines.get(n).filter(|_| n != name) else {
                         return false;
                     };
                     let allocated = taken.iter().filter(|x| x.0 == *n);
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -70,8 +70,12 @@
         limit: usize,
         now: Micros,
     ) -> Vec<DelegationCandidate> {
-        let oldest = self.active_by_age.iter().take(LOOKS_FOR_CANDIDATES);
-        let jobs = oldest.filter_map(|(_, number)| self.jobs.get(number));
+        let oldest = self
+            .job_table
+            .active_by_age
+            .iter()
+            .take(LOOKS_FOR_CANDIDATES);
+        let jobs = oldest.filter_map(|(_, number)| self.job_table.jobs.get(number));
         let long_enough = |job: &&Job| now.since(job.waits_locally_since()) >= waited;
         jobs.filter(|job| job.may_be_delegated())
             .filter(long_enough)
@@ -96,25 +100,26 @@
     /// Takes a job out of the queue while its delegation is written. Returns the revision of its record;
     /// `None` if something of it is placed, on record or on its way there.
     pub fn reserve_for_delegation(&mut self, id: &str) -> Option<u64> {
-        let number = *self.job_numbers.get(id)?;
-        let job = self.jobs.get(&number)?;
-        let written =
-            |task: u32| self.unsaved.contains(number, task) || self.is_in_flight(number, task);
+        let number = *self.job_table.by_id.get(id)?;
+        let job = self.job_table.jobs.get(&number)?;
+        let written = |task: u32| {
+            self.persistence.unsaved_tasks.contains(number, task) || self.is_in_flight(number, task)
+        };
         if !job.may_be_delegated() || (0..job.spec.tasks).any(written) {
             return None;
         }
         self.dequeue(number);
-        let job = self.jobs.get_mut(&number)?;
+        let job = self.job_table.jobs.get_mut(&number)?;
         job.owner = JobOwner::Reserved;
         Some(job.rev)
     }
 
     /// The delegation was not written: the job goes back to the queue.
     pub fn release_reservation(&mut self, id: &str, now: Micros) {
-        let Some(&number) = self.job_numbers.get(id) else {
+        let Some(&number) = self.job_table.by_id.get(id) else {
             return;
         };
-        let Some(job) = self.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return;
         };
         if job.owner == JobOwner::Reserved {
@@ -128,9 +133,10 @@
     /// has room, and there are machines for all of it or the cloud is not known to refuse them.
     pub fn could_start_locally(&mut self, id: &str, now: Micros) -> bool {
         let job = self
-            .job_numbers
+            .job_table
+            .by_id
             .get(id)
-            .and_then(|number| self.jobs.get(number));
+            .and_then(|number| self.job_table.jobs.get(number));
         let Some((spec, team)) = job.map(|job| (job.spec.clone(), job.team)) else {
             return false;
         };
@@ -146,15 +152,15 @@
 
     /// Whether a job of this cell's own waits for longer than a moment.
     fn queue_is_long(&self, now: Micros) -> bool {
-        let open = self.unplaced_jobs.iter().take(LOOKS_FOR_CANDIDATES);
-        let mut jobs = open.filter_map(|number| self.jobs.get(number));
+        let open = self.job_table.unplaced.iter().take(LOOKS_FOR_CANDIDATES);
+        let mut jobs = open.filter_map(|number| self.job_table.jobs.get(number));
         let waits = |job: &Job| now.since(job.waits_locally_since()) > QUEUE_IS_SHORT;
         jobs.any(|job| job.active() && job.guest.is_none() && !job.at_fault() && waits(job))
     }
 
     fn has_free_room(&mut self, spec: &JobSpec) -> bool {
         let mut room = 0;
-        for group in &mut self.index.groups {
+        for group in &mut self.inventory.index.groups {
             if !spec.allows(&group.kind.name, &group.zone, group.spot) {
                 continue;
             }
@@ -163,7 +169,7 @@
             let machines = search
                 .fits
                 .iter()
-                .filter_map(|name| self.machines.get(name));
+                .filter_map(|name| self.inventory.machines.get(name));
             let tasks = machines.map(|machine| spec.need.count_in(&machine.free()));
             room += tasks.sum::<u64>();
         }
@@ -173,7 +179,7 @@
     fn cloud_may_have_room(&self, spec: &JobSpec, now: Micros) -> bool {
         let refused = |name: &str, zone: &str, spot: bool| {
             let key = (name.to_owned(), zone.to_owned(), spot);
-            let refusal = self.refusals.get(&key);
+            let refusal = self.autoscaler.refusals.get(&key);
             refusal.is_some_and(|refusal| refusal.until > now)
         };
         let mut types = self.catalog.types.iter();
@@ -189,7 +195,7 @@
 
     /// A job's record changed: it may have gone to another cell, or come back.
     pub(super) fn job_owner_changed(&mut self, number: JobNumber, record: &JobRecord, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return;
         };
         if record.state != JobState::Active {
@@ -214,7 +220,7 @@
         now: Micros,
     ) {
         let elsewhere = |job: &&Job| job.owner == JobOwner::Elsewhere;
-        let Some(job) = self.jobs.get(&number).filter(elsewhere) else {
+        let Some(job) = self.job_table.jobs.get(&number).filter(elsewhere) else {
             return;
         };
         let record = records.jobs.get(&*job.id).map(|entry| &entry.record);
@@ -229,7 +235,12 @@
         let Some(guest) = &job.guest else {
             return true;
         };
-        let own = |number: &JobNumber| self.jobs.get(number).is_some_and(|job| job.guest.is_none());
+        let own = |number: &JobNumber| {
+            self.job_table
+                .jobs
+                .get(number)
+                .is_some_and(|job| job.guest.is_none())
+        };
         guest.may_rent || machine.allocations.iter().any(|(number, _)| own(number))
     }
 }
--- a/crates/saltpitch-core/src/scheduler/dependency_gate.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -16,23 +16,24 @@
 impl Scheduler {
     /// The job is in the queue from now on, or again after a change of leader.
     pub(super) fn enqueue(&mut self, number: JobNumber, now: Micros) {
-        let Some(job) = self.jobs.get(&number).filter(|job| job.active()) else {
+        let Some(job) = self.job_table.jobs.get(&number).filter(|job| job.active()) else {
             return;
         };
         let (spec, queued) = (job.spec.clone(), job.queued);
         let idle = !job.idle.is_empty();
         if spec.need.gpu > 0 {
-            self.accelerator_demands.insert(spec.need);
-            self.accelerators_requested_at = self.accelerators_requested_at.max(queued);
+            self.autoscaler.accelerator_demands.insert(spec.need);
+            self.autoscaler.accelerators_requested_at =
+                self.autoscaler.accelerators_requested_at.max(queued);
         }
         if now.since(queued) < FADE {
             self.note_demand(&spec, now);
         }
-        self.active_by_age.insert((queued, number));
+        self.job_table.active_by_age.insert((queued, number));
         if idle {
-            self.unplaced_jobs.insert(number);
+            self.job_table.unplaced.insert(number);
         }
-        self.pass_requested = true;
+        self.placement_pass.requested = true;
     }
 
     /// Which of the jobs that this one needs are not done on record. Done is final, so that much may be
@@ -57,7 +58,11 @@
                 None => {
                     let need: Arc<str> = need.as_str().into();
                     job.unmet_dependencies.insert(need.clone());
-                    self.dependents.entry(need).or_default().push(number);
+                    self.job_table
+                        .dependents
+                        .entry(need)
+                        .or_default()
+                        .push(number);
                 }
             }
         }
@@ -65,8 +70,8 @@
 
     /// This job is done on record since `at`: those that waited for it alone are released.
     pub(super) fn dependency_completed(&mut self, id: &str, at: Micros, now: Micros) {
-        for number in self.dependents.remove(id).unwrap_or_default() {
-            let Some(job) = self.jobs.get_mut(&number) else {
+        for number in self.job_table.dependents.remove(id).unwrap_or_default() {
+            let Some(job) = self.job_table.jobs.get_mut(&number) else {
                 continue;
             };
             if job.unmet_dependencies.remove(id) {
@@ -81,8 +86,8 @@
     /// This job is cancelled: so is whatever needs it, directly or through others. None of them has
     /// started.
     pub(super) fn dependency_cancelled(&mut self, id: &str, now: Micros) {
-        for number in self.dependents.remove(id).unwrap_or_default() {
-            let Some(job) = self.jobs.get_mut(&number) else {
+        for number in self.job_table.dependents.remove(id).unwrap_or_default() {
+            let Some(job) = self.job_table.jobs.get_mut(&number) else {
                 continue;
             };
             if job.state == JobState::Active {
@@ -99,6 +104,7 @@
         let mut next = BTreeSet::from([number]);
         while let Some(number) = next.pop_last() {
             let Some(job) = self
+                .job_table
                 .jobs
                 .get(&number)
                 .filter(|job| job.state == JobState::Active)
@@ -110,10 +116,10 @@
             let due = own.into_iter().chain(job.due).min().map(|d| d.since(run));
             let priority = job.priority;
             let dependencies: Vec<JobNumber> = (job.unmet_dependencies.iter())
-                .filter_map(|id| self.job_numbers.get(id).copied())
+                .filter_map(|id| self.job_table.by_id.get(id).copied())
                 .collect();
             for need in dependencies {
-                let Some(job) = self.jobs.get_mut(&need) else {
+                let Some(job) = self.job_table.jobs.get_mut(&need) else {
                     continue;
                 };
                 let sooner = due.filter(|d| job.due.is_none_or(|old| *d < old));
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -24,7 +24,12 @@
         since: Micros,
         now: Micros,
     ) -> bool {
-        let Some(job) = self.jobs.get(&number).filter(|job| self.is_aged(job, now)) else {
+        let Some(job) = self
+            .job_table
+            .jobs
+            .get(&number)
+            .filter(|job| self.is_aged(job, now))
+        else {
             return false;
         };
         let blocked = |other: &Job| {
@@ -34,13 +39,14 @@
                 && !other.at_fault()
                 && self.is_blocked(other, now)
         };
-        now.since(since) < MAX_HOLD || !self.jobs.values().any(blocked)
+        now.since(since) < MAX_HOLD || !self.job_table.jobs.values().any(blocked)
     }
 
     /// What its team has left is kept for a gang that has waited too long: nothing behind that one
     /// takes of the same kind until it has started.
     pub(super) fn is_quota_reserved(&self, job: &Job) -> bool {
-        self.reserved_quota
+        self.placement_pass
+            .reserved_quota
             .iter()
             .any(|(team, only_gpu)| *team == job.team && (!only_gpu || job.spec.need.gpu > 0))
     }
@@ -48,13 +54,13 @@
     /// Takes back the room of all gangs at the barrier, so that this pass deals it out anew, oldest
     /// first: two gangs must not each hold what the other lacks.
     pub(super) fn release_barriers(&mut self, now: Micros) {
-        let holding: Vec<(JobNumber, Micros)> = (self.gangs_at_barrier.iter())
-            .filter_map(|number| match self.jobs.get(number)?.gang {
+        let holding: Vec<(JobNumber, Micros)> = (self.job_table.gangs_at_barrier.iter())
+            .filter_map(|number| match self.job_table.jobs.get(number)?.gang {
                 Gang::Holding { since } => Some((*number, since)),
                 _ => None,
             })
             .collect();
-        self.gangs_at_barrier.clear();
+        self.job_table.gangs_at_barrier.clear();
         for (number, since) in holding {
             self.park(number, now);
             self.wait_at_barrier(number, since);
@@ -63,15 +69,15 @@
 
     /// The gang's members found so far hold their room.
     pub(super) fn wait_at_barrier(&mut self, number: JobNumber, since: Micros) {
-        if let Some(job) = self.jobs.get_mut(&number) {
+        if let Some(job) = self.job_table.jobs.get_mut(&number) {
             job.gang = Gang::Holding { since };
-            self.gangs_at_barrier.insert(number);
+            self.job_table.gangs_at_barrier.insert(number);
         }
     }
 
     /// One pass over a gang: gate, assumption, barrier.
     pub(super) fn schedule_gang(&mut self, w: QueuedJob, now: Micros) {
-        let Some(job) = self.jobs.get(&w.number) else {
+        let Some(job) = self.job_table.jobs.get(&w.number) else {
             return;
         };
         let n = job.spec.tasks;
@@ -91,7 +97,9 @@
                 // Of processors, everybody's tasks take; of accelerators, only some.
                 let cpu = Resources { gpu: 0, ..need };
                 let only_gpu = self.quota.more(job.team, &cpu) >= idle;
-                self.reserved_quota.push((job.team, only_gpu));
+                self.placement_pass
+                    .reserved_quota
+                    .push((job.team, only_gpu));
             }
             return self.park(w.number, now);
         }
@@ -107,20 +115,27 @@
         if !one_zone || zone.is_some() {
             self.assume_members(w.number, zone.as_deref(), now);
         }
-        let Some(spec) = self.jobs.get(&w.number).map(|job| job.spec.clone()) else {
+        let Some(spec) = self
+            .job_table
+            .jobs
+            .get(&w.number)
+            .map(|job| job.spec.clone())
+        else {
             return;
         };
         let wait = self.gang_hold(&spec);
-        let Some(job) = self.jobs.get_mut(&w.number) else {
+        let Some(job) = self.job_table.jobs.get_mut(&w.number) else {
             return;
         };
         match permit(job.placed, n, since, now, wait) {
             Permit::Allow => {
                 job.gang = Gang::Committing;
                 job.served_at = now;
-                self.gangs_at_barrier.remove(&w.number);
+                self.job_table.gangs_at_barrier.remove(&w.number);
                 for task in 0..n {
-                    self.unsaved.placement(w.number, task, &spec, now);
+                    self.persistence
+                        .unsaved_tasks
+                        .placement(w.number, task, &spec, now);
                 }
             }
             Permit::Wait => {
@@ -136,7 +151,7 @@
             }
             Permit::Drop => {
                 self.park(w.number, now);
-                if let Some(job) = self.jobs.get_mut(&w.number) {
+                if let Some(job) = self.job_table.jobs.get_mut(&w.number) {
                     job.gang = Gang::Parked {
                         until: now.plus(Micros::from_secs(1)),
                     };
@@ -150,6 +165,7 @@
     /// jobs wait beside free room, for as long as the services run.
     pub(super) fn can_become_free(&self, job: &Job) -> bool {
         let services = self
+            .job_table
             .jobs
             .values()
             .filter(|other| other.team == job.team && other.spec.kind == JobKind::Service);
@@ -162,7 +178,7 @@
 
     /// Drops the room of a gang that is not complete: nothing of it has gone on record.
     pub(super) fn park(&mut self, number: JobNumber, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return;
         };
         job.gang = Gang::Parked { until: now };
@@ -176,7 +192,7 @@
 
     /// Assumes the gang's idle members, one by one, on the present snapshot.
     pub(super) fn assume_members(&mut self, number: JobNumber, zone: Option<&str>, now: Micros) {
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return;
         };
         let need = job.spec.need;
@@ -187,9 +203,10 @@
         };
         let want = job.idle.len() as u64;
         for name in self.candidates(number, zone, want, now) {
-            while let (Some(job), Some(machine)) =
-                (self.jobs.get(&number), self.machines.get(&name))
-            {
+            while let (Some(job), Some(machine)) = (
+                self.job_table.jobs.get(&number),
+                self.inventory.machines.get(&name),
+            ) {
                 let Some(&task) = job.idle.first() else {
                     return;
                 };
@@ -204,11 +221,11 @@
 
     /// The zone that holds most members of a gang now.
     pub(super) fn best_zone(&mut self, number: JobNumber, now: Micros) -> Option<Arc<str>> {
-        let job = self.jobs.get(&number)?;
+        let job = self.job_table.jobs.get(&number)?;
         let (need, all) = (job.spec.need, u64::from(job.spec.tasks));
         let mut rooms: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         for name in self.candidates(number, None, all, now) {
-            if let Some(machine) = self.machines.get(&name) {
+            if let Some(machine) = self.inventory.machines.get(&name) {
                 *rooms.entry(machine.zone.clone()).or_default() += need.count_in(&machine.free());
             }
         }
--- a/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
+++ b/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
@@ -11,7 +11,7 @@
 impl Scheduler {
     /// The machine is to be taken away: whatever can be saved is saved.
     pub(super) fn evict_gracefully(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(machine) = self.machines.get(name) else {
+        let Some(machine) = self.inventory.machines.get(name) else {
             return;
         };
         let left = machine.spot_notice.map_or(Micros::ZERO, |n| n.since(now));
@@ -19,12 +19,12 @@
     }
 
     pub(super) fn evict_within(&mut self, name: &Arc<str>, left: Micros, now: Micros) {
-        let Some(machine) = self.machines.get(name) else {
+        let Some(machine) = self.inventory.machines.get(name) else {
             return;
         };
         let allocated: Vec<(JobNumber, u32)> = machine.allocations.iter().copied().collect();
         for (number, task) in allocated {
-            let Some(job) = self.jobs.get(&number) else {
+            let Some(job) = self.job_table.jobs.get(&number) else {
                 continue;
             };
             let spec = job.spec.clone();
@@ -56,11 +56,11 @@
 
     /// Stops a whole gang, all members told at once.
     pub(super) fn stop_whole_gang(&mut self, number: JobNumber, grace: Micros, now: Micros) {
-        if let Some(job) = self.jobs.get_mut(&number) {
+        if let Some(job) = self.job_table.jobs.get_mut(&number) {
             job.gang = Gang::Stopping;
         }
         self.stop_all(number, grace, now);
-        if let Some(job) = self.jobs.get_mut(&number) {
+        if let Some(job) = self.job_table.jobs.get_mut(&number) {
             if job.placed == 0 {
                 job.gang = Gang::Parked { until: now };
             }
--- a/crates/saltpitch-core/src/scheduler/job_failures.rs
+++ b/crates/saltpitch-core/src/scheduler/job_failures.rs
@@ -184,7 +184,7 @@
 impl Scheduler {
     /// A task failed on its machine. The wait before the task is tried again.
     pub(super) fn task_failed(&mut self, number: JobNumber, task: u32, now: Micros) -> Micros {
-        let Some(job) = self.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return Micros::ZERO;
         };
         let Some(allocation) = job.tasks[task as usize].allocation.as_deref() else {
@@ -209,7 +209,7 @@
             job.not_before = now.plus(backoff(job.failures.rounds));
         }
         if job.at_fault() && !was_at_fault {
-            self.failing_jobs.push(job.id.clone());
+            self.job_table.newly_failing.push(job.id.clone());
         }
         let failures = job.failures.tasks.get(&task).map_or(0, |t| t.count);
         let wait = match job.spec.kind {
@@ -234,7 +234,7 @@
 
     /// A job's failure counts for or no longer counts against a machine.
     fn set_failed_job(&mut self, number: JobNumber, machine: &Arc<str>, counts: bool) {
-        let Some(m) = self.machines.get_mut(machine) else {
+        let Some(m) = self.inventory.machines.get_mut(machine) else {
             return;
         };
         let was_at_fault = m.failed_jobs.len() >= JOBS_AGAINST_MACHINE;
@@ -252,7 +252,7 @@
 
     /// A machine refused a task of this job: it goes elsewhere for the moment.
     pub(super) fn task_refused(&mut self, number: JobNumber, machine: &Arc<str>, now: Micros) {
-        if let Some(job) = self.jobs.get_mut(&number) {
+        if let Some(job) = self.job_table.jobs.get_mut(&number) {
             let until = now.plus(Micros::from_secs(10));
             job.failures.avoid(machine, until, now);
             job.not_before = job.not_before.max(now.plus(Micros::from_secs(1)));
@@ -261,7 +261,7 @@
 
     /// Takes a task that failed out of the job's idle tasks for this long.
     pub(super) fn defer_task(&mut self, number: JobNumber, task: u32, wait: Micros, now: Micros) {
-        let Some(job) = self.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return;
         };
         if !job.idle.remove(&task) {
@@ -269,20 +269,22 @@
         }
         job.deferred.insert(task);
         if job.idle.is_empty() {
-            self.unplaced_jobs.remove(&number);
+            self.job_table.unplaced.remove(&number);
         }
-        self.retries.insert((now.plus(wait), number, task));
+        self.job_table
+            .retries
+            .insert((now.plus(wait), number, task));
     }
 
     /// Makes the tasks idle whose wait after a failure is over.
     pub(super) fn retry_deferred(&mut self, now: Micros) {
-        while let Some(&(due, number, task)) = self.retries.first() {
+        while let Some(&(due, number, task)) = self.job_table.retries.first() {
             if due > now {
                 return;
             }
-            self.retries.pop_first();
+            self.job_table.retries.pop_first();
             self.steps += 1;
-            let Some(job) = self.jobs.get_mut(&number) else {
+            let Some(job) = self.job_table.jobs.get_mut(&number) else {
                 continue;
             };
             let waits = job.deferred.remove(&task);
@@ -292,14 +294,14 @@
             }
             job.idle.insert(task);
             if job.active() {
-                self.unplaced_jobs.insert(number);
-                self.pass_requested = true;
+                self.job_table.unplaced.insert(number);
+                self.placement_pass.requested = true;
             }
         }
     }
 
     /// Jobs that were found to be at fault since this was asked last, for the log.
     pub fn take_failing_jobs(&mut self) -> Vec<Arc<str>> {
-        std::mem::take(&mut self.failing_jobs)
+        std::mem::take(&mut self.job_table.newly_failing)
     }
 }
--- a/crates/saltpitch-core/src/scheduler/jobs.rs
+++ b/crates/saltpitch-core/src/scheduler/jobs.rs
@@ -40,31 +40,37 @@
     /// Where the job's time went, if it runs or has ended a short while ago.
     pub fn timeline(&self, id: &str) -> Option<JobTimeline> {
         let running = self
-            .job_numbers
+            .job_table
+            .by_id
             .get(id)
-            .and_then(|number| self.jobs.get(number));
+            .and_then(|number| self.job_table.jobs.get(number));
         if let Some(job) = running {
             return Some(JobTimeline::of(job));
         }
-        let ended = self.ended_jobs.iter().find(|(ended, _)| **ended == *id);
+        let ended = self
+            .job_table
+            .ended
+            .iter()
+            .find(|(ended, _)| **ended == *id);
         ended.map(|(_, timeline)| *timeline)
     }
 
     /// Its final record is written, which this node's copy of the records has yet to show.
     pub(super) fn remember_timeline(&mut self, job: &Job) {
-        if self.ended_jobs.len() >= MAX_ENDED {
-            self.ended_jobs.pop_front();
+        if self.job_table.ended.len() >= MAX_ENDED {
+            self.job_table.ended.pop_front();
         }
-        self.ended_jobs
+        self.job_table
+            .ended
             .push_back((job.id.clone(), JobTimeline::of(job)));
     }
 
     /// Another node's word: this job is cancelled, although the records that this node has don't show
     /// it. What runs is stopped and nothing more is placed; the record catches up later.
     pub fn cancelled_by_peer(&mut self, id: &str, now: Micros) {
-        match self.job_numbers.get(id) {
+        match self.job_table.by_id.get(id) {
             Some(&number) => {
-                let Some(job) = self.jobs.get_mut(&number) else {
+                let Some(job) = self.job_table.jobs.get_mut(&number) else {
                     return;
                 };
                 if job.state == JobState::Active {
@@ -74,7 +80,7 @@
             }
             // Accepted and cancelled since this node read the records last.
             None => {
-                self.cancelled_by_peer.insert(id.to_owned());
+                self.job_table.cancelled_by_peer.insert(id.to_owned());
             }
         }
     }
@@ -92,8 +98,8 @@
             JobState::Cancelled => self.dependency_cancelled(id, now),
             JobState::Active => {}
         }
-        if let Some(&number) = self.job_numbers.get(id) {
-            let Some(job) = self.jobs.get_mut(&number) else {
+        if let Some(&number) = self.job_table.by_id.get(id) {
+            let Some(job) = self.job_table.jobs.get_mut(&number) else {
                 return;
             };
             if entry.rev <= job.rev {
@@ -115,18 +121,18 @@
         if entry.record.state == JobState::Done {
             return;
         }
-        let off =
-            self.cancelled_by_peer.remove(id) || records.state(id) == Some(JobState::Cancelled);
+        let off = self.job_table.cancelled_by_peer.remove(id)
+            || records.state(id) == Some(JobState::Cancelled);
         let state = if off {
             JobState::Cancelled
         } else {
             entry.record.state
         };
         let n = spec.tasks as usize;
-        let number = self.next_job_number;
-        self.next_job_number += 1;
+        let number = self.job_table.next_number;
+        self.job_table.next_number += 1;
         let class = self.class(&spec.class);
-        let c = &mut self.classes[class];
+        let c = &mut self.job_table.classes[class];
         let weight = if c.mean_tasks > 0.0 { 0.03 } else { 1.0 };
         c.mean_tasks += (f64::from(spec.tasks) - c.mean_tasks) * weight;
         let mut job = Job {
@@ -193,14 +199,20 @@
             self.resolve_dependencies(&mut job, number, records, now, wall);
         }
         let released = job.unmet_dependencies.is_empty();
-        self.job_numbers.insert(job.id.clone(), number);
-        self.jobs.insert(number, job);
+        self.job_table.by_id.insert(job.id.clone(), number);
+        self.job_table.jobs.insert(number, job);
         if released {
             self.enqueue(number, now);
         }
         self.inherit_urgency(number);
         // Those that need it may have been read before it.
-        for d in self.dependents.get(id).cloned().unwrap_or_default() {
+        for d in self
+            .job_table
+            .dependents
+            .get(id)
+            .cloned()
+            .unwrap_or_default()
+        {
             self.inherit_urgency(d);
         }
         let mut lost = false;
@@ -208,21 +220,22 @@
             // A machine's record is written before anything is placed on it and deleted only once
             // the machine is proven gone: no record, no task.
             match self
+                .inventory
                 .machines
                 .get(machine.as_str())
                 .map(|machine| machine.name.clone())
             {
                 Some(name) if (task as usize) < n => {
-                    let attempt = self.jobs[&number].tasks[task as usize].attempt;
+                    let attempt = self.job_table.jobs[&number].tasks[task as usize].attempt;
                     self.allocate(number, task, name, agent_epoch, attempt, true, now);
                 }
                 _ => {
                     lost = true;
-                    self.unsaved.outcome(number, task, now);
+                    self.persistence.unsaved_tasks.outcome(number, task, now);
                 }
             }
         }
-        let Some(job) = self.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return;
         };
         if job.spec.kind == JobKind::Gang && job.placed > 0 {
@@ -235,12 +248,12 @@
                 self.stop_all(number, Micros::ZERO, now);
             }
         }
-        if self.jobs[&number].state == JobState::Cancelled {
+        if self.job_table.jobs[&number].state == JobState::Cancelled {
             self.cancel(number, now);
         } else {
             self.check_complete(number);
         }
-        self.pass_requested = true;
+        self.placement_pass.requested = true;
     }
 
     /// The job was cancelled: whatever was never sent is dropped, the rest is stopped.
@@ -248,8 +261,8 @@
         self.dequeue(number);
         self.stop_all(number, Micros::ZERO, now);
         self.check_complete(number);
-        self.pass_requested = true;
-        if let Some(id) = self.jobs.get(&number).map(|job| job.id.clone()) {
+        self.placement_pass.requested = true;
+        if let Some(id) = self.job_table.jobs.get(&number).map(|job| job.id.clone()) {
             self.dependency_cancelled(&id, now);
         }
     }
@@ -258,36 +271,36 @@
     pub(super) fn note_demand(&mut self, spec: &JobSpec, now: Micros) {
         if spec.priority == Priority::Production {
             let more = spec.need.cpu as f64 * f64::from(spec.tasks);
-            self.production_demand = (self.faded_demand(now) + more, now);
+            self.autoscaler.production_demand = (self.faded_demand(now) + more, now);
         }
     }
 
     pub(super) fn faded_demand(&self, now: Micros) -> f64 {
-        let (level, at) = self.production_demand;
+        let (level, at) = self.autoscaler.production_demand;
         level * (-now.since(at).as_secs_f64() / FADE.as_secs_f64()).exp()
     }
 
     /// Nothing more of this job is to be placed.
     pub(super) fn dequeue(&mut self, number: JobNumber) {
-        self.unplaced_jobs.remove(&number);
-        if let Some(job) = self.jobs.get_mut(&number) {
+        self.job_table.unplaced.remove(&number);
+        if let Some(job) = self.job_table.jobs.get_mut(&number) {
             job.rank = u8::MAX;
-            self.active_by_age.remove(&(job.queued, number));
+            self.job_table.active_by_age.remove(&(job.queued, number));
         }
     }
 
     /// The class's number in the leader's table.
     pub(super) fn class(&mut self, name: &str) -> usize {
-        if let Some(at) = self.classes.iter().position(|c| c.name == name) {
+        if let Some(at) = self.job_table.classes.iter().position(|c| c.name == name) {
             return at;
         }
         let objectives = self.config.objectives.iter().filter(|o| o.class == name);
-        self.classes.push(Class {
+        self.job_table.classes.push(Class {
             name: name.to_owned(),
             objectives: objectives.map(|objective| objective.target).collect(),
             ratio: 1.0,
             mean_tasks: 0.0,
         });
-        self.classes.len() - 1
+        self.job_table.classes.len() - 1
     }
 }
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -4,50 +4,53 @@
 mod accelerator_sharing;
 mod agent_health;
 mod agent_reconciliation;
-mod alerts;
 mod allocations;
-mod capacity_plan;
-mod capacity_pools;
+mod autoscaler;
 mod cloud_listing;
 mod commands;
-mod commit;
 mod consolidation;
 mod delegation;
 mod dependency_gate;
+mod dispatch;
 mod gang_barrier;
 mod graceful_eviction;
 mod interface;
+mod inventory;
 mod job_failures;
 mod job_state;
+mod job_table;
 mod jobs;
-mod machine_blocks;
-mod placement_log;
+mod leader_clock;
+mod leader_term;
+mod persistence;
 mod placement_pass;
 mod policy_bindings;
 mod preemption;
-mod provisioning_times;
 mod queue_order;
 mod recovery;
-mod scale_out;
 mod summary;
-mod transaction;
 mod unreachable_machines;
-mod unsaved_tasks;
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use crate::catalog::{Catalog, Resources};
-use crate::cluster::{JobNumber, Machine, MachinePhase};
+use crate::cluster::{Machine, MachinePhase};
 use crate::job::JobSpec;
-use crate::machine_index::MachineIndex;
 use crate::quota::Quota;
-use crate::records::ReturnedMachines;
 use crate::time::Micros;
-use crate::token_bucket::TokenBucket;
+
+use autoscaler::Autoscaler;
+use dispatch::Dispatch;
+use inventory::MachineInventory;
+use job_table::JobTable;
+use leader_clock::LeaderClock;
+use leader_term::LeaderTerm;
+use persistence::Persistence;
+use placement_pass::PlacementPass;
 
 pub use agent_reconciliation::HeartbeatRejection;
-pub use alerts::Alert;
+pub use autoscaler::scale_out::{Refusal, ScaleOutOutcome};
 pub use cloud_listing::ListedMachine;
 pub use commands::CommandOutcome;
 pub use delegation::DelegationCandidate;
@@ -55,14 +58,11 @@
     Effect, Objective, ObjectiveTarget, Precondition, SchedulerConfig, Transaction, Write,
 };
 pub use jobs::JobTimeline;
-pub use scale_out::{Refusal, ScaleOutOutcome};
-pub use transaction::TransactionOutcome;
+pub use persistence::alerts::Alert;
+pub use persistence::transaction::TransactionOutcome;
 
 pub(crate) use job_state::{Allocation, Job, ObservedState, StopRequest, Task};
 
-/// A leader whose loops did not run for this long stood still, and so did its reading of heartbeats.
-const STOOD_STILL: Micros = Micros::from_secs(2);
-
 /// The shortest time between two passes over the jobs that wait.
 const SCHEDULE_INTERVAL: Micros = Micros::from_millis(100);
 
@@ -91,230 +91,159 @@
     mean_tasks: f64,
 }
 
+/// The scheduler: owned by the controller while it leads. It holds the components and passes events,
+/// answers and effects between them.
 pub struct Scheduler {
     config: SchedulerConfig,
-    /// Sent with every order.
-    pub term: u64,
-    term_rev: u64,
-    /// The term in which leadership was taken: an agent that has seen it, or a later one of ours,
-    /// drops whatever the leader before us says.
-    first_term: u64,
-    /// From then on the leader before us answers nobody.
-    previous_leader_fenced_at: Micros,
     catalog: Arc<Catalog>,
+    leader_term: LeaderTerm,
+    clock: LeaderClock,
     quota: Quota,
-    jobs: BTreeMap<JobNumber, Job>,
-    job_numbers: HashMap<Arc<str>, JobNumber>,
-    /// Cancelled by another node's word, and not yet so in the records that this node has.
-    cancelled_by_peer: HashSet<String>,
-    /// Jobs that wait for others, by those that they need.
-    dependents: HashMap<Arc<str>, Vec<JobNumber>>,
-    next_job_number: JobNumber,
-    machines: BTreeMap<Arc<str>, Machine>,
-    index: MachineIndex,
-    classes: Vec<Class>,
-    /// Active jobs, the oldest first, and those with tasks neither done nor placed.
-    active_by_age: BTreeSet<(Micros, JobNumber)>,
-    unplaced_jobs: BTreeSet<JobNumber>,
-    /// Tasks that failed, by when they are to be tried again.
-    retries: BTreeSet<(Micros, JobNumber, u32)>,
-    /// Jobs found to be at fault that the log has not been told of.
-    failing_jobs: Vec<Arc<str>>,
-    /// Gangs at the barrier.
-    gangs_at_barrier: BTreeSet<JobNumber>,
-    /// Machines that hold nothing, and those that are not yet heard or not yet ours.
-    idle_machines: BTreeSet<Arc<str>>,
-    provisioning: BTreeSet<Arc<str>>,
-    /// When to look after each machine.
-    health_checks: BTreeSet<(Micros, Arc<str>)>,
-    /// Machines with stops or starts that have not shown any effect yet.
-    awaiting_effect: BTreeSet<Arc<str>>,
-    // Records that differ from memory.
-    unsaved: unsaved_tasks::UnsavedTasks,
-    finished_jobs: BTreeSet<JobNumber>,
-    machine_blocks: machine_blocks::MachineBlocks,
-    /// The store has turned down a value for its size: the next limits are in force.
-    reduced_limits: bool,
-    /// When the store refused changes for their number.
-    rate_limit_refusals: VecDeque<Micros>,
-    returned_machines: ReturnedMachines,
-    placement_log: placement_log::PlacementLog,
-    obsolete_keys: VecDeque<String>,
-    transaction_in_flight: Option<transaction::TransactionContents>,
-    outcome_unknown: bool,
-    reload_in_flight: bool,
-    next_transaction_at: Micros,
-    write_budget: TokenBucket,
-    // Things to do at the next poll.
-    pending_dispatch: BTreeSet<Arc<str>>,
-    /// Machines that are to be called again, and when.
-    delayed_dispatch: BTreeSet<(Micros, Arc<str>)>,
-    /// Direct calls under way.
-    commands_in_flight: usize,
-    probes_in_flight: usize,
-    /// When a machine was last heard.
-    last_heard: Micros,
-    /// When a machine last sent a heartbeat.
-    last_report: Micros,
-    pass_requested: bool,
-    /// Teams of which, in this pass, the rest of the limit is kept for a starved gang: of the
-    /// accelerators alone, or of everything.
-    reserved_quota: Vec<(usize, bool)>,
-    /// When a job was last found waiting.
-    last_waiting_at: Micros,
-    /// Processors that production asked for lately, fading with time, and as of when.
-    production_demand: (f64, Micros),
-    /// Searches for room to be made that are left in this pass.
-    preemption_searches_left: u32,
-    next_pass: Micros,
+    job_table: JobTable,
+    inventory: MachineInventory,
+    dispatch: Dispatch,
+    persistence: Persistence,
+    autoscaler: Autoscaler,
+    placement_pass: PlacementPass,
     next_tick: Micros,
     next_plan: Micros,
     effects: Vec<Effect>,
-    term_raise_in_flight: bool,
-    // Renting.
-    scale_out_requests: Vec<scale_out::ScaleOutRequest>,
-    scale_out_budget: TokenBucket,
-    /// How often each type, zone and kind was asked for in this rush, and when last.
-    recent_scale_outs: HashMap<(String, String, bool), (u32, Micros)>,
-    next_request: u64,
-    provisioning_times: provisioning_times::ProvisioningTimes,
-    unreachable: unreachable_machines::UnreachableMachines,
-    refusals: HashMap<(String, String, bool), Refusal>,
-    /// How soon batch work is to be under way, by the policy.
-    batch_completion_target: Micros,
-    /// What tasks with accelerators need.
-    accelerator_demands: HashSet<Resources>,
-    /// When such work was last submitted.
-    accelerators_requested_at: Micros,
-    /// Batch work that is placed, in processor-seconds of its estimates.
-    batch_placed: f64,
     /// Machines and jobs looked at: what a pass costs, for tests.
     steps: u64,
-    placement_log_alerts: alerts::PlacementLogAlerts,
-    /// Where the time went of jobs that ended last.
-    ended_jobs: VecDeque<(Arc<str>, JobTimeline)>,
-    /// Zones in which a controller can be reached from here: a silent machine there is no sign of
-    /// a cut.
-    pub reachable_zones: BTreeSet<String>,
-    /// Time of day less steady time, as of taking leadership: for ages in records.
-    wall_offset: Micros,
-    /// When leadership was taken, or this process went on after it had stood still: silence is counted
-    /// from then, since what was said meanwhile has not been read yet.
-    resumed_at: Micros,
-    polled_at: Micros,
-    elected_at: Micros,
 }
 
 impl Scheduler {
-    pub fn term_rev(&self) -> u64 {
-        self.term_rev
+    /// The term, which is the fencing token of every command.
+    pub fn term(&self) -> u64 {
+        self.leader_term.term
+    }
+
+    /// The revision of the term's record, the precondition of every write.
+    pub fn term_revision(&self) -> u64 {
+        self.leader_term.revision
+    }
+
+    /// Zones in which a controller can be reached from here.
+    pub fn reachable_zones(&self) -> &BTreeSet<String> {
+        &self.inventory.reachable_zones
+    }
+
+    /// Sets the zones in which a controller can be reached from here.
+    pub fn set_reachable_zones(&mut self, zones: BTreeSet<String>) {
+        self.inventory.reachable_zones = zones;
     }
 
     /// Prices or types changed.
     pub fn set_catalog(&mut self, catalog: Arc<Catalog>) {
         self.catalog = catalog;
-        self.pass_requested = true;
+        self.placement_pass.requested = true;
     }
 
     /// The term was raised without a change of leader.
     pub fn term_raised(&mut self, term: u64, rev: u64) {
-        self.term_raise_in_flight = false;
-        if term <= self.term {
+        self.leader_term.raise_in_flight = false;
+        if term <= self.leader_term.term {
             return;
         }
-        self.term = term;
-        self.term_rev = rev;
+        self.leader_term.term = term;
+        self.leader_term.revision = rev;
         // The others hear of it by the answers to their heartbeats.
-        let doubtful = self.awaiting_effect.iter().filter(|n| {
-            let machine = self.machines.get(*n);
+        let doubtful = self.dispatch.awaiting_effect.iter().filter(|n| {
+            let machine = self.inventory.machines.get(*n);
             machine.is_some_and(|machine| machine.unacknowledged_start.is_some())
         });
         let doubtful: Vec<Arc<str>> = doubtful.cloned().collect();
-        self.pending_dispatch.extend(doubtful);
+        self.dispatch.pending.extend(doubtful);
     }
 
     pub fn term_raise_failed(&mut self) {
-        self.term_raise_in_flight = false;
+        self.leader_term.raise_in_flight = false;
     }
 
     /// The old leader is proven gone: none before us answers anybody from then on.
     pub fn previous_leader_gone(&mut self, fenced_at: Micros) {
-        self.previous_leader_fenced_at = self.previous_leader_fenced_at.min(fenced_at);
+        self.leader_term.previous_leader_fenced_at =
+            self.leader_term.previous_leader_fenced_at.min(fenced_at);
     }
 
     fn add_machine(&mut self, mut machine: Machine) {
         let name = machine.name.clone();
-        self.index.add(&mut machine);
-        self.idle_machines.insert(name.clone());
-        self.provisioning.insert(name.clone());
-        self.health_checks
+        self.inventory.index.add(&mut machine);
+        self.inventory.idle.insert(name.clone());
+        self.inventory.provisioning.insert(name.clone());
+        self.inventory
+            .health_checks
             .insert((machine.next_check_at, name.clone()));
-        self.machines.insert(name, machine);
+        self.inventory.machines.insert(name, machine);
     }
 
     /// The machine is proven gone; nothing is on it any more.
     fn drop_machine(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(mut machine) = self.machines.remove(name) else {
+        let Some(mut machine) = self.inventory.machines.remove(name) else {
             return;
         };
-        self.index.remove(&mut machine);
-        self.idle_machines.remove(name);
-        self.provisioning.remove(name);
-        self.health_checks
+        self.inventory.index.remove(&mut machine);
+        self.inventory.idle.remove(name);
+        self.inventory.provisioning.remove(name);
+        self.inventory
+            .health_checks
             .remove(&(machine.next_check_at, machine.name.clone()));
-        self.awaiting_effect.remove(name);
-        self.pending_dispatch.remove(name);
+        self.dispatch.awaiting_effect.remove(name);
+        self.dispatch.pending.remove(name);
         self.update_reachability(name);
-        self.returned_machines.insert(name);
-        self.machine_blocks.leave(&machine, now);
+        self.inventory.returned.insert(name);
+        self.persistence.machine_blocks.leave(&machine, now);
     }
 
     /// Something about a machine changed that counts for placement.
     fn reindex(&mut self, name: &Arc<str>) {
-        if let Some(machine) = self.machines.get_mut(name) {
-            self.index.update(machine);
+        if let Some(machine) = self.inventory.machines.get_mut(name) {
+            self.inventory.index.update(machine);
             if machine.fenced_at.is_some() && machine.recorded
                 || matches!(machine.phase, MachinePhase::Returning(_))
             {
-                self.provisioning.remove(name);
+                self.inventory.provisioning.remove(name);
             }
         }
         self.update_reachability(name);
     }
 
     fn schedule_health_check(&mut self, name: &Arc<str>, at: Micros) {
-        if let Some(machine) = self.machines.get_mut(name) {
-            self.health_checks
+        if let Some(machine) = self.inventory.machines.get_mut(name) {
+            self.inventory
+                .health_checks
                 .remove(&(machine.next_check_at, name.clone()));
             machine.next_check_at = at;
-            self.health_checks.insert((at, name.clone()));
+            self.inventory.health_checks.insert((at, name.clone()));
         }
     }
 
     /// Commands are to reach this machine soon, and are repeated until they show an effect.
     fn dispatch_soon(&mut self, name: &Arc<str>) {
-        self.pending_dispatch.insert(name.clone());
-        self.awaiting_effect.insert(name.clone());
+        self.dispatch.pending.insert(name.clone());
+        self.dispatch.awaiting_effect.insert(name.clone());
     }
 
     /// The estimate of a task's run time, corrected by what was seen of its class.
     fn estimate(&self, job: &Job) -> Micros {
-        let ratio = self.classes.get(job.class).map_or(1.0, |c| c.ratio);
+        let ratio = self
+            .job_table
+            .classes
+            .get(job.class)
+            .map_or(1.0, |c| c.ratio);
         job.spec.estimate.times(ratio).max(Micros::from_secs(1))
     }
 
     /// Runs whatever is due and hands out the effects.
     pub fn poll(&mut self, now: Micros) -> Vec<Effect> {
-        if now.since(std::mem::replace(&mut self.polled_at, now)) > STOOD_STILL {
-            self.resumed_at = now;
-        }
+        self.clock.polled(now);
         if now >= self.next_tick {
             self.next_tick = now.plus(Micros::from_millis(500));
             self.tick(now);
         }
-        if self.pass_requested && now >= self.next_pass {
-            self.pass_requested = false;
-            self.next_pass = now.plus(SCHEDULE_INTERVAL);
+        if self.placement_pass.requested && now >= self.placement_pass.next_at {
+            self.placement_pass.requested = false;
+            self.placement_pass.next_at = now.plus(SCHEDULE_INTERVAL);
             self.run_pass(now);
         }
         self.commit(now);
@@ -325,13 +254,13 @@
     /// When `poll` has something to do at the latest.
     pub fn next_poll(&self) -> Micros {
         let mut at = self.next_tick;
-        if self.pass_requested {
-            at = at.min(self.next_pass);
+        if self.placement_pass.requested {
+            at = at.min(self.placement_pass.next_at);
         }
         if let Some(due) = self.writes_due() {
-            at = at.min(due.max(self.next_transaction_at));
+            at = at.min(due.max(self.persistence.next_transaction_at));
         }
-        if let Some((due, _)) = self.delayed_dispatch.first() {
+        if let Some((due, _)) = self.dispatch.delayed.first() {
             at = at.min(*due);
         }
         at
@@ -346,7 +275,7 @@
             self.plan_capacity(now);
             self.consolidate(now);
             self.end_accelerator_sharing(now);
-            self.pass_requested = true;
+            self.placement_pass.requested = true;
         }
     }
 
@@ -361,7 +290,7 @@
         // is heard leaves too little of the leases for the agents to find another leader.
         let quiet = self.config.heartbeat_interval.times(1.5);
         let mut counts = AgentCounts::default();
-        for machine in self.machines.values() {
+        for machine in self.inventory.machines.values() {
             let up = machine.phase == MachinePhase::Up
                 || (machine.phase == MachinePhase::Unregistered
                     && machine.recorded
@@ -371,7 +300,7 @@
             } else if up {
                 counts.reachable += 1;
                 counts.heard +=
-                    usize::from(now.since(machine.last_heard.max(self.resumed_at)) < quiet);
+                    usize::from(now.since(machine.last_heard.max(self.clock.resumed_at())) < quiet);
             }
         }
         counts
--- a/crates/saltpitch-core/src/scheduler/alerts.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/alerts.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::Scheduler;
+use crate::scheduler::Scheduler;
 use crate::time::Micros;
 
 /// From this part of the ring on, few free segments are worth a warning.
@@ -57,7 +57,7 @@
 
 /// Since when the log is in the state that is worth telling, and when it was told last.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct PlacementLogAlerts {
+pub(in crate::scheduler) struct PlacementLogAlerts {
     /// Since when a segment is due and none is free.
     pub blocked_since: Option<Micros>,
     alerted_at: Option<Micros>,
@@ -68,10 +68,10 @@
     pub fn take_alerts(&mut self, now: Micros) -> Vec<Alert> {
         let policy = std::mem::take(&mut self.config.policy.faults);
         let mut faults: Vec<Alert> = policy.into_iter().map(Alert::Policy).collect();
-        let answered_with = self.placement_log_alerts.alerted_at;
+        let answered_with = self.persistence.alerts.alerted_at;
         if answered_with.is_none_or(|at| now.since(at) >= REPEAT_AFTER) {
             if let Some(fault) = self.placement_log_alert(now) {
-                self.placement_log_alerts.alerted_at = Some(now);
+                self.persistence.alerts.alerted_at = Some(now);
                 faults.push(fault);
             }
         }
@@ -80,15 +80,15 @@
 
     fn placement_log_alert(&self, now: Micros) -> Option<Alert> {
         let ring = self.config.log_segments;
-        let blocked = self.placement_log_alerts.blocked_since;
+        let blocked = self.persistence.alerts.blocked_since;
         if blocked.is_some_and(|since| now.since(since) >= FULL_AFTER) {
             return Some(Alert::LogFull {
                 ring,
                 max_value_bytes: self.config.max_value_bytes,
-                waiting: self.unsaved.len(),
+                waiting: self.persistence.unsaved_tasks.len(),
             });
         }
-        let free = self.placement_log.room();
+        let free = self.persistence.placement_log.room();
         (free < ring / LOW_PART).then_some(Alert::LogNearlyFull { free, ring })
     }
 }
--- a/crates/saltpitch-core/src/scheduler/commit.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/commit.rs
@@ -1,11 +1,11 @@
 //! Records against memory: one transaction at a time, conditioned on the term and on the jobs.
 
 use super::transaction::{TransactionBuilder, TransactionContents, TransactionOutcome};
-use super::{Effect, Scheduler, Transaction};
 use crate::cluster::{JobNumber, MachinePhase};
 use crate::gang::Gang;
 use crate::job::{JobKind, JobState};
 use crate::records::{chunk_key, RecordCache, CHUNK};
+use crate::scheduler::{Effect, Scheduler, Transaction};
 use crate::time::Micros;
 
 /// Between two transactions, so that changes gather and requests stay within the store's rate.
@@ -17,51 +17,61 @@
 
 impl Scheduler {
     /// When there is something to write, none being under way.
-    pub(super) fn writes_due(&self) -> Option<Micros> {
-        if self.transaction_in_flight.is_some() || (self.outcome_unknown && self.reload_in_flight) {
+    pub(in crate::scheduler) fn writes_due(&self) -> Option<Micros> {
+        if self.persistence.in_flight.is_some()
+            || (self.persistence.outcome_unknown && self.persistence.reload_in_flight)
+        {
             return None;
         }
-        if self.outcome_unknown || !self.finished_jobs.is_empty() || !self.obsolete_keys.is_empty()
+        if self.persistence.outcome_unknown
+            || !self.persistence.finished_jobs.is_empty()
+            || !self.persistence.obsolete_keys.is_empty()
         {
             return Some(Micros::ZERO);
         }
-        let task = self.unsaved.queue.first().map(|d| d.0);
-        let block = self.machine_blocks.next_due();
+        let task = self.persistence.unsaved_tasks.queue.first().map(|d| d.0);
+        let block = self.persistence.machine_blocks.next_due();
         task.into_iter().chain(block).min()
     }
 
     /// Sends the next transaction if there is something to write and none is under way.
-    pub(super) fn commit(&mut self, now: Micros) {
-        if now < self.next_transaction_at || self.writes_due().is_none_or(|due| due > now) {
+    pub(in crate::scheduler) fn commit(&mut self, now: Micros) {
+        if now < self.persistence.next_transaction_at
+            || self.writes_due().is_none_or(|due| due > now)
+        {
             return;
         }
-        if self.outcome_unknown {
-            self.reload_in_flight = true;
+        if self.persistence.outcome_unknown {
+            self.persistence.reload_in_flight = true;
             self.effects.push(Effect::ReloadRecords);
             return;
         }
         let level = self
+            .persistence
             .write_budget
             .level(self.config.max_transaction_writes as f64, now);
         let ops = self.config.max_transaction_writes.min(level as usize);
         // Changes gather while they are scarce; what is urgent does not wait for others.
-        let least = if self.unsaved.urgent(now) {
+        let least = if self.persistence.unsaved_tasks.urgent(now) {
             1.0
         } else {
             GATHERED
         };
         if level < least {
-            let ready = self.write_budget.ready(least);
-            self.next_transaction_at = ready.max(now.plus(Micros::from_millis(10)));
+            let ready = self.persistence.write_budget.ready(least);
+            self.persistence.next_transaction_at = ready.max(now.plus(Micros::from_millis(10)));
             return;
         }
         let max = self.config.max_transaction_bytes;
-        let mut b = TransactionBuilder::new(self.term_rev, self.config.max_transaction_writes * 4);
+        let mut b = TransactionBuilder::new(
+            self.leader_term.revision,
+            self.config.max_transaction_writes * 4,
+        );
         let mut p = TransactionContents::default();
         self.add_segment(&mut b, &mut p, ops, max, now);
         let half = |b: &TransactionBuilder| b.writes.len() + (ops - b.writes.len()).div_ceil(2);
         // A log without a free segment would hold up every placement: rather finals and machines wait.
-        if self.placement_log.room() < self.placement_log.ring / 8 {
+        if self.persistence.placement_log.room() < self.persistence.placement_log.ring / 8 {
             let some = half(&b);
             self.add_checkpoints(&mut b, &mut p, some, max);
         }
@@ -70,21 +80,21 @@
         self.add_blocks(&mut b, &mut p, ops, max, now);
         self.add_checkpoints(&mut b, &mut p, ops, max);
         self.add_finals(&mut b, &mut p, ops, max);
-        while let Some(key) = self.obsolete_keys.front().cloned() {
+        while let Some(key) = self.persistence.obsolete_keys.front().cloned() {
             if !b.fits(ops, 1, 300, max) {
                 break;
             }
-            self.obsolete_keys.pop_front();
+            self.persistence.obsolete_keys.pop_front();
             b.write(key.clone(), None);
             p.obsolete_keys.push(key);
         }
         if b.writes.is_empty() {
             // Nothing that is due fits: more changes are needed at once than may be written now.
-            self.next_transaction_at = self.write_budget.ready(level + 1.0);
+            self.persistence.next_transaction_at = self.persistence.write_budget.ready(level + 1.0);
             return;
         }
-        self.write_budget.spend(b.writes.len() as f64);
-        self.transaction_in_flight = Some(p);
+        self.persistence.write_budget.spend(b.writes.len() as f64);
+        self.persistence.in_flight = Some(p);
         self.effects.push(Effect::Commit(Transaction {
             preconditions: b.preconditions,
             writes: b.writes,
@@ -93,7 +103,7 @@
 
     /// The answer to [`Effect::Commit`].
     pub fn committed(&mut self, outcome: TransactionOutcome, now: Micros) {
-        let Some(p) = self.transaction_in_flight.take() else {
+        let Some(p) = self.persistence.in_flight.take() else {
             return;
         };
         match outcome {
@@ -108,12 +118,12 @@
                 match outcome {
                     TransactionOutcome::RateLimited => self.rate_limited(now),
                     // The next limits are in force: what is stored larger has to be split first.
-                    TransactionOutcome::TooLarge => self.reduced_limits = true,
+                    TransactionOutcome::TooLarge => self.persistence.reduced_limits = true,
                     _ => {}
                 }
-                self.next_transaction_at = now.plus(Micros::from_millis(wait));
+                self.persistence.next_transaction_at = now.plus(Micros::from_millis(wait));
                 // Turned down, nothing has changed; otherwise the revisions are in doubt.
-                self.outcome_unknown = matches!(
+                self.persistence.outcome_unknown = matches!(
                     outcome,
                     TransactionOutcome::Unknown | TransactionOutcome::Conflict(_)
                 );
@@ -127,11 +137,11 @@
         }
         for (number, members) in p.machine_blocks {
             if members.is_empty() {
-                self.machine_blocks.drop_empty(number);
+                self.persistence.machine_blocks.drop_empty(number);
             }
-            self.machine_blocks.written(number, rev);
+            self.persistence.machine_blocks.written(number, rev);
             for (name, returning) in members {
-                let Some(machine) = self.machines.get_mut(&name) else {
+                let Some(machine) = self.inventory.machines.get_mut(&name) else {
                     continue;
                 };
                 let news = !machine.recorded;
@@ -145,19 +155,20 @@
             }
         }
         if let Some(slot) = p.segment {
-            self.placement_log.revs.insert(slot, rev);
+            self.persistence.placement_log.revs.insert(slot, rev);
             let mut chunks: Vec<(JobNumber, u32)> =
                 p.tasks.iter().map(|t| (t.0, t.1 / CHUNK)).collect();
             chunks.dedup();
-            self.placement_log
+            self.persistence
+                .placement_log
                 .live
-                .insert(self.placement_log.next, chunks);
-            self.placement_log.next += 1;
+                .insert(self.persistence.placement_log.next, chunks);
+            self.persistence.placement_log.next += 1;
         }
         let mut tasks = p.tasks;
-        let upto = self.placement_log.next - 1;
+        let upto = self.persistence.placement_log.next - 1;
         for (number, c) in p.chunks {
-            if let Some(job) = self.jobs.get_mut(&number) {
+            if let Some(job) = self.job_table.jobs.get_mut(&number) {
                 job.chunks[c as usize] = (rev, upto);
                 let hi = (c * CHUNK + CHUNK).min(job.spec.tasks);
                 tasks.extend((c * CHUNK..hi).map(|t| (number, t)));
@@ -168,7 +179,7 @@
         let mut jobs: Vec<JobNumber> = tasks.iter().map(|t| t.0).collect();
         jobs.dedup();
         for number in jobs {
-            let Some(job) = self.jobs.get_mut(&number) else {
+            let Some(job) = self.job_table.jobs.get_mut(&number) else {
                 continue;
             };
             let cancelled = job.state != JobState::Active;
@@ -208,55 +219,61 @@
         for number in stops {
             self.stop_all(number, Micros::ZERO, now);
         }
-        self.next_transaction_at = now.plus(GAP);
-        self.pass_requested = true;
+        self.persistence.next_transaction_at = now.plus(GAP);
+        self.placement_pass.requested = true;
     }
 
     fn revert_commit(&mut self, p: TransactionContents, now: Micros) {
         let mut tasks = p.tasks;
         for (number, c) in p.chunks {
-            if let Some(job) = self.jobs.get(&number) {
+            if let Some(job) = self.job_table.jobs.get(&number) {
                 let hi = (c * CHUNK + CHUNK).min(job.spec.tasks);
                 tasks.extend((c * CHUNK..hi).map(|t| (number, t)));
             }
         }
         for (number, task) in tasks {
-            if let Some(job) = self.jobs.get_mut(&number) {
+            if let Some(job) = self.job_table.jobs.get_mut(&number) {
                 if let Some(allocation) = job.tasks[task as usize].allocation.as_mut() {
                     allocation.in_transaction = false;
                 }
-                self.unsaved.placement(number, task, &job.spec, now);
+                self.persistence
+                    .unsaved_tasks
+                    .placement(number, task, &job.spec, now);
             }
         }
-        self.finished_jobs.extend(p.finished);
+        self.persistence.finished_jobs.extend(p.finished);
         for (number, _) in p.machine_blocks {
-            self.machine_blocks.mark(number, now);
+            self.persistence.machine_blocks.mark(number, now);
         }
-        self.obsolete_keys.extend(p.obsolete_keys);
+        self.persistence.obsolete_keys.extend(p.obsolete_keys);
     }
 
     /// The store takes fewer changes than it did: one refusal may be a burst of users' requests, many
     /// are its next limit.
     fn rate_limited(&mut self, now: Micros) {
         let recent = now.since(Micros::from_secs(10));
-        self.rate_limit_refusals.push_back(now);
-        self.rate_limit_refusals.retain(|at| *at >= recent);
-        if self.rate_limit_refusals.len() >= THROTTLES {
-            self.write_budget.lower(self.config.next_write_rate);
+        self.persistence.rate_limit_refusals.push_back(now);
+        self.persistence
+            .rate_limit_refusals
+            .retain(|at| *at >= recent);
+        if self.persistence.rate_limit_refusals.len() >= THROTTLES {
+            self.persistence
+                .write_budget
+                .lower(self.config.next_write_rate);
         }
     }
 
     /// The answer to [`Effect::ReloadRecords`]: `None` when the store could not be read.
     pub fn refreshed(&mut self, records: Option<&RecordCache>, now: Micros, wall: Micros) {
-        self.reload_in_flight = false;
+        self.persistence.reload_in_flight = false;
         let Some(records) = records else {
-            self.next_transaction_at = now.plus(Micros::from_millis(300));
+            self.persistence.next_transaction_at = now.plus(Micros::from_millis(300));
             return;
         };
-        self.outcome_unknown = false;
-        self.next_transaction_at = now;
+        self.persistence.outcome_unknown = false;
+        self.persistence.next_transaction_at = now;
         // What a transaction without an answer did, if it was carried out.
-        self.placement_log.revs = records
+        self.persistence.placement_log.revs = records
             .segments
             .iter()
             .map(|(slot, s)| (*slot, s.rev))
@@ -264,20 +281,28 @@
         for s in records
             .segments
             .values()
-            .filter(|s| s.number >= self.placement_log.next)
+            .filter(|s| s.number >= self.persistence.placement_log.next)
         {
             let known = s.chunks.iter();
-            let known = known.filter_map(|(id, c)| Some((*self.job_numbers.get(id.as_str())?, *c)));
-            self.placement_log.live.insert(s.number, known.collect());
+            let known =
+                known.filter_map(|(id, c)| Some((*self.job_table.by_id.get(id.as_str())?, *c)));
+            self.persistence
+                .placement_log
+                .live
+                .insert(s.number, known.collect());
         }
-        self.placement_log.next = self.placement_log.next.max(records.last_segment + 1);
-        self.machine_blocks.read_anew(records);
-        let mut touched: Vec<JobNumber> = self.unsaved.jobs();
-        touched.extend(self.finished_jobs.iter());
+        self.persistence.placement_log.next = self
+            .persistence
+            .placement_log
+            .next
+            .max(records.last_segment + 1);
+        self.persistence.machine_blocks.read_anew(records);
+        let mut touched: Vec<JobNumber> = self.persistence.unsaved_tasks.jobs();
+        touched.extend(self.persistence.finished_jobs.iter());
         touched.sort_unstable();
         touched.dedup();
         for number in touched {
-            let Some(job) = self.jobs.get_mut(&number) else {
+            let Some(job) = self.job_table.jobs.get_mut(&number) else {
                 continue;
             };
             let id = job.id.clone();
@@ -291,19 +316,19 @@
                 .get(&*id)
                 .is_some_and(|e| e.record.spec.is_none() && e.record.state.is_final());
             if over {
-                self.finished_jobs.remove(&number);
+                self.persistence.finished_jobs.remove(&number);
                 self.finish_job(number, now);
             } else {
                 self.job_changed(records, &id, now, wall);
             }
         }
-        self.pass_requested = true;
+        self.placement_pass.requested = true;
     }
 
     /// The final record is written: the job leaves memory, its chunks are deleted by and by.
-    pub(super) fn finish_job(&mut self, number: JobNumber, now: Micros) {
+    pub(in crate::scheduler) fn finish_job(&mut self, number: JobNumber, now: Micros) {
         self.dequeue(number);
-        let Some(job) = self.jobs.remove(&number) else {
+        let Some(job) = self.job_table.jobs.remove(&number) else {
             return;
         };
         if job.state == JobState::Active {
@@ -311,29 +336,31 @@
             self.dependency_completed(&job.id, job.done_at.unwrap_or(now), now);
         }
         self.remember_timeline(&job);
-        self.job_numbers.remove(&job.id);
-        self.gangs_at_barrier.remove(&number);
+        self.job_table.by_id.remove(&job.id);
+        self.job_table.gangs_at_barrier.remove(&number);
         for task in 0..job.spec.tasks {
-            self.unsaved.remove(number, task);
+            self.persistence.unsaved_tasks.remove(number, task);
         }
         for (c, (rev, _)) in job.chunks.iter().enumerate() {
             if *rev > 0 {
-                self.obsolete_keys.push_back(chunk_key(&job.id, c as u32));
+                self.persistence
+                    .obsolete_keys
+                    .push_back(chunk_key(&job.id, c as u32));
             }
         }
     }
 
     /// Whether this task's state is part of the transaction under way.
-    pub(super) fn is_in_flight(&self, number: JobNumber, task: u32) -> bool {
-        self.transaction_in_flight.as_ref().is_some_and(|t| {
+    pub(in crate::scheduler) fn is_in_flight(&self, number: JobNumber, task: u32) -> bool {
+        self.persistence.in_flight.as_ref().is_some_and(|t| {
             t.tasks.contains(&(number, task))
                 || t.chunks.contains(&(number, task / CHUNK))
                 || t.finished.contains(&number)
         })
     }
 
-    pub(super) fn wall_of(&self, at: Micros, now: Micros) -> Micros {
+    pub(in crate::scheduler) fn wall_of(&self, at: Micros, now: Micros) -> Micros {
         // Ages only: the shell's time of day is not needed here beyond this offset.
-        self.wall_offset.plus(now).since(now.since(at))
+        self.clock.wall(now).since(now.since(at))
     }
 }
--- a/crates/saltpitch-core/src/scheduler/machine_blocks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use super::transaction::{json, TransactionBuilder, TransactionContents};
-use super::{Scheduler, SchedulerConfig};
 use crate::cluster::{Machine, MachinePhase};
 use crate::records::{block_key, BlockRecord, MachineRecord, RecordCache, BLOCK};
+use crate::scheduler::{Scheduler, SchedulerConfig};
 use crate::time::Micros;
 
 /// Machines of one type, zone and kind that share a record.
@@ -23,7 +23,7 @@
 }
 
 /// The machines' records.
-pub(super) struct MachineBlocks {
+pub(in crate::scheduler) struct MachineBlocks {
     all: BTreeMap<u32, Block>,
     /// The block that takes the next machine of a type, zone and kind.
     unfilled: HashMap<(String, Arc<str>, bool), u32>,
@@ -222,7 +222,7 @@
 }
 
 impl Scheduler {
-    pub(super) fn add_blocks(
+    pub(in crate::scheduler) fn add_blocks(
         &mut self,
         b: &mut TransactionBuilder,
         p: &mut TransactionContents,
@@ -230,19 +230,24 @@
         max: usize,
         now: Micros,
     ) {
-        let due: Vec<u32> = (self.machine_blocks.due.iter())
+        let due: Vec<u32> = (self.persistence.machine_blocks.due.iter())
             .filter(|d| *d.1 <= now)
             .map(|d| *d.0)
             .rev()
             .collect();
         // The newest first: a block that was split comes after those that took over its machines.
         for number in due {
-            let Some(block) = self.machine_blocks.all.get(&number) else {
-                self.machine_blocks.due.remove(&number);
+            let Some(block) = self.persistence.machine_blocks.all.get(&number) else {
+                self.persistence.machine_blocks.due.remove(&number);
                 continue;
             };
             let waits = (block.successors.iter()).any(|h| {
-                let there = self.machine_blocks.all.get(h).is_none_or(|x| x.rev > 0);
+                let there = self
+                    .persistence
+                    .machine_blocks
+                    .all
+                    .get(h)
+                    .is_none_or(|x| x.rev > 0);
                 !there && !p.machine_blocks.iter().any(|w| w.0 == *h)
             });
             if waits {
@@ -255,7 +260,11 @@
                 machines: Vec::with_capacity(block.members.len()),
             };
             let mut members = Vec::with_capacity(block.members.len());
-            for machine in block.members.iter().filter_map(|n| self.machines.get(n)) {
+            for machine in block
+                .members
+                .iter()
+                .filter_map(|n| self.inventory.machines.get(n))
+            {
                 let returning = matches!(machine.phase, MachinePhase::Returning(_));
                 let (name, addr) = (machine.name.to_string(), machine.addr.clone());
                 rec.machines.push(MachineRecord(
@@ -272,26 +281,28 @@
                 json(&rec)
             };
             let bytes = value.as_ref().map_or(0, String::len);
-            if self.reduced_limits && bytes > self.config.max_value_bytes && rec.machines.len() > 1
+            if self.persistence.reduced_limits
+                && bytes > self.config.max_value_bytes
+                && rec.machines.len() > 1
             {
-                for (name, to) in self.machine_blocks.split(number, now) {
-                    if let Some(machine) = self.machines.get_mut(&name) {
+                for (name, to) in self.persistence.machine_blocks.split(number, now) {
+                    if let Some(machine) = self.inventory.machines.get_mut(&name) {
                         machine.block = Some(to);
                     }
                 }
-                self.next_transaction_at = now;
+                self.persistence.next_transaction_at = now;
                 continue;
             }
             if !b.fits(ops, 1, bytes + 200, max) {
                 return;
             }
-            self.machine_blocks.due.remove(&number);
+            self.persistence.machine_blocks.due.remove(&number);
             // A transaction of ours that is applied late must not undo a later one.
             b.require(block_key(number), block.rev);
             if value.is_none() {
                 let key = (block.type_name.clone(), block.zone.clone(), block.spot);
-                if self.machine_blocks.unfilled.get(&key) == Some(&number) {
-                    self.machine_blocks.unfilled.remove(&key);
+                if self.persistence.machine_blocks.unfilled.get(&key) == Some(&number) {
+                    self.persistence.machine_blocks.unfilled.remove(&key);
                 }
             }
             b.write(block_key(number), value);
--- a/crates/saltpitch-core/src/scheduler/placement_log.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
@@ -4,27 +4,30 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use super::{Scheduler, SchedulerConfig};
 use crate::cluster::JobNumber;
 use crate::records::{RecordCache, CHUNK};
+use crate::scheduler::{Scheduler, SchedulerConfig};
 
 /// The log of placements and outcomes.
-pub(super) struct PlacementLog {
+pub(in crate::scheduler) struct PlacementLog {
     /// Keys that the segments go round in.
-    pub(super) ring: u64,
+    pub(in crate::scheduler) ring: u64,
     /// The next segment's number.
-    pub(super) next: u64,
+    pub(in crate::scheduler) next: u64,
     /// Revision of each key in use.
-    pub(super) revs: BTreeMap<u32, u64>,
+    pub(in crate::scheduler) revs: BTreeMap<u32, u64>,
     /// Chunks that each segment speaks of and that may still need it.
-    pub(super) live: BTreeMap<u64, Vec<(JobNumber, u32)>>,
+    pub(in crate::scheduler) live: BTreeMap<u64, Vec<(JobNumber, u32)>>,
     /// Chunks whose checkpoint is too large for one value: all of their tasks are written to the log
     /// anew instead, in segments from this one on.
-    pub(super) rewritten: BTreeMap<(JobNumber, u32), u64>,
+    pub(in crate::scheduler) rewritten: BTreeMap<(JobNumber, u32), u64>,
 }
 
 impl PlacementLog {
-    pub(super) fn new(records: &RecordCache, config: &SchedulerConfig) -> PlacementLog {
+    pub(in crate::scheduler) fn new(
+        records: &RecordCache,
+        config: &SchedulerConfig,
+    ) -> PlacementLog {
         PlacementLog {
             ring: config.log_segments,
             next: records.last_segment + 1,
@@ -39,7 +42,7 @@
     }
 
     /// What the segments on record speak of, once the jobs are known.
-    pub(super) fn restore(
+    pub(in crate::scheduler) fn restore(
         &mut self,
         records: &RecordCache,
         job_numbers: &HashMap<Arc<str>, JobNumber>,
@@ -51,12 +54,12 @@
         }
     }
 
-    pub(super) fn next(&self) -> u64 {
+    pub(in crate::scheduler) fn next(&self) -> u64 {
         self.next
     }
 
     /// How many segments can be written before one that may still be needed is overwritten.
-    pub(super) fn room(&self) -> u64 {
+    pub(in crate::scheduler) fn room(&self) -> u64 {
         let first = self.live.keys().next();
         first.map_or(self.ring, |number| {
             (number + self.ring).saturating_sub(self.next)
@@ -64,53 +67,63 @@
     }
 
     /// The key that the next segment goes to.
-    pub(super) fn slot(&self) -> u32 {
+    pub(in crate::scheduler) fn slot(&self) -> u32 {
         (self.next % self.ring) as u32
     }
 }
 
 impl Scheduler {
     /// Whether nothing needs the segment any more that the next one overwrites.
-    pub(super) fn slot_is_free(&mut self) -> bool {
+    pub(in crate::scheduler) fn slot_is_free(&mut self) -> bool {
         self.drop_obsolete_segments();
-        self.placement_log.room() > 0
+        self.persistence.placement_log.room() > 0
     }
 
     /// Drops the oldest segments of which checkpoints hold all that still matters.
-    pub(super) fn drop_obsolete_segments(&mut self) {
+    pub(in crate::scheduler) fn drop_obsolete_segments(&mut self) {
         self.finish_rewrites();
-        while let Some((number, chunks)) = self.placement_log.live.first_key_value() {
+        while let Some((number, chunks)) = self.persistence.placement_log.live.first_key_value() {
             let needed = chunks
                 .iter()
                 .any(|(job, c)| self.dependencies(*number, *job, *c));
             if needed {
                 return;
             }
-            self.placement_log.live.pop_first();
+            self.persistence.placement_log.live.pop_first();
         }
     }
 
     /// Chunks that were written to the log anew don't need what it said of them before.
-    pub(super) fn finish_rewrites(&mut self) {
-        if self.placement_log.rewritten.is_empty() || self.transaction_in_flight.is_some() {
+    pub(in crate::scheduler) fn finish_rewrites(&mut self) {
+        if self.persistence.placement_log.rewritten.is_empty()
+            || self.persistence.in_flight.is_some()
+        {
             return;
         }
-        let all = std::mem::take(&mut self.placement_log.rewritten);
+        let all = std::mem::take(&mut self.persistence.placement_log.rewritten);
         for ((number, c), from) in all {
-            let Some(job) = self.jobs.get_mut(&number) else {
+            let Some(job) = self.job_table.jobs.get_mut(&number) else {
                 continue;
             };
             let hi = (c * CHUNK + CHUNK).min(job.spec.tasks);
-            if (c * CHUNK..hi).any(|t| self.unsaved.contains(number, t)) {
-                self.placement_log.rewritten.insert((number, c), from);
+            if (c * CHUNK..hi).any(|t| self.persistence.unsaved_tasks.contains(number, t)) {
+                self.persistence
+                    .placement_log
+                    .rewritten
+                    .insert((number, c), from);
             } else if let Some(at) = job.chunks.get_mut(c as usize) {
                 at.1 = at.1.max(from.saturating_sub(1));
             }
         }
     }
 
-    pub(super) fn dependencies(&self, segment: u64, job: JobNumber, chunk: u32) -> bool {
-        let job = self.jobs.get(&job);
+    pub(in crate::scheduler) fn dependencies(
+        &self,
+        segment: u64,
+        job: JobNumber,
+        chunk: u32,
+    ) -> bool {
+        let job = self.job_table.jobs.get(&job);
         job.and_then(|job| job.chunks.get(chunk as usize))
             .is_some_and(|at| at.1 < segment)
     }
--- a/crates/saltpitch-core/src/scheduler/transaction.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/transaction.rs
@@ -5,7 +5,6 @@
 
 use serde::Serialize;
 
-use super::{Allocation, Precondition, Scheduler, Task, Write};
 use crate::cluster::JobNumber;
 use crate::gang::Gang;
 use crate::job::JobState;
@@ -13,6 +12,7 @@
     chunk_key, job_key, log_key, AllocationRecord, ChunkRecord, Entry, JobRecord, LogRecord, CHUNK,
     TERM_KEY,
 };
+use crate::scheduler::{Allocation, Precondition, Scheduler, Task, Write};
 use crate::time::Micros;
 
 /// What a transaction takes beside its parts.
@@ -38,11 +38,11 @@
 }
 
 /// Machines of a block, and whether the return of each is intended.
-pub(super) type Members = Vec<(Arc<str>, bool)>;
+pub(in crate::scheduler) type Members = Vec<(Arc<str>, bool)>;
 
 /// The transaction under way.
 #[derive(Default)]
-pub(super) struct TransactionContents {
+pub(in crate::scheduler) struct TransactionContents {
     /// The segment's key and the tasks that it speaks of.
     pub segment: Option<u32>,
     pub tasks: BTreeSet<(JobNumber, u32)>,
@@ -53,7 +53,7 @@
 }
 
 /// Collects a transaction's parts within its limits.
-pub(super) struct TransactionBuilder {
+pub(in crate::scheduler) struct TransactionBuilder {
     pub preconditions: Vec<Precondition>,
     pub writes: Vec<Write>,
     bytes: usize,
@@ -91,22 +91,22 @@
     }
 }
 
-pub(super) fn json<T: Serialize>(v: &T) -> Option<String> {
+pub(in crate::scheduler) fn json<T: Serialize>(v: &T) -> Option<String> {
     serde_json::to_string(v).ok()
 }
 
 impl Scheduler {
     /// Adds the final records of jobs that are over.
-    pub(super) fn add_finals(
+    pub(in crate::scheduler) fn add_finals(
         &mut self,
         batch: &mut TransactionBuilder,
         pending: &mut TransactionContents,
         ops: usize,
         max: usize,
     ) {
-        while let Some(&number) = self.finished_jobs.first() {
-            let Some(job) = self.jobs.get(&number) else {
-                self.finished_jobs.remove(&number);
+        while let Some(&number) = self.persistence.finished_jobs.first() {
+            let Some(job) = self.job_table.jobs.get(&number) else {
+                self.persistence.finished_jobs.remove(&number);
                 continue;
             };
             if !batch.fits(ops, 1, 400, max) {
@@ -116,20 +116,20 @@
                 JobState::Cancelled => JobState::Cancelled,
                 _ => JobState::Done,
             };
-            let finished = job.done_at.map(|at| self.wall_offset.plus(at));
+            let finished = job.done_at.map(|at| self.clock.wall(at));
             let finished = finished.filter(|_| state == JobState::Done);
             batch.require(job_key(&job.id), job.rev);
             batch.write(job_key(&job.id), json(&JobRecord::over(state, finished)));
-            self.finished_jobs.remove(&number);
+            self.persistence.finished_jobs.remove(&number);
             for task in 0..job.spec.tasks {
-                self.unsaved.remove(number, task);
+                self.persistence.unsaved_tasks.remove(number, task);
             }
             pending.finished.push(number);
         }
     }
 
     /// Adds a segment with all that is dirty, what is due first, as far as it goes in one value.
-    pub(super) fn add_segment(
+    pub(in crate::scheduler) fn add_segment(
         &mut self,
         batch: &mut TransactionBuilder,
         pending: &mut TransactionContents,
@@ -137,14 +137,20 @@
         max: usize,
         now: Micros,
     ) {
-        if self.unsaved.queue.first().is_none_or(|d| d.0 > now) {
+        if self
+            .persistence
+            .unsaved_tasks
+            .queue
+            .first()
+            .is_none_or(|d| d.0 > now)
+        {
             return;
         }
         if !self.slot_is_free() {
-            self.placement_log_alerts.blocked_since.get_or_insert(now);
+            self.persistence.alerts.blocked_since.get_or_insert(now);
             return;
         }
-        self.placement_log_alerts.blocked_since = None;
+        self.persistence.alerts.blocked_since = None;
         let limit = (self.config.max_value_bytes * 7 / 8)
             .min(SEGMENT_BYTES)
             .min(max / 2);
@@ -157,9 +163,9 @@
             .saturating_sub(batch.preconditions.len() + 2 * ops)
             .max(1);
         let mut placed: BTreeSet<JobNumber> = BTreeSet::new();
-        while let Some(&(_, number, task)) = self.unsaved.queue.first() {
-            let Some(job) = self.jobs.get_mut(&number) else {
-                self.unsaved.remove(number, task);
+        while let Some(&(_, number, task)) = self.persistence.unsaved_tasks.queue.first() {
+            let Some(job) = self.job_table.jobs.get_mut(&number) else {
+                self.persistence.unsaved_tasks.remove(number, task);
                 continue;
             };
             let head = if entries.contains_key(&number) {
@@ -177,7 +183,7 @@
             if allocations {
                 placed.insert(number);
             }
-            self.unsaved.remove(number, task);
+            self.persistence.unsaved_tasks.remove(number, task);
             let entry = entry_of(task, &mut job.tasks[task as usize], job.gang);
             bytes += head + size;
             entries.entry(number).or_default().push(entry);
@@ -187,11 +193,11 @@
             return;
         }
         let mut rec = LogRecord {
-            number: self.placement_log.next,
+            number: self.persistence.placement_log.next,
             entries: Vec::with_capacity(entries.len()),
         };
         for (number, list) in entries {
-            if let Some(job) = self.jobs.get(&number) {
+            if let Some(job) = self.job_table.jobs.get(&number) {
                 // Nothing is placed for a job that was cancelled meanwhile.
                 if list.iter().any(|e| !e.2.is_empty()) {
                     batch.require(job_key(&job.id), job.rev);
@@ -199,15 +205,21 @@
                 rec.entries.push((job.id.to_string(), list));
             }
         }
-        let slot = self.placement_log.slot();
-        let rev = self.placement_log.revs.get(&slot).copied().unwrap_or(0);
+        let slot = self.persistence.placement_log.slot();
+        let rev = self
+            .persistence
+            .placement_log
+            .revs
+            .get(&slot)
+            .copied()
+            .unwrap_or(0);
         batch.require(log_key(slot), rev);
         batch.write(log_key(slot), json(&rec));
         pending.segment = Some(slot);
     }
 
     /// Adds checkpoints of what the oldest segments speak of, before these are overwritten.
-    pub(super) fn add_checkpoints(
+    pub(in crate::scheduler) fn add_checkpoints(
         &mut self,
         batch: &mut TransactionBuilder,
         pending: &mut TransactionContents,
@@ -215,12 +227,13 @@
         max: usize,
     ) {
         self.drop_obsolete_segments();
-        let upto = self.placement_log.next - u64::from(pending.segment.is_none());
+        let upto = self.persistence.placement_log.next - u64::from(pending.segment.is_none());
         // Some way ahead of the segment that is overwritten next: what is placed in a rush and stays,
         // as services do, would otherwise need hundreds of checkpoints at once.
-        let ahead = self.placement_log.next + self.placement_log.ring / 4 + 1;
-        let old: Vec<(JobNumber, u32)> = (self.placement_log.live.iter())
-            .take_while(|(number, _)| **number + self.placement_log.ring < ahead)
+        let ahead =
+            self.persistence.placement_log.next + self.persistence.placement_log.ring / 4 + 1;
+        let old: Vec<(JobNumber, u32)> = (self.persistence.placement_log.live.iter())
+            .take_while(|(number, _)| **number + self.persistence.placement_log.ring < ahead)
             .take(64)
             .flat_map(|(number, chunks)| chunks.iter().map(move |c| (*number, *c)))
             .filter(|(number, (job, c))| self.dependencies(*number, *job, *c))
@@ -229,11 +242,15 @@
             .collect();
         for (number, c) in old {
             if pending.chunks.contains(&(number, c))
-                || self.placement_log.rewritten.contains_key(&(number, c))
+                || self
+                    .persistence
+                    .placement_log
+                    .rewritten
+                    .contains_key(&(number, c))
             {
                 continue;
             }
-            let Some(job) = self.jobs.get_mut(&number) else {
+            let Some(job) = self.job_table.jobs.get_mut(&number) else {
                 continue;
             };
             let lo = c * CHUNK;
@@ -241,13 +258,19 @@
             let rec = chunk_record(&job.tasks[lo as usize..hi as usize], job.gang, upto);
             let Some(value) = json(&rec) else { continue };
             if value.len() > self.config.max_value_bytes {
-                let from = self.placement_log.next + u64::from(pending.segment.is_some());
+                let from =
+                    self.persistence.placement_log.next + u64::from(pending.segment.is_some());
                 for (task, t) in (lo..hi).zip(&job.tasks[lo as usize..hi as usize]) {
                     if t.attempt > 0 || t.done {
-                        self.unsaved.mark(number, task, self.polled_at);
+                        self.persistence
+                            .unsaved_tasks
+                            .mark(number, task, self.clock.polled_at());
                     }
                 }
-                self.placement_log.rewritten.insert((number, c), from);
+                self.persistence
+                    .placement_log
+                    .rewritten
+                    .insert((number, c), from);
                 continue;
             }
             if !batch.fits(ops, 1, value.len() + 200, max) {
@@ -259,7 +282,7 @@
             batch.write(key, Some(value));
             for task in lo..hi {
                 // The checkpoint says it as well.
-                self.unsaved.remove(number, task);
+                self.persistence.unsaved_tasks.remove(number, task);
                 entry_of(task, &mut job.tasks[task as usize], job.gang);
             }
             pending.chunks.push((number, c));
--- a/crates/saltpitch-core/src/scheduler/unsaved_tasks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/unsaved_tasks.rs
@@ -13,13 +13,13 @@
 
 /// Tasks that differ from their records, in the order in which they are to be written.
 #[derive(Default)]
-pub(super) struct UnsavedTasks {
-    pub(super) due: FxHashMap<(JobNumber, u32), Micros>,
-    pub(super) queue: BTreeSet<(Micros, JobNumber, u32)>,
+pub(in crate::scheduler) struct UnsavedTasks {
+    pub(in crate::scheduler) due: FxHashMap<(JobNumber, u32), Micros>,
+    pub(in crate::scheduler) queue: BTreeSet<(Micros, JobNumber, u32)>,
 }
 
 impl UnsavedTasks {
-    pub(super) fn mark(&mut self, number: JobNumber, task: u32, due: Micros) {
+    pub(in crate::scheduler) fn mark(&mut self, number: JobNumber, task: u32, due: Micros) {
         let old = self.due.get(&(number, task)).copied();
         if old.is_some_and(|old| old <= due) {
             return;
@@ -33,7 +33,13 @@
 
     /// A task was placed: production goes before gangs, and both before batch work, which must not
     /// keep them waiting when changes are scarce.
-    pub(super) fn placement(&mut self, number: JobNumber, task: u32, spec: &JobSpec, now: Micros) {
+    pub(in crate::scheduler) fn placement(
+        &mut self,
+        number: JobNumber,
+        task: u32,
+        spec: &JobSpec,
+        now: Micros,
+    ) {
         let ahead = match (spec.priority, spec.kind) {
             (Priority::Production, _) => 8,
             (_, JobKind::Gang) => 4,
@@ -43,31 +49,31 @@
     }
 
     /// A task ended: that can wait a little.
-    pub(super) fn outcome(&mut self, number: JobNumber, task: u32, now: Micros) {
+    pub(in crate::scheduler) fn outcome(&mut self, number: JobNumber, task: u32, now: Micros) {
         self.mark(number, task, now.plus(GATHER));
     }
 
-    pub(super) fn contains(&self, number: JobNumber, task: u32) -> bool {
+    pub(in crate::scheduler) fn contains(&self, number: JobNumber, task: u32) -> bool {
         self.due.contains_key(&(number, task))
     }
 
-    pub(super) fn len(&self) -> usize {
+    pub(in crate::scheduler) fn len(&self) -> usize {
         self.due.len()
     }
 
-    pub(super) fn remove(&mut self, number: JobNumber, task: u32) {
+    pub(in crate::scheduler) fn remove(&mut self, number: JobNumber, task: u32) {
         if let Some(due) = self.due.remove(&(number, task)) {
             self.queue.remove(&(due, number, task));
         }
     }
 
     /// Whether something urgent is due.
-    pub(super) fn urgent(&self, now: Micros) -> bool {
+    pub(in crate::scheduler) fn urgent(&self, now: Micros) -> bool {
         let urgent = now.since(Micros::from_secs(1));
         self.queue.first().is_some_and(|d| d.0 <= urgent)
     }
 
-    pub(super) fn jobs(&self) -> Vec<JobNumber> {
+    pub(in crate::scheduler) fn jobs(&self) -> Vec<JobNumber> {
         let mut all: Vec<JobNumber> = self.due.keys().map(|k| k.0).collect();
         all.sort_unstable();
         all.dedup();
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -13,13 +13,40 @@
 /// Machines of one group that a pass looks at for one job, beyond those that it needs.
 const LOOKS: usize = 48;
 
+/// When the next pass is due, and what this one may still do.
+pub(super) struct PlacementPass {
+    /// Something changed that may let waiting jobs be placed.
+    pub(super) requested: bool,
+    pub(super) next_at: Micros,
+    /// Teams of which, in this pass, the rest of the limit is kept for a starved gang: of the
+    /// accelerators alone, or of everything.
+    pub(super) reserved_quota: Vec<(usize, bool)>,
+    /// Searches for room to be made that are left in this pass.
+    pub(super) preemption_searches_left: u32,
+    /// When a job was last found waiting.
+    pub(super) last_waiting_at: Micros,
+}
+
+impl PlacementPass {
+    /// The first pass is due at once.
+    pub(super) fn new(now: Micros) -> PlacementPass {
+        PlacementPass {
+            requested: true,
+            next_at: now,
+            reserved_quota: Vec::new(),
+            preemption_searches_left: 0,
+            last_waiting_at: now,
+        }
+    }
+}
+
 impl Scheduler {
     pub(super) fn run_pass(&mut self, now: Micros) {
         self.release_barriers(now);
-        self.preemption_searches_left = SEARCHES_PER_PASS;
-        self.reserved_quota.clear();
+        self.placement_pass.preemption_searches_left = SEARCHES_PER_PASS;
+        self.placement_pass.reserved_quota.clear();
         for w in self.queued_jobs(now) {
-            let Some(job) = self.jobs.get(&w.number) else {
+            let Some(job) = self.job_table.jobs.get(&w.number) else {
                 continue;
             };
             if job.not_before > now || self.is_quota_reserved(job) {
@@ -50,30 +77,30 @@
         want: u64,
         now: Micros,
     ) -> Vec<Arc<str>> {
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return Vec::new();
         };
         let stuck = self.is_blocked(job, now);
         let spec = job.spec.clone();
         let limit = LOOKS + want.min(1_000) as usize;
         let mut found = Vec::new();
-        for g in 0..self.index.groups.len() {
-            let group = &self.index.groups[g];
+        for g in 0..self.inventory.index.groups.len() {
+            let group = &self.inventory.index.groups[g];
             if zone.is_some_and(|z| z != &*group.zone)
                 || !(stuck || self.ever_suits(&spec, &group.kind.size))
                 || !spec.allows(&group.kind.name, &group.zone, group.spot)
             {
                 continue;
             }
-            let group = &mut self.index.groups[g];
+            let group = &mut self.inventory.index.groups[g];
             let search = group.search(&spec.need, limit);
             self.steps += search.steps;
             found.extend(search.fits);
         }
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return Vec::new();
         };
-        let holders = self.index.holders(&spec.image) as u64;
+        let holders = self.inventory.index.holders(&spec.image) as u64;
         let waited = now.since(job.queued.max(job.parked_at));
         // How soon the machines that have its image become free for it, one after the other.
         let soon = match spec.kind {
@@ -83,7 +110,7 @@
         let mut list: Vec<(u64, Arc<str>)> = found
             .into_iter()
             .filter_map(|name| {
-                let machine = self.machines.get(&name)?;
+                let machine = self.inventory.machines.get(&name)?;
                 // A large image takes as long to fetch as the gang may soon find a machine that has
                 // it; and this machine may have what another gang needs.
                 if !machine.has_image(&spec.image) {
@@ -112,7 +139,7 @@
     /// Places as many idle tasks of an array or a service as go; says how many are left over that
     /// the team's limit would allow.
     pub(super) fn place_tasks(&mut self, number: JobNumber, now: Micros) -> u64 {
-        let Some(job) = self.jobs.get(&number) else {
+        let Some(job) = self.job_table.jobs.get(&number) else {
             return 0;
         };
         let spec = job.spec.clone();
@@ -126,8 +153,10 @@
         let single = spec.kind == JobKind::Array && self.is_blocked(job, now);
         for name in self.candidates(number, None, more, now) {
             while more > 0 {
-                let (Some(job), Some(machine)) = (self.jobs.get(&number), self.machines.get(&name))
-                else {
+                let (Some(job), Some(machine)) = (
+                    self.job_table.jobs.get(&number),
+                    self.inventory.machines.get(&name),
+                ) else {
                     break;
                 };
                 let Some(&task) = job.idle.first() else {
@@ -143,7 +172,9 @@
                 }
                 let (agent_epoch, attempt) = (machine.agent_epoch, job.next_attempt(task));
                 self.allocate(number, task, name.clone(), agent_epoch, attempt, false, now);
-                self.unsaved.placement(number, task, &spec, now);
+                self.persistence
+                    .unsaved_tasks
+                    .placement(number, task, &spec, now);
                 more -= 1;
             }
         }
--- a/crates/saltpitch-core/src/scheduler/policy_bindings.rs
+++ b/crates/saltpitch-core/src/scheduler/policy_bindings.rs
@@ -50,7 +50,10 @@
 
 impl Scheduler {
     fn cluster(&self) -> impl Fn(&str) -> Option<Value> {
-        let (machines, jobs) = (self.machines.len() as f64, self.jobs.len() as f64);
+        let (machines, jobs) = (
+            self.inventory.machines.len() as f64,
+            self.job_table.jobs.len() as f64,
+        );
         move |name| match name {
             "cluster.machines" => Some(Value::Number(machines)),
             "cluster.jobs" => Some(Value::Number(jobs)),
@@ -62,8 +65,9 @@
     pub(super) fn apply_policy(&mut self) {
         let cluster = self.cluster();
         let policy = &mut self.config.policy;
-        self.batch_completion_target = Micros::from_secs_f64(policy.number("drain_s", &cluster));
-        for g in &mut self.index.groups {
+        self.autoscaler.batch_completion_target =
+            Micros::from_secs_f64(policy.number("drain_s", &cluster));
+        for g in &mut self.inventory.index.groups {
             let scope = |n: &str| type_value(&g.kind, g.spot, n).or_else(|| cluster(n));
             g.keep = Micros::from_secs_f64(policy.number("idle_keep_s", &scope));
         }
--- a/crates/saltpitch-core/src/scheduler/preemption.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption.rs
@@ -28,12 +28,13 @@
     /// A replica starts at once where its image is, and only after a fetch elsewhere: once for each
     /// job, lesser work is stopped on machines that have the image. True while that room is awaited.
     pub(super) fn preempts_near_image(&mut self, w: QueuedJob, now: Micros) -> bool {
-        let Some(job) = self.jobs.get(&w.number) else {
+        let Some(job) = self.job_table.jobs.get(&w.number) else {
             return false;
         };
         // Looked for again while there is hope: a fetch takes longer than that.
         if let Some(until) = job.room_awaited_until {
             let objectives = self
+                .job_table
                 .classes
                 .get(job.class)
                 .map_or(&[][..], |c| &c.objectives);
@@ -58,14 +59,14 @@
         let spec = job.spec.clone();
         let idle = job.idle.len() as u64;
         let near = self.candidates(w.number, None, idle, now);
-        let has = |l: &Scheduler, name: &Arc<str>| {
-            let machine = l.machines.get(name);
+        let has = |scheduler: &Scheduler, name: &Arc<str>| {
+            let machine = scheduler.inventory.machines.get(name);
             machine.is_some_and(|machine| machine.has_image(&spec.image))
         };
         let ready: u64 = near
             .iter()
             .filter(|name| has(self, name))
-            .filter_map(|name| self.machines.get(name))
+            .filter_map(|name| self.inventory.machines.get(name))
             .map(|machine| spec.need.count_in(&machine.free()))
             .sum();
         let missing = idle.saturating_sub(ready) as usize;
@@ -77,7 +78,7 @@
             options.truncate(missing);
         }
         let awaited = !options.is_empty();
-        if let Some(job) = self.jobs.get_mut(&w.number) {
+        if let Some(job) = self.job_table.jobs.get_mut(&w.number) {
             job.room_awaited_until = Some(if awaited {
                 now.plus(Micros::from_millis(700))
             } else {
@@ -91,7 +92,7 @@
 
     /// Stops less urgent work for up to `left` tasks of this job, the cheapest loss first.
     pub(super) fn preempt(&mut self, w: QueuedJob, left: u64, now: Micros) {
-        let Some(job) = self.jobs.get(&w.number) else {
+        let Some(job) = self.job_table.jobs.get(&w.number) else {
             return;
         };
         let spec = job.spec.clone();
@@ -107,10 +108,10 @@
         if spec.priority < Priority::High && !w.guaranteed && w.slack.is_none() {
             return;
         }
-        if self.preemption_searches_left == 0 {
+        if self.placement_pass.preemption_searches_left == 0 {
             return;
         }
-        self.preemption_searches_left -= 1;
+        self.placement_pass.preemption_searches_left -= 1;
         let mut stops: Vec<(JobNumber, u32)> = Vec::new();
         let mut left = left;
         let mut options = self.preemption_options(w, &spec, now);
@@ -124,9 +125,9 @@
         }
         // What was found is given time to show its effect; what was not may turn up elsewhere.
         // The more jobs wait, the later it is another one's turn.
-        let turn = 300 * (self.unplaced_jobs.len() as u64 / 8).clamp(1, 8);
+        let turn = 300 * (self.job_table.unplaced.len() as u64 / 8).clamp(1, 8);
         let wait = if stops.is_empty() { turn } else { 2_000 };
-        if let Some(job) = self.jobs.get_mut(&w.number) {
+        if let Some(job) = self.job_table.jobs.get_mut(&w.number) {
             job.search_after = now.plus(Micros::from_millis(wait));
         }
         if stops.is_empty() {
@@ -143,7 +144,7 @@
         now: Micros,
     ) {
         for (number, task) in stops {
-            let Some(victim) = self.jobs.get(&number) else {
+            let Some(victim) = self.job_table.jobs.get(&number) else {
                 continue;
             };
             let grace = if victim.spec.saves() && !at_once {
@@ -169,8 +170,8 @@
     ) -> Vec<PreemptionOption> {
         let mut options = Vec::new();
         let mut looked: Vec<Arc<str>> = Vec::new();
-        for g in 0..self.index.groups.len() {
-            let group = &self.index.groups[g];
+        for g in 0..self.inventory.index.groups.len() {
+            let group = &self.inventory.index.groups[g];
             if !spec.need.fits(&group.kind.size)
                 || !spec.allows(&group.kind.name, &group.zone, group.spot)
                 || self.contested_for(spec, &group.kind.size)
@@ -178,15 +179,15 @@
             {
                 continue;
             }
-            let group = &mut self.index.groups[g];
+            let group = &mut self.inventory.index.groups[g];
             let part = group.next_part(MACHINES_PER_SEARCH);
             looked.extend(part);
         }
         self.steps += looked.len() as u64;
-        let Some(job) = self.jobs.get(&w.number) else {
+        let Some(job) = self.job_table.jobs.get(&w.number) else {
             return options;
         };
-        for machine in looked.iter().filter_map(|n| self.machines.get(n)) {
+        for machine in looked.iter().filter_map(|n| self.inventory.machines.get(n)) {
             if !machine.takes_tasks()
                 || !Self::zone_allows(job, &machine.zone)
                 || job.failures.avoids(&machine.name, now)
@@ -196,7 +197,7 @@
             let mut free = machine.free();
             let mut victims = Vec::new();
             for &(number, task) in &machine.allocations {
-                let Some(other) = self.jobs.get(&number) else {
+                let Some(other) = self.job_table.jobs.get(&number) else {
                     continue;
                 };
                 let Some(allocation) = other.tasks[task as usize].allocation.as_ref() else {
@@ -261,7 +262,11 @@
             return true;
         }
         // Only what is served later anyway: otherwise two jobs could stop each other in turn.
-        let own = self.jobs.get(&w.number).map_or(u8::MAX, |job| job.rank);
+        let own = self
+            .job_table
+            .jobs
+            .get(&w.number)
+            .map_or(u8::MAX, |job| job.rank);
         if other.rank <= own {
             return false;
         }
--- a/crates/saltpitch-core/src/scheduler/queue_order.rs
+++ b/crates/saltpitch-core/src/scheduler/queue_order.rs
@@ -37,12 +37,12 @@
     /// Jobs with tasks to place, most urgent first: production, then what lies within its team's
     /// guarantee, then the rest, each by priority and age.
     pub(super) fn queued_jobs(&mut self, now: Micros) -> Vec<QueuedJob> {
-        let mut ranks = Vec::with_capacity(self.active_by_age.len());
+        let mut ranks = Vec::with_capacity(self.job_table.active_by_age.len());
         let mut claimed = vec![Resources::default(); self.quota.len()];
-        let mut list = Vec::with_capacity(self.unplaced_jobs.len());
-        self.steps += self.active_by_age.len() as u64;
-        for (_, number) in &self.active_by_age {
-            let Some(job) = self.jobs.get(number).filter(|job| job.active()) else {
+        let mut list = Vec::with_capacity(self.job_table.unplaced.len());
+        self.steps += self.job_table.active_by_age.len() as u64;
+        for (_, number) in &self.job_table.active_by_age {
+            let Some(job) = self.job_table.jobs.get(number).filter(|job| job.active()) else {
                 continue;
             };
             let Some(team) = self.quota.team(job.team) else {
@@ -109,7 +109,7 @@
         }
         list.sort_unstable_by_key(|x| x.0);
         for (number, rank) in ranks {
-            if let Some(job) = self.jobs.get_mut(&number) {
+            if let Some(job) = self.job_table.jobs.get_mut(&number) {
                 job.rank = rank;
             }
         }
@@ -119,7 +119,11 @@
     /// Nothing of this job was placed for long, although something is left of it: late or large, its
     /// turn has come. The wait is the same for all, so that nobody's is without bound.
     pub(super) fn is_starved(&self, job: &Job, now: Micros) -> bool {
-        let mean = self.classes.get(job.class).map_or(0.0, |c| c.mean_tasks);
+        let mean = self
+            .job_table
+            .classes
+            .get(job.class)
+            .map_or(0.0, |c| c.mean_tasks);
         let large = f64::from(job.spec.tasks) > mean * 1.5;
         let limit = match job.spec.kind {
             _ if !large => STARVED_SMALL,
@@ -135,6 +139,7 @@
     pub(super) fn start_by(&self, job: &Job, now: Micros) -> Option<Micros> {
         let run = self.estimate(job).times(1.2);
         let objectives = self
+            .job_table
             .classes
             .get(job.class)
             .map_or(&[][..], |c| &c.objectives);
--- a/crates/saltpitch-core/src/scheduler/summary.rs
+++ b/crates/saltpitch-core/src/scheduler/summary.rs
@@ -29,7 +29,12 @@
     /// What the machines that are up give and how much of it is in use, by type.
     fn usage(&self) -> BTreeMap<&str, TypeUsage<'_>> {
         let mut by_type: BTreeMap<&str, TypeUsage> = BTreeMap::new();
-        for machine in self.machines.values().filter(|machine| machine.is_up()) {
+        for machine in self
+            .inventory
+            .machines
+            .values()
+            .filter(|machine| machine.is_up())
+        {
             let usage = by_type.entry(&machine.kind.name).or_insert(TypeUsage {
                 name: &machine.kind.name,
                 machines: 0,
@@ -46,17 +51,20 @@
     /// One line for the log.
     pub fn summary(&self) -> String {
         let idle: usize = self
+            .job_table
             .jobs
             .values()
             .filter(|job| job.active())
             .map(|job| job.idle.len())
             .sum();
-        let placed: u32 = self.jobs.values().map(|job| job.placed).sum();
+        let placed: u32 = self.job_table.jobs.values().map(|job| job.placed).sum();
         let lost = self
+            .inventory
             .machines
             .values()
             .filter(|machine| machine.is_up() && !machine.takes_tasks());
         let up = self
+            .inventory
             .machines
             .values()
             .filter(|machine| machine.is_up())
@@ -64,18 +72,18 @@
         let room: Vec<String> = self.usage().values().map(TypeUsage::to_string).collect();
         format!(
             "term {} jobs {} waiting {} placed {} machines {} up {} ({} closed) [{}] dirty {} log {} free {} paused {}",
-            self.term,
-            self.jobs.len(),
+            self.leader_term.term,
+            self.job_table.jobs.len(),
             idle,
             placed,
-            self.machines.len(),
+            self.inventory.machines.len(),
             up,
             lost.count(),
             room.join(", "),
-            self.unsaved.len() + self.finished_jobs.len() + self.machine_blocks.unsaved(),
-            self.placement_log.next(),
-            self.placement_log.room(),
-            self.outcome_unknown
+            self.persistence.unsaved_tasks.len() + self.persistence.finished_jobs.len() + self.persistence.machine_blocks.unsaved(),
+            self.persistence.placement_log.next(),
+            self.persistence.placement_log.room(),
+            self.persistence.outcome_unknown
         )
     }
 }
--- a/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
@@ -28,11 +28,11 @@
 impl Scheduler {
     /// Something about a machine changed that may have brought it into reach or out of it.
     pub(super) fn update_reachability(&mut self, name: &Arc<str>) {
-        let machine = self.machines.get(name);
+        let machine = self.inventory.machines.get(name);
         if machine.is_some_and(|machine| self.is_unreachable(machine)) {
-            self.unreachable.machines.insert(name.clone());
+            self.inventory.unreachable.machines.insert(name.clone());
         } else {
-            self.unreachable.machines.remove(name);
+            self.inventory.unreachable.machines.remove(name);
         }
     }
 
@@ -47,7 +47,7 @@
                 let up_at = machine
                     .created_at
                     .plus(machine.kind.boot.times(UP_AFTER_BOOTS));
-                machine.recorded && up_at < self.elected_at
+                machine.recorded && up_at < self.leader_term.elected_at
             }
             MachinePhase::Returning(_) => false,
         }
@@ -56,8 +56,8 @@
     /// Whether many machines have been out of reach for less than a lease. After that what they held is
     /// lost and has to run elsewhere, whatever the reason.
     pub(super) fn too_many_unreachable(&mut self, now: Micros) -> bool {
-        let state = &mut self.unreachable;
-        if state.machines.len() * MANY <= self.machines.len() {
+        let state = &mut self.inventory.unreachable;
+        if state.machines.len() * MANY <= self.inventory.machines.len() {
             state.many_since = None;
             return false;
         }
--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -97,7 +97,7 @@
 fn reachable_zones(controller: &mut Controller, now: Micros) -> Vec<String> {
     controller.poll(now);
     let leader = controller.scheduler().expect("leads");
-    leader.reachable_zones.iter().cloned().collect()
+    leader.reachable_zones().iter().cloned().collect()
 }
 
 /// What lay in this process's sockets while it stood still is read late: an answer is as old as its
--- a/crates/saltpitch-core/tests/directed.rs
+++ b/crates/saltpitch-core/tests/directed.rs
@@ -130,7 +130,8 @@
 #[test]
 fn a_leader_cut_from_its_workers_returns_none_of_them() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
-    d.scheduler.reachable_zones.insert("east".to_owned());
+    d.scheduler
+        .set_reachable_zones(BTreeSet::from(["east".to_owned()]));
     let said = |sequence: u64, m: u64| Heartbeat {
         spot: m.is_multiple_of(2),
         ..heartbeat(&format!("vm-{m}"), "east", sequence, &[])
--- a/crates/saltpitch-testkit/src/nodes.rs
+++ b/crates/saltpitch-testkit/src/nodes.rs
@@ -190,7 +190,7 @@
         let Some(leader) = self.scheduler_in(epoch, now) else {
             return nobody;
         };
-        let fencing_token = leader.term;
+        let fencing_token = leader.term();
         match leader.heartbeat(heartbeat, returned, now) {
             Ok(commands) => HeartbeatAnswer::Commands {
                 fencing_token,
--- a/crates/saltpitch/src/leadership.rs
+++ b/crates/saltpitch/src/leadership.rs
@@ -151,7 +151,7 @@
     let mut controller = node.controller();
     let elected = controller.elected(campaign, store_lease, revision, opened_at, now, wall);
     if let Some(leader) = controller.scheduler().filter(|_| elected) {
-        tracing::info!("leader in term {}, {}", leader.term, leader.summary());
+        tracing::info!("leader in term {}, {}", leader.term(), leader.summary());
     }
     elected
 }
