--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -403,7 +403,7 @@
         let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return;
         };
-        if job.spec.kind == JobKind::Gang && !job.complete() {
+        if job.spec.kind == JobKind::Gang && !job.is_complete() {
             // One member gone ends the attempt. An orderly stop keeps its grace: told in time,
             // the others save as well.
             if !stopped && job.gang != Gang::Stopping {
@@ -429,9 +429,8 @@
             return;
         }
         let ratio = (ran.0 as f64 / job.spec.estimate.0 as f64).clamp(0.1, 10.0);
-        if let Some(c) = self.job_table.classes.get_mut(job.class) {
-            c.ratio += (ratio - c.ratio) * 0.05;
-        }
+        let class = job.class;
+        self.job_table.classes.note_run_time(class, ratio);
     }
 
     /// Every task on this machine is proven gone.
--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -1,64 +1,63 @@
-//! Tasks and their places: assumed, cleared, stopped and completed.
+//! Allocations: assumed, released, stopped and completed. What an allocation takes is counted in the job,
+//! on the machine, in the machine index, in the team's quota and in the autoscaler's load at once.
 
 use std::sync::Arc;
 
-use super::{batch_seconds, Allocation, ObservedState, Scheduler, StopRequest};
-use crate::cluster::JobNumber;
-use crate::job::{JobKind, JobState};
+use super::{Allocation, Job, ObservedState, Scheduler, StopRequest};
+use crate::cluster::{JobNumber, Machine};
+use crate::job::{JobKind, JobSpec, JobState};
 use crate::time::Micros;
 
+/// Where a task goes.
+pub(super) struct Assignment {
+    pub(super) job: JobNumber,
+    pub(super) task: u32,
+    pub(super) machine: Arc<str>,
+    /// The epoch in which the machine's agent was when the task was placed.
+    pub(super) agent_epoch: u64,
+    pub(super) attempt: u32,
+    /// Whether it is on record already.
+    pub(super) committed: bool,
+}
+
 impl Scheduler {
-    /// Records a place in memory: its room is held from now on.
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn allocate(
-        &mut self,
-        number: JobNumber,
-        task: u32,
-        machine_name: Arc<str>,
-        agent_epoch: u64,
-        attempt: u32,
-        committed: bool,
-        now: Micros,
-    ) {
+    /// Counts a task as placed from now on.
+    pub(super) fn allocate(&mut self, assignment: Assignment, now: Micros) {
+        let Assignment {
+            job: number,
+            task,
+            machine: name,
+            agent_epoch,
+            attempt,
+            committed,
+        } = assignment;
         let (Some(job), Some(machine)) = (
             self.job_table.jobs.get_mut(&number),
-            self.inventory.machines.get_mut(&machine_name),
+            self.inventory.machines.get_mut(&name),
         ) else {
             return;
         };
-        let t = &mut job.tasks[task as usize];
-        t.attempt = attempt;
-        t.allocation = Some(Box::new(Allocation {
-            machine: machine_name.clone(),
+        let allocation = Allocation {
+            machine: name.clone(),
             agent_epoch,
             attempt,
             committed,
             in_transaction: false,
             observed: ObservedState::Unseen,
             start_sequence: 0,
-            // A leader before us may have sent it; its doubts end with our token.
+            // An earlier leader may have sent the start; its doubts end with this leader's fencing token.
             start_sent: committed,
             since: now,
             running_since: None,
             stop: None,
-        }));
-        job.idle.remove(&task);
-        if job.idle.is_empty() {
-            self.job_table.unplaced.remove(&number);
-        }
-        job.placed += 1;
-        // What is assumed at the gang barrier may have to be given back.
-        if committed || job.spec.kind != JobKind::Gang {
-            job.served_at = now;
-        }
-        job.started |= job.idle.is_empty() && job.deferred.is_empty();
-        *job.zones.entry(machine.zone.clone()).or_default() += 1;
+        };
+        job.place(task, allocation, &machine.zone, now);
         machine.allocations.insert((number, task));
         machine.used = machine.used.plus(&job.spec.need);
         if committed {
             // What an earlier epoch says is older than this.
             machine.agent_epoch = machine.agent_epoch.max(agent_epoch);
-            self.dispatch.awaiting_effect.insert(machine_name.clone());
+            self.dispatch.awaiting_effect.insert(name.clone());
         }
         if job.spec.kind == JobKind::Array {
             self.autoscaler.batch_placed += batch_seconds(&job.spec);
@@ -66,100 +65,76 @@
             machine.steady_cpu += job.spec.need.cpu;
         }
         self.quota.add(job.team, &job.spec.need);
-        self.inventory
-            .index
-            .loaded(machine, job.spec.priority, true);
-        self.inventory.index.update(machine);
-        self.inventory.idle.remove(&machine_name);
+        let index = &mut self.inventory.index;
+        index.loaded(machine, job.spec.priority, true);
+        index.update(machine);
+        self.inventory.idle.remove(&name);
+        self.job_table.update_unplaced(number);
     }
 
-    /// A task's place is proven to be free, or was never sent.
+    /// A task is proven to be off its machine, or its start was never sent.
     pub(super) fn release(&mut self, number: JobNumber, task: u32, now: Micros) {
         let Some(job) = self.job_table.jobs.get_mut(&number) else {
             return;
         };
-        let Some(allocation) = job.tasks[task as usize].allocation.take() else {
+        let machine_of = |allocation: &Allocation| allocation.machine.clone();
+        let Some(name) = job.allocation(task).map(machine_of) else {
+            return;
+        };
+        let machine = self.inventory.machines.get_mut(&name);
+        let zone = machine.as_ref().map(|machine| machine.zone.clone());
+        let Some(allocation) = job.unplace(task, zone.as_ref()) else {
             return;
         };
-        job.placed -= 1;
-        if !allocation.committed
-            && !allocation.start_sent
-            && job.tasks[task as usize].attempt == allocation.attempt
-        {
-            // Never sent: the number was not used.
-            job.tasks[task as usize].attempt -= 1;
-        }
-        if !job.tasks[task as usize].done {
-            job.idle.insert(task);
-            if job.active() {
-                self.job_table.unplaced.insert(number);
-            }
-        }
         self.quota.remove(job.team, &job.spec.need);
         if job.spec.kind == JobKind::Array {
             self.autoscaler.batch_placed -= batch_seconds(&job.spec);
         }
-        if let Some(machine) = self.inventory.machines.get_mut(&allocation.machine) {
-            if let Some(n) = job.zones.get_mut(&machine.zone) {
-                *n -= 1;
-                if *n == 0 {
-                    let zone = machine.zone.clone();
-                    job.zones.remove(&zone);
-                }
-            }
-            machine.allocations.remove(&(number, task));
-            machine.used = machine.used.minus(&job.spec.need);
-            if job.spec.kind != JobKind::Array {
-                machine.steady_cpu = machine.steady_cpu.saturating_sub(job.spec.need.cpu);
-            }
-            if job.spec.need.gpu > 0 || machine.kind.size.gpu == 0 {
-                machine.wanted_at = now;
-            }
+        if let Some(machine) = machine {
+            remove_from_machine(machine, number, task, job, now);
             if machine.allocations.is_empty() {
                 machine.idle_since = now;
-                self.inventory.idle.insert(allocation.machine.clone());
+                self.inventory.idle.insert(name);
             }
-            self.inventory
-                .index
-                .loaded(machine, job.spec.priority, false);
-            self.inventory.index.update(machine);
+            let index = &mut self.inventory.index;
+            index.loaded(machine, job.spec.priority, false);
+            index.update(machine);
         }
-        // In doubt, the record is written again: it must not keep a place that memory has dropped.
+        self.job_table.update_unplaced(number);
+        // Where the outcome of a transaction is unknown, the record is written again: it must not keep an
+        // allocation that memory has dropped.
         if allocation.committed || allocation.in_transaction {
             self.persistence.unsaved_tasks.outcome(number, task, now);
         }
         self.placement_pass.requested = true;
     }
 
-    /// Stops every placed task of a job; those whose start was never sent are dropped at once.
+    /// Stops every placed task of a job; those whose start was never sent are released at once.
     pub(super) fn stop_all(&mut self, number: JobNumber, grace: Micros, now: Micros) {
-        let Some(job) = self.job_table.jobs.get(&number) else {
+        let Some(job) = self.job_table.get(number) else {
             return;
         };
         let placed: Vec<u32> = (0..job.spec.tasks)
-            .filter(|t| job.tasks[*t as usize].allocation.is_some())
+            .filter(|task| job.allocation(*task).is_some())
             .collect();
-        for t in placed {
-            self.stop(number, t, grace, now);
+        for task in placed {
+            self.stop(number, task, grace, now);
         }
     }
 
+    /// Stops a task with this time to save its progress; a shorter time replaces a longer one.
     pub(super) fn stop(&mut self, number: JobNumber, task: u32, grace: Micros, now: Micros) {
-        let Some(allocation) = self
-            .job_table
-            .jobs
-            .get_mut(&number)
-            .and_then(|job| job.tasks[task as usize].allocation.as_mut())
-        else {
+        let job = self.job_table.get_mut(number);
+        let Some(allocation) = job.and_then(|job| job.allocation_mut(task)) else {
             return;
         };
         if !allocation.start_sent {
             self.release(number, task, now);
             return;
         }
-        let sooner = allocation.stop.is_none_or(|s| grace < s.grace);
+        let sooner = allocation.stop.is_none_or(|known| grace < known.grace);
         if sooner {
-            let since = allocation.stop.map_or(now, |s| s.since);
+            let since = allocation.stop.map_or(now, |known| known.since);
             allocation.stop = Some(StopRequest { grace, since });
         }
         let name = allocation.machine.clone();
@@ -168,40 +143,50 @@
 
     /// Marks a job that is over, and of which nothing is left on any machine, for its final record.
     pub(super) fn check_complete(&mut self, number: JobNumber) {
-        let Some(job) = self.job_table.jobs.get(&number) else {
+        let Some(job) = self.job_table.get(number) else {
             return;
         };
         let over = match job.state {
-            JobState::Cancelled => job.placed == 0,
-            _ => job.complete() && job.placed == 0,
+            JobState::Cancelled => true,
+            JobState::Active | JobState::Done => job.is_complete(),
         };
-        if over {
-            self.dequeue(number);
+        if over && job.placed == 0 {
+            self.job_table.dequeue(number);
             self.persistence.finished_jobs.insert(number);
         }
     }
 
     /// A task ended with its result kept.
     pub(super) fn task_done(&mut self, number: JobNumber, task: u32, now: Micros) {
-        let Some(job) = self.job_table.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
-        if job.spec.kind == JobKind::Service {
-            return;
-        }
-        let t = &mut job.tasks[task as usize];
-        if !t.done {
-            job.failures.completed(task);
-            t.done = true;
-            job.done += 1;
-            if job.done == job.spec.tasks {
-                job.done_at = Some(now);
-            }
-            job.idle.remove(&task);
-            if job.idle.is_empty() {
-                self.job_table.unplaced.remove(&number);
-            }
+        if job.complete_task(task, now) {
+            self.job_table.update_unplaced(number);
             self.persistence.unsaved_tasks.outcome(number, task, now);
         }
     }
 }
+
+fn remove_from_machine(
+    machine: &mut Machine,
+    number: JobNumber,
+    task: u32,
+    job: &Job,
+    now: Micros,
+) {
+    let need = &job.spec.need;
+    machine.allocations.remove(&(number, task));
+    machine.used = machine.used.minus(need);
+    if job.spec.kind != JobKind::Array {
+        machine.steady_cpu = machine.steady_cpu.saturating_sub(need.cpu);
+    }
+    if need.gpu > 0 || machine.kind.size.gpu == 0 {
+        machine.wanted_at = now;
+    }
+}
+
+/// Processor-seconds of one task by its owner's estimate.
+fn batch_seconds(spec: &JobSpec) -> f64 {
+    spec.need.cpu as f64 / 1e3 * spec.estimate.as_secs_f64()
+}
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
@@ -104,11 +104,11 @@
     fn pools(&mut self, now: Micros) -> Vec<CapacityPool> {
         let waiting = self
             .job_table
-            .unplaced
+            .unplaced()
             .iter()
             .filter_map(|number| self.job_table.jobs.get(number));
         let smallest_need = waiting.map(|job| job.spec.need.cpu).min().unwrap_or(0);
-        self.steps += self.job_table.unplaced.len() as u64;
+        self.steps += self.job_table.unplaced().len() as u64;
         let mut pools = Vec::new();
         for t in &self.catalog.types {
             let kind = Arc::new(t.clone());
--- a/crates/saltpitch-core/src/scheduler/consolidation.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -22,7 +22,7 @@
     /// Empties the machines whose replicas cost most, a few at a time, if the others have room for
     /// them where their images are. Nothing may be waiting: room is not taken from anybody.
     pub(super) fn consolidate(&mut self, now: Micros) {
-        if !self.job_table.unplaced.is_empty() {
+        if !self.job_table.unplaced().is_empty() {
             self.placement_pass.last_waiting_at = now;
         }
         if now.since(self.placement_pass.last_waiting_at) < CALM || !self.consolidates() {
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -52,7 +52,7 @@
 
     fn may_be_delegated(&self) -> bool {
         let batch = self.spec.kind != JobKind::Service && self.spec.priority < Priority::Production;
-        batch && self.active() && self.is_untouched() && self.guest.is_none() && !self.at_fault()
+        batch && self.is_active() && self.is_untouched() && self.guest.is_none() && !self.at_fault()
     }
 
     /// Since when it has waited here.
@@ -70,12 +70,9 @@
         limit: usize,
         now: Micros,
     ) -> Vec<DelegationCandidate> {
-        let oldest = self
-            .job_table
-            .active_by_age
-            .iter()
-            .take(LOOKS_FOR_CANDIDATES);
-        let jobs = oldest.filter_map(|(_, number)| self.job_table.jobs.get(number));
+        let oldest = self.job_table.active_by_age();
+        let oldest = oldest.take(LOOKS_FOR_CANDIDATES);
+        let jobs = oldest.filter_map(|number| self.job_table.get(number));
         let long_enough = |job: &&Job| now.since(job.waits_locally_since()) >= waited;
         jobs.filter(|job| job.may_be_delegated())
             .filter(long_enough)
@@ -101,15 +98,15 @@
     /// `None` if something of it is placed, on record or on its way there.
     pub fn reserve_for_delegation(&mut self, id: &str) -> Option<u64> {
         let number = *self.job_table.by_id.get(id)?;
-        let job = self.job_table.jobs.get(&number)?;
+        let job = self.job_table.get(number)?;
         let written = |task: u32| {
             self.persistence.unsaved_tasks.contains(number, task) || self.is_in_flight(number, task)
         };
         if !job.may_be_delegated() || (0..job.spec.tasks).any(written) {
             return None;
         }
-        self.dequeue(number);
-        let job = self.job_table.jobs.get_mut(&number)?;
+        self.job_table.dequeue(number);
+        let job = self.job_table.get_mut(number)?;
         job.owner = JobOwner::Reserved;
         Some(job.rev)
     }
@@ -119,7 +116,7 @@
         let Some(&number) = self.job_table.by_id.get(id) else {
             return;
         };
-        let Some(job) = self.job_table.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
         if job.owner == JobOwner::Reserved {
@@ -136,7 +133,7 @@
             .job_table
             .by_id
             .get(id)
-            .and_then(|number| self.job_table.jobs.get(number));
+            .and_then(|number| self.job_table.get(*number));
         let Some((spec, team)) = job.map(|job| (job.spec.clone(), job.team)) else {
             return false;
         };
@@ -152,10 +149,10 @@
 
     /// Whether a job of this cell's own waits for longer than a moment.
     fn queue_is_long(&self, now: Micros) -> bool {
-        let open = self.job_table.unplaced.iter().take(LOOKS_FOR_CANDIDATES);
-        let mut jobs = open.filter_map(|number| self.job_table.jobs.get(number));
+        let open = self.job_table.unplaced().iter().take(LOOKS_FOR_CANDIDATES);
+        let mut jobs = open.filter_map(|number| self.job_table.get(*number));
         let waits = |job: &Job| now.since(job.waits_locally_since()) > QUEUE_IS_SHORT;
-        jobs.any(|job| job.active() && job.guest.is_none() && !job.at_fault() && waits(job))
+        jobs.any(|job| job.is_active() && job.guest.is_none() && !job.at_fault() && waits(job))
     }
 
     fn has_free_room(&mut self, spec: &JobSpec) -> bool {
@@ -195,7 +192,7 @@
 
     /// A job's record changed: it may have gone to another cell, or come back.
     pub(super) fn job_owner_changed(&mut self, number: JobNumber, record: &JobRecord, now: Micros) {
-        let Some(job) = self.job_table.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
         if record.state != JobState::Active {
@@ -204,7 +201,7 @@
         let before = job.owner;
         if record.is_delegated() {
             job.owner = JobOwner::Elsewhere;
-            self.dequeue(number);
+            self.job_table.dequeue(number);
         } else if before == JobOwner::Elsewhere {
             job.owner = JobOwner::Here;
             job.came_back_at = now;
@@ -220,7 +217,7 @@
         now: Micros,
     ) {
         let elsewhere = |job: &&Job| job.owner == JobOwner::Elsewhere;
-        let Some(job) = self.job_table.jobs.get(&number).filter(elsewhere) else {
+        let Some(job) = self.job_table.get(number).filter(elsewhere) else {
             return;
         };
         let record = records.jobs.get(&*job.id).map(|entry| &entry.record);
@@ -237,8 +234,7 @@
         };
         let own = |number: &JobNumber| {
             self.job_table
-                .jobs
-                .get(number)
+                .get(*number)
                 .is_some_and(|job| job.guest.is_none())
         };
         guest.may_rent || machine.allocations.iter().any(|(number, _)| own(number))
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -1,8 +1,9 @@
 //! Gangs at the barrier: their members hold the room that they found until all have some.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+use super::allocations::Assignment;
 use super::queue_order::QueuedJob;
 use super::{Job, Scheduler};
 use crate::catalog::Resources;
@@ -14,6 +15,19 @@
 /// How long a gang keeps the room that it found while jobs of its team are stuck.
 const MAX_HOLD: Micros = Micros::from_secs(25);
 
+/// The gangs that wait at the barrier with some members assumed.
+#[derive(Default)]
+pub(super) struct GangBarrier {
+    waiting: BTreeSet<JobNumber>,
+}
+
+impl GangBarrier {
+    /// The gang no longer waits: it was allowed to start, or is over.
+    pub(super) fn leave(&mut self, number: JobNumber) {
+        self.waiting.remove(&number);
+    }
+}
+
 impl Scheduler {
     /// Whether a gang keeps the room that it found beyond the barrier's wait: its turn has come. Not for
     /// ever, though: where the machines for the rest are not to be had, jobs of its team would wait
@@ -26,8 +40,7 @@
     ) -> bool {
         let Some(job) = self
             .job_table
-            .jobs
-            .get(&number)
+            .get(number)
             .filter(|job| self.is_aged(job, now))
         else {
             return false;
@@ -39,7 +52,7 @@
                 && !other.at_fault()
                 && self.is_blocked(other, now)
         };
-        now.since(since) < MAX_HOLD || !self.job_table.jobs.values().any(blocked)
+        now.since(since) < MAX_HOLD || !self.job_table.values().any(blocked)
     }
 
     /// What its team has left is kept for a gang that has waited too long: nothing behind that one
@@ -54,13 +67,13 @@
     /// Takes back the room of all gangs at the barrier, so that this pass deals it out anew, oldest
     /// first: two gangs must not each hold what the other lacks.
     pub(super) fn release_barriers(&mut self, now: Micros) {
-        let holding: Vec<(JobNumber, Micros)> = (self.job_table.gangs_at_barrier.iter())
-            .filter_map(|number| match self.job_table.jobs.get(number)?.gang {
+        let holding: Vec<(JobNumber, Micros)> = (self.gang_barrier.waiting.iter())
+            .filter_map(|number| match self.job_table.get(*number)?.gang {
                 Gang::Holding { since } => Some((*number, since)),
                 _ => None,
             })
             .collect();
-        self.job_table.gangs_at_barrier.clear();
+        self.gang_barrier.waiting.clear();
         for (number, since) in holding {
             self.park(number, now);
             self.wait_at_barrier(number, since);
@@ -69,15 +82,15 @@
 
     /// The gang's members found so far hold their room.
     pub(super) fn wait_at_barrier(&mut self, number: JobNumber, since: Micros) {
-        if let Some(job) = self.job_table.jobs.get_mut(&number) {
+        if let Some(job) = self.job_table.get_mut(number) {
             job.gang = Gang::Holding { since };
-            self.job_table.gangs_at_barrier.insert(number);
+            self.gang_barrier.waiting.insert(number);
         }
     }
 
     /// One pass over a gang: gate, assumption, barrier.
     pub(super) fn schedule_gang(&mut self, w: QueuedJob, now: Micros) {
-        let Some(job) = self.job_table.jobs.get(&w.number) else {
+        let Some(job) = self.job_table.get(w.number) else {
             return;
         };
         let n = job.spec.tasks;
@@ -115,23 +128,18 @@
         if !one_zone || zone.is_some() {
             self.assume_members(w.number, zone.as_deref(), now);
         }
-        let Some(spec) = self
-            .job_table
-            .jobs
-            .get(&w.number)
-            .map(|job| job.spec.clone())
-        else {
+        let Some(spec) = self.job_table.get(w.number).map(|job| job.spec.clone()) else {
             return;
         };
         let wait = self.gang_hold(&spec);
-        let Some(job) = self.job_table.jobs.get_mut(&w.number) else {
+        let Some(job) = self.job_table.get_mut(w.number) else {
             return;
         };
         match permit(job.placed, n, since, now, wait) {
             Permit::Allow => {
                 job.gang = Gang::Committing;
                 job.served_at = now;
-                self.job_table.gangs_at_barrier.remove(&w.number);
+                self.gang_barrier.leave(w.number);
                 for task in 0..n {
                     self.persistence
                         .unsaved_tasks
@@ -151,7 +159,7 @@
             }
             Permit::Drop => {
                 self.park(w.number, now);
-                if let Some(job) = self.job_table.jobs.get_mut(&w.number) {
+                if let Some(job) = self.job_table.get_mut(w.number) {
                     job.gang = Gang::Parked {
                         until: now.plus(Micros::from_secs(1)),
                     };
@@ -166,7 +174,6 @@
     pub(super) fn can_become_free(&self, job: &Job) -> bool {
         let services = self
             .job_table
-            .jobs
             .values()
             .filter(|other| other.team == job.team && other.spec.kind == JobKind::Service);
         let lasting = services.fold(Resources::default(), |sum, service| {
@@ -178,7 +185,7 @@
 
     /// Drops the room of a gang that is not complete: nothing of it has gone on record.
     pub(super) fn park(&mut self, number: JobNumber, now: Micros) {
-        let Some(job) = self.job_table.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
         job.gang = Gang::Parked { until: now };
@@ -192,7 +199,7 @@
 
     /// Assumes the gang's idle members, one by one, on the present snapshot.
     pub(super) fn assume_members(&mut self, number: JobNumber, zone: Option<&str>, now: Micros) {
-        let Some(job) = self.job_table.jobs.get(&number) else {
+        let Some(job) = self.job_table.get(number) else {
             return;
         };
         let need = job.spec.need;
@@ -204,7 +211,7 @@
         let want = job.idle.len() as u64;
         for name in self.candidates(number, zone, want, now) {
             while let (Some(job), Some(machine)) = (
-                self.job_table.jobs.get(&number),
+                self.job_table.get(number),
                 self.inventory.machines.get(&name),
             ) {
                 let Some(&task) = job.idle.first() else {
@@ -214,14 +221,22 @@
                     break;
                 }
                 let agent_epoch = machine.agent_epoch;
-                self.allocate(number, task, name.clone(), agent_epoch, attempt, false, now);
+                let assignment = Assignment {
+                    job: number,
+                    task,
+                    machine: name.clone(),
+                    agent_epoch,
+                    attempt,
+                    committed: false,
+                };
+                self.allocate(assignment, now);
             }
         }
     }
 
     /// The zone that holds most members of a gang now.
     pub(super) fn best_zone(&mut self, number: JobNumber, now: Micros) -> Option<Arc<str>> {
-        let job = self.job_table.jobs.get(&number)?;
+        let job = self.job_table.get(number)?;
         let (need, all) = (job.spec.need, u64::from(job.spec.tasks));
         let mut rooms: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         for name in self.candidates(number, None, all, now) {
--- /dev/null
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -0,0 +1,289 @@
+//! Changes of jobs on record: jobs that appear, are cancelled, or are restored by a new leader.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use super::allocations::Assignment;
+use super::delegation::JobOwner;
+use super::failure_history::FailureHistory;
+use super::{Job, JobTimeline, Scheduler, Task};
+use crate::cluster::JobNumber;
+use crate::gang::Gang;
+use crate::job::{JobKind, JobSpec, JobState};
+use crate::records::{JobEntry, RecordCache, CHUNK};
+use crate::time::Micros;
+
+/// A place that the records show of a task.
+struct RecordedAllocation {
+    task: u32,
+    machine: String,
+    agent_epoch: u64,
+}
+
+impl Scheduler {
+    /// Where the job's time went, if it runs or has ended a short while ago.
+    pub fn timeline(&self, id: &str) -> Option<JobTimeline> {
+        let running = self.job_table.find(id).map(JobTimeline::of);
+        running.or_else(|| self.job_table.ended.get(id))
+    }
+
+    /// A peer acknowledged the cancellation of a job, although the records that this controller has don't
+    /// show it. What runs is stopped and nothing more is placed; the record catches up later.
+    pub fn cancelled_by_peer(&mut self, id: &str, now: Micros) {
+        match self.job_table.number_of(id) {
+            Some(number) => self.cancel_if_active(number, now),
+            // Accepted and cancelled since this controller read the records last.
+            None => self.job_table.note_cancelled_before_known(id),
+        }
+    }
+
+    /// A job's record appeared or changed.
+    pub fn job_changed(&mut self, records: &RecordCache, id: &str, now: Micros, wall: Micros) {
+        let Some(entry) = records.jobs.get(id) else {
+            return;
+        };
+        self.update_dependents(id, entry, now, wall);
+        match self.job_table.number_of(id) {
+            Some(number) => self.known_job_changed(number, entry, records, now),
+            None => self.job_appeared(id, entry, records, now, wall),
+        }
+    }
+
+    /// Passes the outcome of a job on to the jobs that depend on it.
+    fn update_dependents(&mut self, id: &str, entry: &JobEntry, now: Micros, wall: Micros) {
+        match entry.record.state {
+            JobState::Done => {
+                let done_at = entry.record.finished.map(|at| now.since(wall.since(at)));
+                self.dependency_completed(id, done_at.unwrap_or(now), now);
+            }
+            JobState::Cancelled => self.dependency_cancelled(id, now),
+            JobState::Active => {}
+        }
+    }
+
+    fn known_job_changed(
+        &mut self,
+        number: JobNumber,
+        entry: &JobEntry,
+        records: &RecordCache,
+        now: Micros,
+    ) {
+        let Some(job) = self.job_table.get_mut(number) else {
+            return;
+        };
+        if entry.rev <= job.rev {
+            return;
+        }
+        job.rev = entry.rev;
+        if entry.record.state == JobState::Cancelled {
+            self.cancel_if_active(number, now);
+        }
+        self.job_owner_changed(number, &entry.record, now);
+        self.completed_by_host(number, records, now);
+    }
+
+    /// A job that this scheduler did not know: newly submitted, or restored from the records.
+    fn job_appeared(
+        &mut self,
+        id: &str,
+        entry: &JobEntry,
+        records: &RecordCache,
+        now: Micros,
+        wall: Micros,
+    ) {
+        let Some(spec) = entry.record.spec.clone() else {
+            return;
+        };
+        // The outcome of a job without tasks on machines is final as it stands.
+        if entry.record.state == JobState::Done {
+            return;
+        }
+        let number = self.job_table.next_number();
+        let mut job = self.new_job(id, spec, entry, records, now, wall);
+        let allocations = restore_tasks(&mut job, id, records);
+        if job.state == JobState::Active {
+            self.resolve_dependencies(&mut job, number, records, now, wall);
+        }
+        let released = job.unmet_dependencies.is_empty();
+        self.job_table.insert(number, job);
+        if released {
+            self.enqueue(number, now);
+        }
+        self.inherit_urgency(number);
+        // Those that depend on it may have been read before it.
+        for dependent in self.dependencies.dependents_of(id) {
+            self.inherit_urgency(dependent);
+        }
+        let lost_tasks = self.restore_allocations(number, allocations, now);
+        self.restore_gang(number, lost_tasks, now);
+        if self.job_table.get(number).is_some_and(Job::is_cancelled) {
+            self.cancel(number, now);
+        } else {
+            self.check_complete(number);
+        }
+        self.placement_pass.requested = true;
+    }
+
+    /// The job as its record describes it, without tasks placed or done.
+    fn new_job(
+        &mut self,
+        id: &str,
+        spec: Arc<JobSpec>,
+        entry: &JobEntry,
+        records: &RecordCache,
+        now: Micros,
+        wall: Micros,
+    ) -> Job {
+        let cancelled = self.job_table.take_cancelled_before_known(id)
+            || records.state(id) == Some(JobState::Cancelled);
+        let classes = &mut self.job_table.classes;
+        let class = classes.number_of(&spec.class, &self.config.objectives);
+        classes.note_job(class, spec.tasks);
+        let tasks = spec.tasks as usize;
+        let submitted = now.since(wall.since(entry.record.submitted));
+        Job {
+            class,
+            team: self.quota.number(&spec.team),
+            id: id.into(),
+            rev: entry.rev,
+            state: match cancelled {
+                true => JobState::Cancelled,
+                false => entry.record.state,
+            },
+            owner: match entry.record.is_delegated() {
+                true => JobOwner::Elsewhere,
+                false => JobOwner::Here,
+            },
+            came_back_at: Micros::ZERO,
+            guest: entry.record.guest.clone(),
+            submitted,
+            queued: submitted,
+            unmet_dependencies: BTreeSet::new(),
+            priority: spec.priority,
+            due: None,
+            done_at: None,
+            tasks: vec![Task::default(); tasks],
+            idle: (0..spec.tasks).collect(),
+            placed: 0,
+            done: 0,
+            chunks: vec![(0, 0); tasks.div_ceil(CHUNK as usize)],
+            gang: Gang::default(),
+            not_before: Micros::ZERO,
+            parked_at: Micros::ZERO,
+            served_at: Micros::ZERO,
+            failures: FailureHistory::default(),
+            deferred: BTreeSet::new(),
+            search_after: Micros::ZERO,
+            room_awaited_until: None,
+            started: false,
+            zones: BTreeMap::new(),
+            rank: u8::MAX,
+            spec,
+        }
+    }
+
+    /// Restores where the job's tasks are. Returns whether some of them are lost.
+    fn restore_allocations(
+        &mut self,
+        number: JobNumber,
+        allocations: Vec<RecordedAllocation>,
+        now: Micros,
+    ) -> bool {
+        let mut lost_tasks = false;
+        for recorded in allocations {
+            // A machine's record is written before anything is placed on it and deleted only once
+            // the machine is proven gone: no record, no task.
+            let machine = self.inventory.machines.get(recorded.machine.as_str());
+            let name = machine.map(|machine| machine.name.clone());
+            let job = self.job_table.get(number);
+            let attempt = job.and_then(|job| job.tasks.get(recorded.task as usize));
+            let attempt = attempt.map(|task| task.attempt);
+            let Some((name, attempt)) = name.zip(attempt) else {
+                lost_tasks = true;
+                self.persistence
+                    .unsaved_tasks
+                    .outcome(number, recorded.task, now);
+                continue;
+            };
+            let assignment = Assignment {
+                job: number,
+                task: recorded.task,
+                machine: name,
+                agent_epoch: recorded.agent_epoch,
+                attempt,
+                committed: true,
+            };
+            self.allocate(assignment, now);
+        }
+        lost_tasks
+    }
+
+    /// A gang of which every member is still placed goes on; of any other the rest is stopped.
+    fn restore_gang(&mut self, number: JobNumber, lost_tasks: bool, now: Micros) {
+        let Some(job) = self.job_table.get_mut(number) else {
+            return;
+        };
+        if job.spec.kind != JobKind::Gang || job.placed == 0 {
+            return;
+        }
+        if lost_tasks || job.placed < job.spec.tasks {
+            job.gang = Gang::Stopping;
+            self.stop_all(number, Micros::ZERO, now);
+        } else {
+            job.gang = Gang::Allowed;
+        }
+    }
+
+    /// Cancels the job unless it is over.
+    pub(super) fn cancel_if_active(&mut self, number: JobNumber, now: Micros) {
+        let Some(job) = self.job_table.get_mut(number) else {
+            return;
+        };
+        if job.state == JobState::Active {
+            job.state = JobState::Cancelled;
+            self.cancel(number, now);
+        }
+    }
+
+    /// The job was cancelled: allocations whose start was never sent are released, the others stopped.
+    pub(super) fn cancel(&mut self, number: JobNumber, now: Micros) {
+        self.job_table.dequeue(number);
+        self.stop_all(number, Micros::ZERO, now);
+        self.check_complete(number);
+        self.placement_pass.requested = true;
+        if let Some(id) = self.job_table.get(number).map(|job| job.id.clone()) {
+            self.dependency_cancelled(&id, now);
+        }
+    }
+}
+
+/// Takes over what the records say of a job's tasks. Returns where they were placed.
+fn restore_tasks(job: &mut Job, id: &str, records: &RecordCache) -> Vec<RecordedAllocation> {
+    for (&chunk, checkpoint) in records.chunks.get(id).into_iter().flatten() {
+        if let Some(slot) = job.chunks.get_mut(chunk as usize) {
+            *slot = (checkpoint.rev, checkpoint.upto);
+        }
+    }
+    let mut allocations = Vec::new();
+    let recorded = records.tasks.get(id).map_or(&[][..], |known| &known.tasks);
+    for (number, (task, recorded)) in (0..).zip(job.tasks.iter_mut().zip(recorded)) {
+        task.attempt = recorded.attempt;
+        task.done = recorded.done;
+        if task.done {
+            job.idle.remove(&number);
+            job.done += 1;
+        }
+        if let Some(allocation) = &recorded.allocation {
+            allocations.push(RecordedAllocation {
+                task: number,
+                machine: allocation.0.clone(),
+                agent_epoch: allocation.1,
+            });
+        }
+    }
+    if job.spec.kind == JobKind::Array && job.done == 0 {
+        let attempts = job.tasks.iter().map(|task| task.attempt);
+        job.failures.restore(attempts);
+    }
+    allocations
+}
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -12,20 +12,21 @@
 mod delegation;
 mod dependency_gate;
 mod dispatch;
+mod failure_history;
 mod gang_barrier;
 mod graceful_eviction;
 mod interface;
 mod inventory;
+mod job_changes;
 mod job_failures;
-mod job_state;
 mod job_table;
-mod jobs;
 mod leader_clock;
 mod leader_term;
 mod persistence;
 mod placement_pass;
 mod policy_bindings;
 mod preemption;
+mod production_demand;
 mod queue_order;
 mod recovery;
 mod summary;
@@ -36,13 +37,16 @@
 
 use crate::catalog::{Catalog, Resources};
 use crate::cluster::{Machine, MachinePhase};
-use crate::job::JobSpec;
 use crate::quota::Quota;
 use crate::time::Micros;
 
 use autoscaler::Autoscaler;
+use dependency_gate::DependencyGate;
 use dispatch::Dispatch;
+use gang_barrier::GangBarrier;
 use inventory::MachineInventory;
+use job_failures::RetryQueue;
+use job_table::classes::Class;
 use job_table::JobTable;
 use leader_clock::LeaderClock;
 use leader_term::LeaderTerm;
@@ -57,11 +61,11 @@
 pub use interface::{
     Effect, Objective, ObjectiveTarget, Precondition, SchedulerConfig, Transaction, Write,
 };
-pub use jobs::JobTimeline;
+pub use job_table::timelines::JobTimeline;
 pub use persistence::alerts::Alert;
 pub use persistence::transaction::TransactionOutcome;
 
-pub(crate) use job_state::{Allocation, Job, ObservedState, StopRequest, Task};
+pub(crate) use job_table::job::{Allocation, Job, ObservedState, StopRequest, Task};
 
 /// The shortest time between two passes over the jobs that wait.
 const SCHEDULE_INTERVAL: Micros = Micros::from_millis(100);
@@ -81,16 +85,6 @@
     pub inbound_partitioned: usize,
 }
 
-/// What is known of a class of jobs.
-struct Class {
-    name: String,
-    objectives: Vec<ObjectiveTarget>,
-    /// Run time seen over the owner's estimate.
-    ratio: f64,
-    /// Tasks of a job of this class, the later ones counting more.
-    mean_tasks: f64,
-}
-
 /// The scheduler: owned by the controller while it leads. It holds the components and passes events,
 /// answers and effects between them.
 pub struct Scheduler {
@@ -100,6 +94,9 @@
     clock: LeaderClock,
     quota: Quota,
     job_table: JobTable,
+    dependencies: DependencyGate,
+    retries: RetryQueue,
+    gang_barrier: GangBarrier,
     inventory: MachineInventory,
     dispatch: Dispatch,
     persistence: Persistence,
@@ -226,11 +223,8 @@
 
     /// The estimate of a task's run time, corrected by what was seen of its class.
     fn estimate(&self, job: &Job) -> Micros {
-        let ratio = self
-            .job_table
-            .classes
-            .get(job.class)
-            .map_or(1.0, |c| c.ratio);
+        let class = self.job_table.classes.get(job.class);
+        let ratio = class.map_or(1.0, Class::run_time_ratio);
         job.spec.estimate.times(ratio).max(Micros::from_secs(1))
     }
 
@@ -311,8 +305,3 @@
         self.quota.used(self.quota.number(team))
     }
 }
-
-/// Processor-seconds of one task by its owner's estimate.
-fn batch_seconds(spec: &JobSpec) -> f64 {
-    spec.need.cpu as f64 / 1e3 * spec.estimate.as_secs_f64()
-}
--- a/crates/saltpitch-core/src/scheduler/persistence/commit.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/commit.rs
@@ -327,17 +327,14 @@
 
     /// The final record is written: the job leaves memory, its chunks are deleted by and by.
     pub(in crate::scheduler) fn finish_job(&mut self, number: JobNumber, now: Micros) {
-        self.dequeue(number);
-        let Some(job) = self.job_table.jobs.remove(&number) else {
+        let Some(job) = self.job_table.remove(number) else {
             return;
         };
         if job.state == JobState::Active {
             // Done is on record, so nobody can cancel it any more: what needs it may start.
             self.dependency_completed(&job.id, job.done_at.unwrap_or(now), now);
         }
-        self.remember_timeline(&job);
-        self.job_table.by_id.remove(&job.id);
-        self.job_table.gangs_at_barrier.remove(&number);
+        self.gang_barrier.leave(number);
         for task in 0..job.spec.tasks {
             self.persistence.unsaved_tasks.remove(number, task);
         }
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -2,6 +2,7 @@
 
 use std::sync::Arc;
 
+use super::allocations::Assignment;
 use super::{preemption::SEARCHES_PER_PASS, Job, Scheduler};
 use crate::cluster::JobNumber;
 use crate::job::{JobKind, Priority};
@@ -46,7 +47,7 @@
         self.placement_pass.preemption_searches_left = SEARCHES_PER_PASS;
         self.placement_pass.reserved_quota.clear();
         for w in self.queued_jobs(now) {
-            let Some(job) = self.job_table.jobs.get(&w.number) else {
+            let Some(job) = self.job_table.get(w.number) else {
                 continue;
             };
             if job.not_before > now || self.is_quota_reserved(job) {
@@ -77,7 +78,7 @@
         want: u64,
         now: Micros,
     ) -> Vec<Arc<str>> {
-        let Some(job) = self.job_table.jobs.get(&number) else {
+        let Some(job) = self.job_table.get(number) else {
             return Vec::new();
         };
         let stuck = self.is_blocked(job, now);
@@ -97,7 +98,7 @@
             self.steps += search.steps;
             found.extend(search.fits);
         }
-        let Some(job) = self.job_table.jobs.get(&number) else {
+        let Some(job) = self.job_table.get(number) else {
             return Vec::new();
         };
         let holders = self.inventory.index.holders(&spec.image) as u64;
@@ -139,7 +140,7 @@
     /// Places as many idle tasks of an array or a service as go; says how many are left over that
     /// the team's limit would allow.
     pub(super) fn place_tasks(&mut self, number: JobNumber, now: Micros) -> u64 {
-        let Some(job) = self.job_table.jobs.get(&number) else {
+        let Some(job) = self.job_table.get(number) else {
             return 0;
         };
         let spec = job.spec.clone();
@@ -154,7 +155,7 @@
         for name in self.candidates(number, None, more, now) {
             while more > 0 {
                 let (Some(job), Some(machine)) = (
-                    self.job_table.jobs.get(&number),
+                    self.job_table.get(number),
                     self.inventory.machines.get(&name),
                 ) else {
                     break;
@@ -171,7 +172,15 @@
                     break;
                 }
                 let (agent_epoch, attempt) = (machine.agent_epoch, job.next_attempt(task));
-                self.allocate(number, task, name.clone(), agent_epoch, attempt, false, now);
+                let assignment = Assignment {
+                    job: number,
+                    task,
+                    machine: name.clone(),
+                    agent_epoch,
+                    attempt,
+                    committed: false,
+                };
+                self.allocate(assignment, now);
                 self.persistence
                     .unsaved_tasks
                     .placement(number, task, &spec, now);
--- a/crates/saltpitch-core/src/scheduler/policy_bindings.rs
+++ b/crates/saltpitch-core/src/scheduler/policy_bindings.rs
@@ -52,7 +52,7 @@
     fn cluster(&self) -> impl Fn(&str) -> Option<Value> {
         let (machines, jobs) = (
             self.inventory.machines.len() as f64,
-            self.job_table.jobs.len() as f64,
+            self.job_table.len() as f64,
         );
         move |name| match name {
             "cluster.machines" => Some(Value::Number(machines)),
--- a/crates/saltpitch-core/src/scheduler/preemption.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption.rs
@@ -28,16 +28,12 @@
     /// A replica starts at once where its image is, and only after a fetch elsewhere: once for each
     /// job, lesser work is stopped on machines that have the image. True while that room is awaited.
     pub(super) fn preempts_near_image(&mut self, w: QueuedJob, now: Micros) -> bool {
-        let Some(job) = self.job_table.jobs.get(&w.number) else {
+        let Some(job) = self.job_table.get(w.number) else {
             return false;
         };
         // Looked for again while there is hope: a fetch takes longer than that.
         if let Some(until) = job.room_awaited_until {
-            let objectives = self
-                .job_table
-                .classes
-                .get(job.class)
-                .map_or(&[][..], |c| &c.objectives);
+            let objectives = self.job_table.classes.objectives(job.class);
             // Where a fetch would be in time, there is no more to hope for than that.
             let fetch = (self.catalog.types.iter())
                 .filter(|t| job.spec.need.fits(&t.size) && !self.contested_for(&job.spec, &t.size))
@@ -78,7 +74,7 @@
             options.truncate(missing);
         }
         let awaited = !options.is_empty();
-        if let Some(job) = self.job_table.jobs.get_mut(&w.number) {
+        if let Some(job) = self.job_table.get_mut(w.number) {
             job.room_awaited_until = Some(if awaited {
                 now.plus(Micros::from_millis(700))
             } else {
@@ -92,7 +88,7 @@
 
     /// Stops less urgent work for up to `left` tasks of this job, the cheapest loss first.
     pub(super) fn preempt(&mut self, w: QueuedJob, left: u64, now: Micros) {
-        let Some(job) = self.job_table.jobs.get(&w.number) else {
+        let Some(job) = self.job_table.get(w.number) else {
             return;
         };
         let spec = job.spec.clone();
@@ -105,7 +101,7 @@
             return;
         }
         // Lesser work is stopped for work that can still be in time, not for what is late anyway.
-        if spec.priority < Priority::High && !w.guaranteed && w.slack.is_none() {
+        if spec.priority < Priority::High && !w.within_quota && w.slack.is_none() {
             return;
         }
         if self.placement_pass.preemption_searches_left == 0 {
@@ -125,9 +121,9 @@
         }
         // What was found is given time to show its effect; what was not may turn up elsewhere.
         // The more jobs wait, the later it is another one's turn.
-        let turn = 300 * (self.job_table.unplaced.len() as u64 / 8).clamp(1, 8);
+        let turn = 300 * (self.job_table.unplaced().len() as u64 / 8).clamp(1, 8);
         let wait = if stops.is_empty() { turn } else { 2_000 };
-        if let Some(job) = self.job_table.jobs.get_mut(&w.number) {
+        if let Some(job) = self.job_table.get_mut(w.number) {
             job.search_after = now.plus(Micros::from_millis(wait));
         }
         if stops.is_empty() {
@@ -144,7 +140,7 @@
         now: Micros,
     ) {
         for (number, task) in stops {
-            let Some(victim) = self.job_table.jobs.get(&number) else {
+            let Some(victim) = self.job_table.get(number) else {
                 continue;
             };
             let grace = if victim.spec.saves() && !at_once {
@@ -175,7 +171,7 @@
             if !spec.need.fits(&group.kind.size)
                 || !spec.allows(&group.kind.name, &group.zone, group.spot)
                 || self.contested_for(spec, &group.kind.size)
-                || !(w.guaranteed || group.has_below(spec.priority))
+                || !(w.within_quota || group.has_below(spec.priority))
             {
                 continue;
             }
@@ -184,7 +180,7 @@
             looked.extend(part);
         }
         self.steps += looked.len() as u64;
-        let Some(job) = self.job_table.jobs.get(&w.number) else {
+        let Some(job) = self.job_table.get(w.number) else {
             return options;
         };
         for machine in looked.iter().filter_map(|n| self.inventory.machines.get(n)) {
@@ -197,7 +193,7 @@
             let mut free = machine.free();
             let mut victims = Vec::new();
             for &(number, task) in &machine.allocations {
-                let Some(other) = self.job_table.jobs.get(&number) else {
+                let Some(other) = self.job_table.get(number) else {
                     continue;
                 };
                 let Some(allocation) = other.tasks[task as usize].allocation.as_ref() else {
@@ -215,7 +211,7 @@
                 let settled = now.since(allocation.since) > Micros::from_secs(40)
                     && other.spec.saves()
                     && allocation.observed == ObservedState::Running;
-                if spec.priority < Priority::High && !w.guaranteed && !settled {
+                if spec.priority < Priority::High && !w.within_quota && !settled {
                     continue;
                 }
                 let ran = match allocation.observed {
@@ -262,18 +258,14 @@
             return true;
         }
         // Only what is served later anyway: otherwise two jobs could stop each other in turn.
-        let own = self
-            .job_table
-            .jobs
-            .get(&w.number)
-            .map_or(u8::MAX, |job| job.rank);
+        let own = self.job_table.get(w.number).map_or(u8::MAX, |job| job.rank);
         if other.rank <= own {
             return false;
         }
         if other.priority < spec.priority {
             return true;
         }
-        if !w.guaranteed || other.spec.team == spec.team {
+        if !w.within_quota || other.spec.team == spec.team {
             return false;
         }
         // Services are never cheap to move: users look at them.
--- a/crates/saltpitch-core/src/scheduler/recovery.rs
+++ b/crates/saltpitch-core/src/scheduler/recovery.rs
@@ -3,8 +3,11 @@
 use std::sync::Arc;
 
 use super::autoscaler::Autoscaler;
+use super::dependency_gate::DependencyGate;
 use super::dispatch::Dispatch;
+use super::gang_barrier::GangBarrier;
 use super::inventory::MachineInventory;
+use super::job_failures::RetryQueue;
 use super::job_table::JobTable;
 use super::leader_clock::LeaderClock;
 use super::leader_term::LeaderTerm;
@@ -32,7 +35,10 @@
             leader_term: LeaderTerm::new(records, previous_leader_fenced_at, now),
             clock: LeaderClock::new(now, wall),
             quota: Quota::new(config.teams.clone()),
-            job_table: JobTable::new(),
+            job_table: JobTable::default(),
+            dependencies: DependencyGate::default(),
+            retries: RetryQueue::default(),
+            gang_barrier: GangBarrier::default(),
             inventory: MachineInventory::default(),
             dispatch: Dispatch::default(),
             persistence: Persistence::new(records, &config, now),
--- a/crates/saltpitch-core/src/scheduler/summary.rs
+++ b/crates/saltpitch-core/src/scheduler/summary.rs
@@ -52,12 +52,11 @@
     pub fn summary(&self) -> String {
         let idle: usize = self
             .job_table
-            .jobs
             .values()
-            .filter(|job| job.active())
+            .filter(|job| job.is_active())
             .map(|job| job.idle.len())
             .sum();
-        let placed: u32 = self.job_table.jobs.values().map(|job| job.placed).sum();
+        let placed: u32 = self.job_table.values().map(|job| job.placed).sum();
         let lost = self
             .inventory
             .machines
@@ -73,7 +72,7 @@
         format!(
             "term {} jobs {} waiting {} placed {} machines {} up {} ({} closed) [{}] dirty {} log {} free {} paused {}",
             self.leader_term.term,
-            self.job_table.jobs.len(),
+            self.job_table.len(),
             idle,
             placed,
             self.inventory.machines.len(),
