--- a/crates/saltpitch-core/src/records/record_cache.rs
+++ b/crates/saltpitch-core/src/records/record_cache.rs
@@ -213,14 +213,17 @@
         rev: u64,
     ) -> Result<Change, RecordError> {
         let known = self.chunks.get(id).and_then(|chunks| chunks.get(&number));
-        if known.is_some_and(|c| rev <= c.rev) {
+        if known.is_some_and(|known| rev <= known.revision) {
             return Ok(Change::None);
         }
         let record: ChunkRecord = parse(raw)?;
-        let upto = record.upto;
+        let checkpoint = Checkpoint {
+            revision: rev,
+            up_to_segment: record.upto,
+        };
         let chunks = self.chunks.entry(id.to_owned()).or_default();
-        chunks.insert(number, Checkpoint { rev, upto });
-        self.last_segment = self.last_segment.max(upto);
+        chunks.insert(number, checkpoint);
+        self.last_segment = self.last_segment.max(record.upto);
         if !self.is_over(id) {
             self.take_checkpoint(id, number, record);
         }
@@ -260,20 +263,20 @@
         if self
             .segments
             .get(&slot)
-            .is_some_and(|segment| rev <= segment.rev)
+            .is_some_and(|segment| rev <= segment.revision)
         {
             return Ok(Change::None);
         }
         let record: LogRecord = parse(raw)?;
         let number = record.number;
         self.last_segment = self.last_segment.max(number);
-        let chunks = self.take_segment(record);
+        let task_ranges = self.take_segment(record);
         self.segments.insert(
             slot,
             RecordedSegment {
-                rev,
+                revision: rev,
                 number,
-                chunks,
+                task_ranges,
             },
         );
         Ok(Change::Chunk)
@@ -288,7 +291,7 @@
             }
             Key::Chunk(id, number) => {
                 if let Some(chunks) = self.chunks.get_mut(id) {
-                    if chunks.get(&number).is_some_and(|c| c.rev < rev) {
+                    if chunks.get(&number).is_some_and(|c| c.revision < rev) {
                         chunks.remove(&number);
                     }
                     if chunks.is_empty() {
--- a/crates/saltpitch-core/src/records/recorded_tasks.rs
+++ b/crates/saltpitch-core/src/records/recorded_tasks.rs
@@ -56,22 +56,22 @@
     }
 }
 
-/// What a view keeps of a segment: its revision, its number, and the chunks that it speaks of.
+/// What the cache keeps of a segment of the log.
 #[derive(Clone, Debug)]
 pub struct RecordedSegment {
     /// Its revision.
-    pub rev: u64,
+    pub revision: u64,
     /// Its number.
     pub number: u64,
-    /// The chunks, by job and number.
-    pub chunks: Vec<(String, u32)>,
+    /// The ranges of tasks that it mentions, by job and index.
+    pub task_ranges: Vec<(String, u32)>,
 }
 
-/// What a view keeps of a chunk's record: its revision, and up to which segment it holds.
-#[derive(Clone, Copy, Debug)]
+/// What the cache keeps of the checkpoint of one range of tasks.
+#[derive(Clone, Copy, Debug, Default)]
 pub struct Checkpoint {
     /// Its revision.
-    pub rev: u64,
-    /// The last segment that it holds.
-    pub upto: u64,
+    pub revision: u64,
+    /// The last segment of the log that it covers.
+    pub up_to_segment: u64,
 }
--- a/crates/saltpitch-core/src/records/stored.rs
+++ b/crates/saltpitch-core/src/records/stored.rs
@@ -161,6 +161,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry(pub u32, pub u32, pub String, pub u64, pub u8);
 
+impl Entry {
+    /// Whether the task has a machine.
+    pub fn is_allocated(&self) -> bool {
+        !self.2.is_empty()
+    }
+}
+
 /// A segment of the log: changes of any number of jobs in one value, since changes of keys are
 /// scarce. Segments are written to a ring of keys; one is overwritten only when checkpoints hold
 /// whatever it said of jobs that are not over.
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -111,7 +111,7 @@
         let zone = r.zone.as_str().into();
         let mut machine = Machine::new(&r.machine, Arc::new(kind), zone, r.spot, &r.addr, now);
         let name = machine.name.clone();
-        self.persistence.machine_blocks.changed(&mut machine, now);
+        self.persistence.machine_changed(&mut machine, now);
         self.add_machine(machine);
         Ok(name)
     }
@@ -188,7 +188,7 @@
                 } else {
                     now
                 };
-                self.persistence.machine_blocks.changed(machine, due);
+                self.persistence.machine_changed(machine, due);
             }
             machine.last_heard = now;
             machine.unresponsive = false;
--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -126,7 +126,7 @@
         }
         // In doubt, the record is written again: it must not keep a place that memory has dropped.
         if allocation.committed || allocation.in_transaction {
-            self.persistence.unsaved_tasks.outcome(number, task, now);
+            self.persistence.task_ended(number, task, now);
         }
         self.placement_pass.requested = true;
     }
@@ -177,7 +177,7 @@
         };
         if over {
             self.dequeue(number);
-            self.persistence.finished_jobs.insert(number);
+            self.persistence.job_finished(number);
         }
     }
 
@@ -201,7 +201,7 @@
             if job.idle.is_empty() {
                 self.job_table.unplaced.remove(&number);
             }
-            self.persistence.unsaved_tasks.outcome(number, task, now);
+            self.persistence.task_ended(number, task, now);
         }
     }
 }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
@@ -155,8 +155,7 @@
                     }
                     let mut machine = Machine::new(&n, kind.clone(), zone.clone(), r.spot, "", now);
                     self.persistence
-                        .machine_blocks
-                        .changed(&mut machine, now.plus(Micros::from_millis(300)));
+                        .machine_changed(&mut machine, now.plus(Micros::from_millis(300)));
                     self.add_machine(machine);
                 }
             }
--- a/crates/saltpitch-core/src/scheduler/cloud_listing.rs
+++ b/crates/saltpitch-core/src/scheduler/cloud_listing.rs
@@ -32,8 +32,7 @@
                     0
                 };
                 self.persistence
-                    .machine_blocks
-                    .changed(machine, now.plus(Micros::from_millis(wait)));
+                    .machine_changed(machine, now.plus(Micros::from_millis(wait)));
                 self.reindex(name);
             }
         }
@@ -65,8 +64,7 @@
                 if machine.addr.is_empty() && !e.addr.is_empty() {
                     machine.addr.clone_from(&e.addr);
                     self.persistence
-                        .machine_blocks
-                        .changed(machine, now.plus(Micros::from_secs(3)));
+                        .machine_changed(machine, now.plus(Micros::from_secs(3)));
                 }
                 if e.failed {
                     self.release_all(&name, now);
@@ -84,8 +82,7 @@
             machine.created_at = now.since(e.age);
             let name = machine.name.clone();
             self.persistence
-                .machine_blocks
-                .changed(&mut machine, now.plus(Micros::from_millis(300)));
+                .machine_changed(&mut machine, now.plus(Micros::from_millis(300)));
             self.add_machine(machine);
             if e.failed {
                 self.scale_in(&name, now);
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -111,14 +111,11 @@
         let Some(number) = self.job_table.by_id.get(s.job.as_str()) else {
             return true;
         };
-        if self.persistence.unsaved_tasks.contains(*number, s.task)
-            || self.persistence.finished_jobs.contains(number)
+        if self.persistence.is_task_unsaved(*number, s.task)
+            || self.persistence.awaits_final_record(*number)
         {
             return false;
         }
-        if self.is_in_flight(*number, s.task) {
-            return false;
-        }
         let allocation = self
             .job_table
             .jobs
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -102,9 +102,7 @@
     pub fn reserve_for_delegation(&mut self, id: &str) -> Option<u64> {
         let number = *self.job_table.by_id.get(id)?;
         let job = self.job_table.jobs.get(&number)?;
-        let written = |task: u32| {
-            self.persistence.unsaved_tasks.contains(number, task) || self.is_in_flight(number, task)
-        };
+        let written = |task: u32| self.persistence.is_task_unsaved(number, task);
         if !job.may_be_delegated() || (0..job.spec.tasks).any(written) {
             return None;
         }
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -133,9 +133,7 @@
                 job.served_at = now;
                 self.job_table.gangs_at_barrier.remove(&w.number);
                 for task in 0..n {
-                    self.persistence
-                        .unsaved_tasks
-                        .placement(w.number, task, &spec, now);
+                    self.persistence.task_placed(w.number, task, &spec, now);
                 }
             }
             Permit::Wait => {
--- a/crates/saltpitch-core/src/scheduler/job_state.rs
+++ b/crates/saltpitch-core/src/scheduler/job_state.rs
@@ -7,7 +7,7 @@
 use super::job_failures::FailureHistory;
 use crate::gang::Gang;
 use crate::job::{JobKind, JobSpec, JobState, Priority};
-use crate::records::Guest;
+use crate::records::{Checkpoint, Guest};
 use crate::time::Micros;
 
 /// A place that a task has, or is assumed to have.
@@ -83,8 +83,8 @@
     pub idle: BTreeSet<u32>,
     pub placed: u32,
     pub done: u32,
-    /// Revision of each chunk record (0: not there), and the log's segment up to which it holds.
-    pub chunks: Vec<(u64, u64)>,
+    /// The checkpoint of each range of tasks; of revision 0 if it is not on record.
+    pub checkpoints: Vec<Checkpoint>,
     pub gang: Gang,
     pub not_before: Micros,
     /// When it became idle as a whole again.
--- a/crates/saltpitch-core/src/scheduler/jobs.rs
+++ b/crates/saltpitch-core/src/scheduler/jobs.rs
@@ -8,7 +8,7 @@
 use crate::cluster::JobNumber;
 use crate::gang::Gang;
 use crate::job::{JobKind, JobSpec, JobState, Priority};
-use crate::records::{RecordCache, CHUNK};
+use crate::records::{Checkpoint, RecordCache, CHUNK};
 use crate::time::Micros;
 
 /// Where a job's time went, as far as this leader saw it; all times count from the submission.
@@ -157,7 +157,7 @@
             idle: (0..spec.tasks).collect(),
             placed: 0,
             done: 0,
-            chunks: vec![(0, 0); n.div_ceil(CHUNK as usize)],
+            checkpoints: vec![Checkpoint::default(); n.div_ceil(CHUNK as usize)],
             gang: Gang::default(),
             not_before: Micros::ZERO,
             parked_at: Micros::ZERO,
@@ -172,9 +172,9 @@
             spec,
         };
         let mut allocations = Vec::new();
-        for (&c, at) in records.chunks.get(id).into_iter().flatten() {
-            if let Some(slot) = job.chunks.get_mut(c as usize) {
-                *slot = (at.rev, at.upto);
+        for (&index, on_record) in records.chunks.get(id).into_iter().flatten() {
+            if let Some(checkpoint) = job.checkpoints.get_mut(index as usize) {
+                *checkpoint = *on_record;
             }
         }
         let known = records.tasks.get(id).map_or(&[][..], |t| &t.tasks);
@@ -231,7 +231,7 @@
                 }
                 _ => {
                     lost = true;
-                    self.persistence.unsaved_tasks.outcome(number, task, now);
+                    self.persistence.task_ended(number, task, now);
                 }
             }
         }
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -27,6 +27,7 @@
 mod policy_bindings;
 mod preemption;
 mod queue_order;
+mod record_commits;
 mod recovery;
 mod summary;
 mod unreachable_machines;
@@ -58,8 +59,7 @@
     Effect, Objective, ObjectiveTarget, Precondition, SchedulerConfig, Transaction, Write,
 };
 pub use jobs::JobTimeline;
-pub use persistence::alerts::Alert;
-pub use persistence::transaction::TransactionOutcome;
+pub use persistence::{Alert, TransactionOutcome};
 
 pub(crate) use job_state::{Allocation, Job, ObservedState, StopRequest, Task};
 
@@ -192,7 +192,7 @@
         self.dispatch.pending.remove(name);
         self.update_reachability(name);
         self.inventory.returned.insert(name);
-        self.persistence.machine_blocks.leave(&machine, now);
+        self.persistence.machine_gone(&machine, now);
     }
 
     /// Something about a machine changed that counts for placement.
@@ -257,8 +257,8 @@
         if self.placement_pass.requested {
             at = at.min(self.placement_pass.next_at);
         }
-        if let Some(due) = self.writes_due() {
-            at = at.min(due.max(self.persistence.next_transaction_at));
+        if let Some(due) = self.persistence.next_due() {
+            at = at.min(due);
         }
         if let Some((due, _)) = self.dispatch.delayed.first() {
             at = at.min(*due);
--- a/crates/saltpitch-core/src/scheduler/persistence/alerts.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/alerts.rs
@@ -1,15 +1,16 @@
-//! What is wrong with the site as the scheduler sees it, for the operator's log.
+//! Faults of the site as the scheduler sees it, for the operator's log.
 
 use std::fmt;
 
-use crate::scheduler::Scheduler;
+use super::Persistence;
+use crate::scheduler::SchedulerConfig;
 use crate::time::Micros;
 
-/// From this part of the ring on, few free segments are worth a warning.
-const LOW_PART: u64 = 16;
-/// How long nothing could be written before the log counts as full.
+/// The log is nearly full when less than this part of the ring is free.
+const NEARLY_FULL_DIVISOR: u64 = 16;
+/// The log counts as full once no segment could be written for this long.
 const FULL_AFTER: Micros = Micros::from_secs(5);
-/// How often the same fault is told.
+/// How often the same fault is reported.
 const REPEAT_AFTER: Micros = Micros::from_secs(30);
 
 /// One fault.
@@ -55,40 +56,53 @@
     }
 }
 
-/// Since when the log is in the state that is worth telling, and when it was told last.
+/// Since when the log has had no free segment, and when that was reported last.
 #[derive(Clone, Copy, Debug, Default)]
-pub(in crate::scheduler) struct PlacementLogAlerts {
+pub(super) struct PlacementLogAlerts {
     /// Since when a segment is due and none is free.
-    pub blocked_since: Option<Micros>,
+    blocked_since: Option<Micros>,
     alerted_at: Option<Micros>,
 }
 
-impl Scheduler {
-    /// Faults that the log has not been told yet, or not lately.
-    pub fn take_alerts(&mut self, now: Micros) -> Vec<Alert> {
-        let policy = std::mem::take(&mut self.config.policy.faults);
-        let mut faults: Vec<Alert> = policy.into_iter().map(Alert::Policy).collect();
-        let answered_with = self.persistence.alerts.alerted_at;
-        if answered_with.is_none_or(|at| now.since(at) >= REPEAT_AFTER) {
-            if let Some(fault) = self.placement_log_alert(now) {
-                self.persistence.alerts.alerted_at = Some(now);
-                faults.push(fault);
-            }
+impl PlacementLogAlerts {
+    /// A segment is due and none is free.
+    pub(super) fn blocked(&mut self, now: Micros) {
+        self.blocked_since.get_or_insert(now);
+    }
+
+    /// There is a free segment.
+    pub(super) fn unblocked(&mut self) {
+        self.blocked_since = None;
+    }
+}
+
+impl Persistence {
+    /// A fault of the placement log that has not been reported yet, or not lately.
+    pub(in crate::scheduler) fn take_log_alert(
+        &mut self,
+        config: &SchedulerConfig,
+        now: Micros,
+    ) -> Option<Alert> {
+        let alerted_at = self.log_alerts.alerted_at;
+        if alerted_at.is_some_and(|at| now.since(at) < REPEAT_AFTER) {
+            return None;
         }
-        faults
+        let alert = self.log_alert(config, now)?;
+        self.log_alerts.alerted_at = Some(now);
+        Some(alert)
     }
 
-    fn placement_log_alert(&self, now: Micros) -> Option<Alert> {
-        let ring = self.config.log_segments;
-        let blocked = self.persistence.alerts.blocked_since;
-        if blocked.is_some_and(|since| now.since(since) >= FULL_AFTER) {
+    fn log_alert(&self, config: &SchedulerConfig, now: Micros) -> Option<Alert> {
+        let ring = config.log_segments;
+        let blocked_since = self.log_alerts.blocked_since;
+        if blocked_since.is_some_and(|since| now.since(since) >= FULL_AFTER) {
             return Some(Alert::LogFull {
                 ring,
-                max_value_bytes: self.config.max_value_bytes,
-                waiting: self.persistence.unsaved_tasks.len(),
+                max_value_bytes: config.max_value_bytes,
+                waiting: self.unsaved_tasks.len(),
             });
         }
-        let free = self.persistence.placement_log.room();
-        (free < ring / LOW_PART).then_some(Alert::LogNearlyFull { free, ring })
+        let free = self.placement_log.free_segments();
+        (free < ring / NEARLY_FULL_DIVISOR).then_some(Alert::LogNearlyFull { free, ring })
     }
 }
--- /dev/null
+++ b/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
@@ -0,0 +1,130 @@
+//! Checkpoints: what the log's oldest segments say of a range of tasks, in one record, so that the segments
+//! may be overwritten.
+
+use super::segments::{is_recordable, task_entry};
+use super::task_keys::{TaskKey, TaskRange};
+use super::transaction::TransactionBuilder;
+use super::{to_json, Persistence, RecordSources};
+use crate::gang::Gang;
+use crate::records::{chunk_key, job_key, AllocationRecord, ChunkRecord};
+use crate::scheduler::{Job, Task};
+
+/// Bytes set aside for a checkpoint's conditions and key.
+const CHECKPOINT_OVERHEAD_BYTES: usize = 200;
+/// Ranges that are tried for each write that is allowed: some are skipped.
+const RANGES_PER_WRITE: usize = 2;
+
+impl Persistence {
+    /// Adds checkpoints of what the oldest segments mention, before these are overwritten.
+    pub(super) fn add_checkpoints(
+        &mut self,
+        builder: &mut TransactionBuilder,
+        write_limit: usize,
+        sources: &mut RecordSources,
+    ) {
+        self.drop_obsolete_segments(sources.jobs);
+        let limit = write_limit * RANGES_PER_WRITE;
+        let ranges = self
+            .placement_log
+            .ranges_without_checkpoint(sources.jobs, limit);
+        for range in ranges {
+            if builder.contents.checkpoints.contains(&range)
+                || self.placement_log.is_rewriting(range)
+            {
+                continue;
+            }
+            let Some(value) = self.checkpoint_value(range, builder, sources) else {
+                continue;
+            };
+            if value.len() > sources.config.max_value_bytes {
+                self.rewrite_in_log(range, builder, sources);
+                continue;
+            }
+            if !builder.fits(write_limit, value.len() + CHECKPOINT_OVERHEAD_BYTES) {
+                return;
+            }
+            if let Some(job) = sources.jobs.get_mut(&range.job) {
+                self.add_checkpoint(range, value, job, builder);
+            }
+        }
+    }
+
+    /// The range's checkpoint as of the newest segment, the one of this transaction included.
+    fn checkpoint_value(
+        &self,
+        range: TaskRange,
+        builder: &TransactionBuilder,
+        sources: &RecordSources,
+    ) -> Option<String> {
+        let job = sources.jobs.get(&range.job)?;
+        let writes_segment = builder.contents.segment_slot.is_some();
+        let up_to_segment = self.placement_log.next_segment() - u64::from(!writes_segment);
+        let tasks = range.tasks(job.spec.tasks);
+        let tasks = &job.tasks[tasks.start as usize..tasks.end as usize];
+        to_json(&checkpoint_record(tasks, job.gang, up_to_segment))
+    }
+
+    /// The checkpoint is too large for one value: the range's tasks are written to the log once more
+    /// instead.
+    fn rewrite_in_log(
+        &mut self,
+        range: TaskRange,
+        builder: &TransactionBuilder,
+        sources: &RecordSources,
+    ) {
+        let Some(job) = sources.jobs.get(&range.job) else {
+            return;
+        };
+        for index in range.tasks(job.spec.tasks) {
+            let task = &job.tasks[index as usize];
+            if task.attempt > 0 || task.done {
+                let key = TaskKey::new(range.job, index);
+                self.unsaved_tasks.mark(key, sources.clock.polled_at());
+            }
+        }
+        let writes_segment = builder.contents.segment_slot.is_some();
+        let first_segment = self.placement_log.next_segment() + u64::from(writes_segment);
+        self.placement_log.begin_rewrite(range, first_segment);
+    }
+
+    /// Adds one checkpoint, on condition of its job and of its own last revision.
+    fn add_checkpoint(
+        &mut self,
+        range: TaskRange,
+        value: String,
+        job: &mut Job,
+        builder: &mut TransactionBuilder,
+    ) {
+        builder.require(job_key(&job.id), job.rev);
+        let key = chunk_key(&job.id, range.index);
+        let known_revision = job.checkpoints[range.index as usize].revision;
+        builder.require(key.clone(), known_revision);
+        builder.write(key, Some(value));
+        for index in range.tasks(job.spec.tasks) {
+            // What the log would say of the task is in the checkpoint as well.
+            self.unsaved_tasks.remove(TaskKey::new(range.job, index));
+            task_entry(index, &mut job.tasks[index as usize], job.gang);
+        }
+        builder.contents.checkpoints.push(range);
+    }
+}
+
+fn checkpoint_record(tasks: &[Task], gang: Gang, up_to_segment: u64) -> ChunkRecord {
+    let mut record = ChunkRecord {
+        upto: up_to_segment,
+        ..ChunkRecord::default()
+    };
+    for (index, task) in (0..).zip(tasks) {
+        record.attempts.push(task.attempt);
+        if task.done {
+            record.add_done(index);
+        }
+        let allocation = task.allocation.as_ref();
+        if let Some(allocation) = allocation.filter(|allocation| is_recordable(allocation, gang)) {
+            let machine = allocation.machine.to_string();
+            let allocation = AllocationRecord(index, machine, allocation.agent_epoch);
+            record.allocations.push(allocation);
+        }
+    }
+    record
+}
--- /dev/null
+++ b/crates/saltpitch-core/src/scheduler/persistence/committed.rs
@@ -0,0 +1,145 @@
+//! A transaction that was carried out: what is on record now, and what may start.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+use super::commit::CommittedTransaction;
+use super::task_keys::{TaskKey, TaskRange};
+use super::transaction::{CommittedMachine, TransactionContents};
+use super::{Jobs, Persistence};
+use crate::cluster::JobNumber;
+use crate::gang::Gang;
+use crate::job::{JobKind, JobState};
+use crate::records::Checkpoint;
+use crate::scheduler::{Job, Task};
+use crate::time::Micros;
+
+/// What follows from a transaction that was carried out.
+#[derive(Default)]
+pub(in crate::scheduler) struct CommittedChanges {
+    /// The machines that are on record.
+    pub(in crate::scheduler) machines: Vec<CommittedMachine>,
+    /// The machines that starts may be sent to, in the order in which their allocations were committed.
+    pub(in crate::scheduler) start_on: Vec<Arc<str>>,
+    /// Jobs that were cancelled while their allocations were being written.
+    pub(in crate::scheduler) cancelled_jobs: Vec<JobNumber>,
+}
+
+impl Persistence {
+    /// Takes in what is on record now. Jobs whose final record was written must have left `jobs`.
+    pub(in crate::scheduler) fn apply_commit(
+        &mut self,
+        transaction: CommittedTransaction,
+        jobs: &mut Jobs,
+        now: Micros,
+    ) -> CommittedChanges {
+        let CommittedTransaction {
+            mut contents,
+            revision,
+        } = transaction;
+        let machines = self.apply_machine_blocks(&mut contents, revision);
+        self.apply_segment(&contents, revision);
+        self.apply_checkpoints(&mut contents, revision, jobs);
+        let mut changes = CommittedChanges {
+            machines,
+            ..CommittedChanges::default()
+        };
+        commit_allocations(&contents.tasks, jobs, &mut changes);
+        self.schedule_next_transaction(now);
+        changes
+    }
+
+    fn apply_machine_blocks(
+        &mut self,
+        contents: &mut TransactionContents,
+        revision: u64,
+    ) -> Vec<CommittedMachine> {
+        let blocks = std::mem::take(&mut contents.machine_blocks);
+        for block in &blocks {
+            self.machine_blocks.written(block, revision);
+        }
+        blocks
+            .into_iter()
+            .flat_map(|block| block.machines)
+            .collect()
+    }
+
+    fn apply_segment(&mut self, contents: &TransactionContents, revision: u64) {
+        let Some(slot) = contents.segment_slot else {
+            return;
+        };
+        let tasks = contents.tasks.iter();
+        let mut ranges: Vec<TaskRange> = tasks.map(|key| key.range()).collect();
+        ranges.dedup();
+        self.placement_log.segment_written(slot, revision, ranges);
+    }
+
+    /// Notes the checkpoints' revisions. Their tasks are on record like those of the segment.
+    fn apply_checkpoints(
+        &self,
+        contents: &mut TransactionContents,
+        revision: u64,
+        jobs: &mut Jobs,
+    ) {
+        let up_to_segment = self.placement_log.next_segment() - 1;
+        for range in &contents.checkpoints {
+            if let Some(job) = jobs.get_mut(&range.job) {
+                job.checkpoints[range.index as usize] = Checkpoint {
+                    revision,
+                    up_to_segment,
+                };
+                contents.tasks.extend(range.keys(job.spec.tasks));
+            }
+        }
+    }
+}
+
+/// Marks the allocations of these tasks as committed, job by job.
+fn commit_allocations(tasks: &BTreeSet<TaskKey>, jobs: &mut Jobs, changes: &mut CommittedChanges) {
+    let mut numbers: Vec<JobNumber> = tasks.iter().map(|key| key.job).collect();
+    numbers.dedup();
+    for number in numbers {
+        let Some(job) = jobs.get_mut(&number) else {
+            continue;
+        };
+        let of_job = TaskKey::new(number, 0)..=TaskKey::new(number, u32::MAX);
+        for key in tasks.range(of_job) {
+            commit_allocation(key.task, job, &mut changes.start_on);
+        }
+        allow_gang(job, &mut changes.start_on);
+        if job.state != JobState::Active {
+            changes.cancelled_jobs.push(number);
+        }
+    }
+}
+
+fn commit_allocation(task: u32, job: &mut Job, start_on: &mut Vec<Arc<str>>) {
+    let Some(allocation) = &mut job.tasks[task as usize].allocation else {
+        return;
+    };
+    if !allocation.in_transaction {
+        return;
+    }
+    allocation.in_transaction = false;
+    allocation.committed = true;
+    if job.spec.kind != JobKind::Gang {
+        start_on.push(allocation.machine.clone());
+    }
+}
+
+/// The allow loop: once all members of a gang are on record, every member's start is released at once.
+fn allow_gang(job: &mut Job, start_on: &mut Vec<Arc<str>>) {
+    if job.spec.kind != JobKind::Gang || job.gang != Gang::Committing {
+        return;
+    }
+    let is_committed = |task: &Task| {
+        let allocation = task.allocation.as_ref();
+        allocation.is_some_and(|allocation| allocation.committed)
+    };
+    if !job.tasks.iter().all(is_committed) {
+        return;
+    }
+    job.gang = Gang::Allowed;
+    let allocations = job.tasks.iter().filter_map(|task| task.allocation.as_ref());
+    start_on.extend(allocations.map(|allocation| allocation.machine.clone()));
+}
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
@@ -1,312 +1,344 @@
-//! Machines on record: blocks of machines of one type, zone and kind, and how they are written.
+//! Machines on record: blocks of machines of one type, zone and kind that share a record.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use super::transaction::{json, TransactionBuilder, TransactionContents};
+use super::transaction::{CommittedMachine, WrittenBlock};
+use super::RecordSources;
 use crate::cluster::{Machine, MachinePhase};
-use crate::records::{block_key, BlockRecord, MachineRecord, RecordCache, BLOCK};
-use crate::scheduler::{Scheduler, SchedulerConfig};
+use crate::records::{BlockRecord, MachineRecord, RecordCache, BLOCK};
+use crate::scheduler::SchedulerConfig;
 use crate::time::Micros;
 
-/// Machines of one type, zone and kind that share a record.
-struct Block {
+/// Set aside for an address that is not known yet.
+const LONGEST_USUAL_ADDRESS: &str = "255.255.255.255:65535";
+/// Stands for the name of a machine where only its length matters.
+const USUAL_MACHINE_NAME: &str = "vm-000000";
+/// Bytes of a machine's record beside its name and address.
+const MACHINE_RECORD_BYTES: usize = 40;
+/// How long the record of a block waits for other changes after a machine has left it.
+const DEPARTURE_DELAY: Micros = Micros::from_secs(1);
+
+/// What the machines of a block have in common.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct BlockKind {
     type_name: String,
     zone: Arc<str>,
     spot: bool,
-    members: BTreeSet<Arc<str>>,
+}
+
+impl BlockKind {
+    fn of(machine: &Machine) -> BlockKind {
+        BlockKind {
+            type_name: machine.kind.name.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+        }
+    }
+}
+
+/// Machines of one type, zone and kind that share a record.
+struct Block {
+    kind: BlockKind,
+    machines: BTreeSet<Arc<str>>,
+    /// The size of the record, at the most.
     bytes: usize,
-    rev: u64,
+    /// The record's revision, 0 if it is not there.
+    revision: u64,
     /// Blocks that took over machines of this one: they must be on record before this one is written
     /// without those, or else a leader that comes in between would take them for gone.
     successors: Vec<u32>,
 }
 
+impl Block {
+    fn empty(kind: BlockKind) -> Block {
+        Block {
+            kind,
+            machines: BTreeSet::new(),
+            bytes: 0,
+            revision: 0,
+            successors: Vec::new(),
+        }
+    }
+
+    fn from_record(revision: u64, record: &BlockRecord) -> Block {
+        let names = record.machines.iter().map(|machine| machine.0.as_str());
+        let sizes = record
+            .machines
+            .iter()
+            .map(|machine| machine_bytes(&machine.0, &machine.1));
+        Block {
+            kind: BlockKind {
+                type_name: record.type_name.clone(),
+                zone: record.zone.as_str().into(),
+                spot: record.spot,
+            },
+            machines: names.map(Arc::from).collect(),
+            bytes: sizes.sum(),
+            revision,
+            successors: Vec::new(),
+        }
+    }
+
+    fn has_room_for(&self, bytes: usize, max_bytes: usize) -> bool {
+        self.machines.len() < BLOCK && self.bytes + bytes <= max_bytes
+    }
+}
+
+/// A block's record as it is to be written.
+pub(super) struct BlockDraft {
+    /// The record.
+    pub(super) record: BlockRecord,
+    /// The revision that the block's key has.
+    pub(super) revision: u64,
+    /// The block and its machines.
+    pub(super) written: WrittenBlock,
+}
+
+/// A machine that is moved to another block.
+pub(super) struct BlockMove {
+    /// The machine.
+    pub(super) machine: Arc<str>,
+    /// The block that it is moved to.
+    pub(super) to: u32,
+}
+
 /// The machines' records.
-pub(in crate::scheduler) struct MachineBlocks {
-    all: BTreeMap<u32, Block>,
-    /// The block that takes the next machine of a type, zone and kind.
-    unfilled: HashMap<(String, Arc<str>, bool), u32>,
-    next: u32,
-    due: BTreeMap<u32, Micros>,
+pub(super) struct MachineBlocks {
+    blocks: BTreeMap<u32, Block>,
+    /// The block that takes the next machine of a kind.
+    unfilled: HashMap<BlockKind, u32>,
+    next_number: u32,
+    /// When each block that differs from its record is to be written.
+    due_times: BTreeMap<u32, Micros>,
+    /// The size up to which blocks are filled.
     max_bytes: usize,
 }
 
 impl MachineBlocks {
-    pub fn new(records: &RecordCache, config: &SchedulerConfig) -> MachineBlocks {
-        let mut b = MachineBlocks {
-            all: BTreeMap::new(),
+    /// The blocks on record.
+    pub(super) fn new(records: &RecordCache, config: &SchedulerConfig) -> MachineBlocks {
+        let on_record = records.machine_blocks.iter();
+        let last_number = records.machine_blocks.keys().next_back();
+        MachineBlocks {
+            blocks: on_record
+                .map(|(number, block)| (*number, Block::from_record(block.0, &block.1)))
+                .collect(),
             unfilled: HashMap::new(),
-            next: 1,
-            due: BTreeMap::new(),
+            next_number: last_number.map_or(1, |number| number + 1),
+            due_times: BTreeMap::new(),
             max_bytes: config.max_value_bytes * 3 / 4,
-        };
-        for (number, (rev, rec)) in &records.machine_blocks {
-            b.next = b.next.max(number + 1);
-            let members = rec
-                .machines
-                .iter()
-                .map(|machine| machine.0.as_str().into())
-                .collect();
-            b.all.insert(
-                *number,
-                Block {
-                    type_name: rec.type_name.clone(),
-                    zone: rec.zone.as_str().into(),
-                    spot: rec.spot,
-                    members,
-                    bytes: rec
-                        .machines
-                        .iter()
-                        .map(|machine| bytes_of(&machine.0, &machine.1))
-                        .sum(),
-                    rev: *rev,
-                    successors: Vec::new(),
-                },
-            );
         }
-        b
     }
 
     /// A machine is found in two blocks: a leader ended while it split the first. The second has it.
-    pub fn moved(&mut self, name: &Arc<str>, from: u32, due: Micros) {
-        if let Some(b) = self.all.get_mut(&from) {
-            b.members.remove(name);
-            self.mark(from, due);
+    pub(super) fn remove_duplicate(&mut self, name: &Arc<str>, block: u32, due: Micros) {
+        if let Some(first) = self.blocks.get_mut(&block) {
+            first.machines.remove(name);
+            self.mark(block, due);
         }
     }
 
-    pub fn next_due(&self) -> Option<Micros> {
-        self.due.values().min().copied()
+    /// When the first block is due.
+    pub(super) fn next_due(&self) -> Option<Micros> {
+        self.due_times.values().min().copied()
     }
 
-    /// A block's record was written.
-    pub fn written(&mut self, number: u32, rev: u64) {
-        if let Some(block) = self.all.get_mut(&number) {
-            block.rev = rev;
-        }
+    /// How many blocks differ from their records.
+    pub(super) fn unsaved_count(&self) -> usize {
+        self.due_times.len()
     }
 
-    pub fn drop_empty(&mut self, number: u32) {
-        if self.all.get(&number).is_some_and(|b| b.members.is_empty()) {
-            self.all.remove(&number);
+    /// A block's record was written, or deleted if no machine is left in it.
+    pub(super) fn written(&mut self, block: &WrittenBlock, revision: u64) {
+        let known = self.blocks.get(&block.number);
+        if block.machines.is_empty() && known.is_some_and(|known| known.machines.is_empty()) {
+            self.blocks.remove(&block.number);
         }
-    }
-
-    /// Takes the blocks' revisions from the records.
-    pub fn read_anew(&mut self, records: &RecordCache) {
-        for (number, block) in &mut self.all {
-            block.rev = records.machine_blocks.get(number).map_or(0, |b| b.0);
+        if let Some(known) = self.blocks.get_mut(&block.number) {
+            known.revision = revision;
         }
     }
 
-    /// Moves machines out of a block that is too large for one value, into new ones; says which
-    /// machines went where.
-    fn split(&mut self, number: u32, now: Micros) -> Vec<(Arc<str>, u32)> {
-        let Some(old) = self.all.get_mut(&number) else {
-            return Vec::new();
-        };
-        let mut bytes = 0;
-        let mut part = number;
-        let mut moves: Vec<(Arc<str>, u32)> = Vec::new();
-        for name in old.members.iter() {
-            let more = bytes_of(name, "255.255.255.255:65535");
-            if bytes + more > self.max_bytes {
-                part = if part == number { self.next } else { part + 1 };
-                bytes = 0;
-            }
-            bytes += more;
-            if part != number {
-                moves.push((name.clone(), part));
-            }
-        }
-        let (type_name, zone, spot) = (old.type_name.clone(), old.zone.clone(), old.spot);
-        for (name, to) in &moves {
-            old.members.remove(name);
-            if !old.successors.contains(to) {
-                old.successors.push(*to);
-            }
-        }
-        old.bytes = old.members.len() * bytes_of("vm-000000", "255.255.255.255:65535");
-        for (name, to) in &moves {
-            self.next = self.next.max(to + 1);
-            let block = self.all.entry(*to).or_insert_with(|| Block {
-                type_name: type_name.clone(),
-                zone: zone.clone(),
-                spot,
-                members: BTreeSet::new(),
-                bytes: 0,
-                rev: 0,
-                successors: Vec::new(),
-            });
-            block.members.insert(name.clone());
-            block.bytes += bytes_of(name, "255.255.255.255:65535");
-            self.mark(*to, now);
+    /// Takes the blocks' revisions from the records.
+    pub(super) fn reload(&mut self, records: &RecordCache) {
+        for (number, block) in &mut self.blocks {
+            let on_record = records.machine_blocks.get(number);
+            block.revision = on_record.map_or(0, |record| record.0);
         }
-        self.mark(number, now);
-        moves
-    }
-
-    pub fn unsaved(&self) -> usize {
-        self.due.len()
     }
 
-    pub fn mark(&mut self, number: u32, due: Micros) {
-        let slot = self.due.entry(number).or_insert(due);
-        *slot = (*slot).min(due);
+    /// Marks a block for writing at `due`, or earlier if it is due earlier already.
+    pub(super) fn mark(&mut self, number: u32, due: Micros) {
+        let known = self.due_times.entry(number).or_insert(due);
+        *known = (*known).min(due);
     }
 
     /// The machine's record is to be written, together with others that change soon.
-    pub fn changed(&mut self, machine: &mut Machine, due: Micros) {
-        let number = match machine.block {
-            Some(number) => number,
-            None => {
-                let number = self.assign(machine);
-                machine.block = Some(number);
-                number
-            }
-        };
+    pub(super) fn machine_changed(&mut self, machine: &mut Machine, due: Micros) {
+        let number = machine.block.unwrap_or_else(|| self.assign(machine));
+        machine.block = Some(number);
         self.mark(number, due);
     }
 
+    /// Puts a machine into a block with room, or into a new one.
     fn assign(&mut self, machine: &Machine) -> u32 {
-        let key = (
-            machine.kind.name.clone(),
-            machine.zone.clone(),
-            machine.spot,
-        );
-        // The address is not known yet: a usual one's length is set aside.
-        let bytes = bytes_of(&machine.name, "255.255.255.255:65535");
-        if let Some((number, b)) = self
-            .unfilled
-            .get(&key)
-            .and_then(|number| self.all.get_mut(number).map(|b| (*number, b)))
-        {
-            if b.members.len() < BLOCK && b.bytes + bytes <= self.max_bytes {
-                b.members.insert(machine.name.clone());
-                b.bytes += bytes;
-                return number;
-            }
+        let kind = BlockKind::of(machine);
+        let bytes = machine_bytes(&machine.name, LONGEST_USUAL_ADDRESS);
+        let unfilled = self.unfilled.get(&kind).copied().filter(|number| {
+            let block = self.blocks.get(number);
+            block.is_some_and(|block| block.has_room_for(bytes, self.max_bytes))
+        });
+        let number = unfilled.unwrap_or_else(|| self.open_block(kind));
+        if let Some(block) = self.blocks.get_mut(&number) {
+            block.machines.insert(machine.name.clone());
+            block.bytes += bytes;
         }
-        let number = self.next;
-        self.next += 1;
-        self.all.insert(
-            number,
-            Block {
-                type_name: key.0.clone(),
-                zone: key.1.clone(),
-                spot: key.2,
-                members: BTreeSet::from([machine.name.clone()]),
-                bytes,
-                rev: 0,
-                successors: Vec::new(),
-            },
-        );
-        self.unfilled.insert(key, number);
         number
     }
 
-    /// The machine is proven gone.
-    pub fn leave(&mut self, machine: &Machine, now: Micros) {
+    fn open_block(&mut self, kind: BlockKind) -> u32 {
+        let number = self.next_number;
+        self.next_number += 1;
+        self.blocks.insert(number, Block::empty(kind.clone()));
+        self.unfilled.insert(kind, number);
+        number
+    }
+
+    /// The machine is proven gone. The bytes that it leaves are not counted on: addresses differ in
+    /// length.
+    pub(super) fn machine_gone(&mut self, machine: &Machine, now: Micros) {
         let Some(number) = machine.block else { return };
-        if let Some(b) = self.all.get_mut(&number) {
-            b.members.remove(&machine.name);
-            // What was freed is not counted on: addresses differ in length.
-            self.mark(number, now.plus(Micros::from_secs(1)));
+        if let Some(block) = self.blocks.get_mut(&number) {
+            block.machines.remove(&machine.name);
+            self.mark(number, now.plus(DEPARTURE_DELAY));
         }
     }
-}
 
-fn bytes_of(name: &str, addr: &str) -> usize {
-    name.len() + addr.len() + 40
-}
+    /// The blocks that are due, the newest first: a block that was split comes after those that took
+    /// over its machines.
+    pub(super) fn due(&self, now: Micros) -> Vec<u32> {
+        let due = self.due_times.iter().filter(|(_, due)| **due <= now);
+        due.map(|(number, _)| *number).rev().collect()
+    }
 
-impl Scheduler {
-    pub(in crate::scheduler) fn add_blocks(
-        &mut self,
-        b: &mut TransactionBuilder,
-        p: &mut TransactionContents,
-        ops: usize,
-        max: usize,
-        now: Micros,
-    ) {
-        let due: Vec<u32> = (self.persistence.machine_blocks.due.iter())
-            .filter(|d| *d.1 <= now)
-            .map(|d| *d.0)
-            .rev()
-            .collect();
-        // The newest first: a block that was split comes after those that took over its machines.
-        for number in due {
-            let Some(block) = self.persistence.machine_blocks.all.get(&number) else {
-                self.persistence.machine_blocks.due.remove(&number);
-                continue;
-            };
-            let waits = (block.successors.iter()).any(|h| {
-                let there = self
-                    .persistence
-                    .machine_blocks
-                    .all
-                    .get(h)
-                    .is_none_or(|x| x.rev > 0);
-                !there && !p.machine_blocks.iter().any(|w| w.0 == *h)
+    /// Whether a block that took over machines of this one has yet to be written, and is not among
+    /// those that are being written.
+    pub(super) fn awaits_successor(&self, number: u32, being_written: &[WrittenBlock]) -> bool {
+        let Some(block) = self.blocks.get(&number) else {
+            return false;
+        };
+        block.successors.iter().any(|successor| {
+            let on_record = self
+                .blocks
+                .get(successor)
+                .is_none_or(|block| block.revision > 0);
+            !on_record && !being_written.iter().any(|block| block.number == *successor)
+        })
+    }
+
+    /// The block's record as it is to be written; `None` if there is no such block.
+    pub(super) fn draft(&self, number: u32, sources: &RecordSources) -> Option<BlockDraft> {
+        let block = self.blocks.get(&number)?;
+        let mut record = BlockRecord {
+            type_name: block.kind.type_name.clone(),
+            zone: block.kind.zone.to_string(),
+            spot: block.kind.spot,
+            machines: Vec::with_capacity(block.machines.len()),
+        };
+        let mut written = WrittenBlock {
+            number,
+            machines: Vec::with_capacity(block.machines.len()),
+        };
+        let machines = block.machines.iter();
+        for machine in machines.filter_map(|name| sources.machines.get(name)) {
+            let returning = matches!(machine.phase, MachinePhase::Returning(_));
+            record.machines.push(MachineRecord(
+                machine.name.to_string(),
+                machine.addr.clone(),
+                returning,
+                sources.wall_time(machine.created_at),
+            ));
+            written.machines.push(CommittedMachine {
+                name: machine.name.clone(),
+                returning,
             });
-            if waits {
-                continue;
-            }
-            let mut rec = BlockRecord {
-                type_name: block.type_name.clone(),
-                zone: block.zone.to_string(),
-                spot: block.spot,
-                machines: Vec::with_capacity(block.members.len()),
-            };
-            let mut members = Vec::with_capacity(block.members.len());
-            for machine in block
-                .members
-                .iter()
-                .filter_map(|n| self.inventory.machines.get(n))
-            {
-                let returning = matches!(machine.phase, MachinePhase::Returning(_));
-                let (name, addr) = (machine.name.to_string(), machine.addr.clone());
-                rec.machines.push(MachineRecord(
-                    name,
-                    addr,
-                    returning,
-                    self.wall_of(machine.created_at, now),
-                ));
-                members.push((machine.name.clone(), returning));
+        }
+        Some(BlockDraft {
+            record,
+            revision: block.revision,
+            written,
+        })
+    }
+
+    /// The block's record is part of a transaction, or there is no such block.
+    pub(super) fn unmark(&mut self, number: u32) {
+        self.due_times.remove(&number);
+    }
+
+    /// The block's record is to be deleted: it takes no more machines.
+    pub(super) fn close_block(&mut self, number: u32) {
+        self.unfilled.retain(|_, unfilled| *unfilled != number);
+    }
+
+    /// Moves machines out of a block that is too large for one value, into new ones.
+    pub(super) fn split(&mut self, number: u32, now: Micros) -> Vec<BlockMove> {
+        let next_number = self.next_number;
+        let max_bytes = self.max_bytes;
+        let Some(block) = self.blocks.get_mut(&number) else {
+            return Vec::new();
+        };
+        let moves = planned_moves(block, number, next_number, max_bytes);
+        for BlockMove { machine, to } in &moves {
+            block.machines.remove(machine);
+            if !block.successors.contains(to) {
+                block.successors.push(*to);
             }
-            let value = if rec.machines.is_empty() {
-                None
+        }
+        let usual_bytes = machine_bytes(USUAL_MACHINE_NAME, LONGEST_USUAL_ADDRESS);
+        block.bytes = block.machines.len() * usual_bytes;
+        let kind = block.kind.clone();
+        for BlockMove { machine, to } in &moves {
+            self.next_number = self.next_number.max(to + 1);
+            let successor = self.blocks.entry(*to);
+            let successor = successor.or_insert_with(|| Block::empty(kind.clone()));
+            successor.machines.insert(machine.clone());
+            successor.bytes += machine_bytes(machine, LONGEST_USUAL_ADDRESS);
+            self.mark(*to, now);
+        }
+        self.mark(number, now);
+        moves
+    }
+}
+
+/// Which machines of a block go into new ones, numbered from `next_number` on, so that none is larger than
+/// `max_bytes`.
+fn planned_moves(block: &Block, number: u32, next_number: u32, max_bytes: usize) -> Vec<BlockMove> {
+    let mut moves = Vec::new();
+    let mut target = number;
+    let mut target_bytes = 0;
+    for name in &block.machines {
+        let bytes = machine_bytes(name, LONGEST_USUAL_ADDRESS);
+        if target_bytes + bytes > max_bytes {
+            target = if target == number {
+                next_number
             } else {
-                json(&rec)
+                target + 1
             };
-            let bytes = value.as_ref().map_or(0, String::len);
-            if self.persistence.reduced_limits
-                && bytes > self.config.max_value_bytes
-                && rec.machines.len() > 1
-            {
-                for (name, to) in self.persistence.machine_blocks.split(number, now) {
-                    if let Some(machine) = self.inventory.machines.get_mut(&name) {
-                        machine.block = Some(to);
-                    }
-                }
-                self.persistence.next_transaction_at = now;
-                continue;
-            }
-            if !b.fits(ops, 1, bytes + 200, max) {
-                return;
-            }
-            self.persistence.machine_blocks.due.remove(&number);
-            // A transaction of ours that is applied late must not undo a later one.
-            b.require(block_key(number), block.rev);
-            if value.is_none() {
-                let key = (block.type_name.clone(), block.zone.clone(), block.spot);
-                if self.persistence.machine_blocks.unfilled.get(&key) == Some(&number) {
-                    self.persistence.machine_blocks.unfilled.remove(&key);
-                }
-            }
-            b.write(block_key(number), value);
-            p.machine_blocks.push((number, members));
+            target_bytes = 0;
+        }
+        target_bytes += bytes;
+        if target != number {
+            moves.push(BlockMove {
+                machine: name.clone(),
+                to: target,
+            });
         }
     }
+    moves
+}
+
+/// The size of a machine's record, at the most.
+fn machine_bytes(name: &str, address: &str) -> usize {
+    name.len() + address.len() + MACHINE_RECORD_BYTES
 }
--- a/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
@@ -1,130 +1,195 @@
-//! The log of placements and outcomes: a ring of segments, of which those that checkpoints hold may be
-//! overwritten.
+//! The log of placements and outcomes: a ring of segments. A segment may be overwritten once checkpoints
+//! hold everything that still matters of it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
+use super::task_keys::{TaskKey, TaskRange};
+use super::unsaved_tasks::UnsavedTasks;
+use super::Jobs;
 use crate::cluster::JobNumber;
-use crate::records::{RecordCache, CHUNK};
-use crate::scheduler::{Scheduler, SchedulerConfig};
+use crate::records::{RecordCache, RecordedSegment};
+use crate::scheduler::SchedulerConfig;
 
-/// The log of placements and outcomes.
-pub(in crate::scheduler) struct PlacementLog {
-    /// Keys that the segments go round in.
-    pub(in crate::scheduler) ring: u64,
+/// Checkpoints take precedence over other writes when fewer than this part of the ring is free: a full
+/// log would hold up every placement.
+const SHORT_OF_SPACE_DIVISOR: u64 = 8;
+/// Checkpoints are written for segments up to this part of the ring ahead of the one that is overwritten
+/// next: what is placed in a rush and stays, as services do, would otherwise need hundreds of
+/// checkpoints at once.
+const CHECKPOINT_AHEAD_DIVISOR: u64 = 4;
+/// The most segments that are searched for ranges in need of a checkpoint.
+const MAX_SEARCHED_SEGMENTS: usize = 64;
+
+/// The state of the log's ring.
+pub(super) struct PlacementLog {
+    /// How many keys the segments go round in.
+    segment_count: u64,
     /// The next segment's number.
-    pub(in crate::scheduler) next: u64,
-    /// Revision of each key in use.
-    pub(in crate::scheduler) revs: BTreeMap<u32, u64>,
-    /// Chunks that each segment speaks of and that may still need it.
-    pub(in crate::scheduler) live: BTreeMap<u64, Vec<(JobNumber, u32)>>,
-    /// Chunks whose checkpoint is too large for one value: all of their tasks are written to the log
+    next_segment: u64,
+    /// The revision of each key in use.
+    slot_revisions: BTreeMap<u32, u64>,
+    /// Ranges that each segment mentions and that may still need it.
+    live_segments: BTreeMap<u64, Vec<TaskRange>>,
+    /// Ranges whose checkpoint is too large for one value: all of their tasks are written to the log
     /// anew instead, in segments from this one on.
-    pub(in crate::scheduler) rewritten: BTreeMap<(JobNumber, u32), u64>,
+    rewritten_from: BTreeMap<TaskRange, u64>,
 }
 
 impl PlacementLog {
-    pub(in crate::scheduler) fn new(
-        records: &RecordCache,
-        config: &SchedulerConfig,
-    ) -> PlacementLog {
+    /// The log as the records show it. The ranges that need it are added by
+    /// [`PlacementLog::restore`] once the jobs are known.
+    pub(super) fn new(records: &RecordCache, config: &SchedulerConfig) -> PlacementLog {
         PlacementLog {
-            ring: config.log_segments,
-            next: records.last_segment + 1,
-            revs: records
-                .segments
-                .iter()
-                .map(|(slot, s)| (*slot, s.rev))
-                .collect(),
-            live: BTreeMap::new(),
-            rewritten: BTreeMap::new(),
+            segment_count: config.log_segments,
+            next_segment: records.last_segment + 1,
+            slot_revisions: slot_revisions(records),
+            live_segments: BTreeMap::new(),
+            rewritten_from: BTreeMap::new(),
+        }
+    }
+
+    /// Takes in which ranges the segments on record mention.
+    pub(super) fn restore(
+        &mut self,
+        records: &RecordCache,
+        job_numbers: &HashMap<Arc<str>, JobNumber>,
+    ) {
+        for segment in records.segments.values() {
+            let ranges = known_ranges(segment, job_numbers);
+            self.live_segments.insert(segment.number, ranges);
         }
     }
 
-    /// What the segments on record speak of, once the jobs are known.
-    pub(in crate::scheduler) fn restore(
+    /// Takes in what a transaction without an answer did, if it was carried out.
+    pub(super) fn reload(
         &mut self,
         records: &RecordCache,
         job_numbers: &HashMap<Arc<str>, JobNumber>,
     ) {
-        for s in records.segments.values() {
-            let known = s.chunks.iter();
-            let known = known.filter_map(|(id, c)| Some((*job_numbers.get(id.as_str())?, *c)));
-            self.live.insert(s.number, known.collect());
+        self.slot_revisions = slot_revisions(records);
+        for segment in records.segments.values() {
+            if segment.number >= self.next_segment {
+                let ranges = known_ranges(segment, job_numbers);
+                self.live_segments.insert(segment.number, ranges);
+            }
         }
+        self.next_segment = self.next_segment.max(records.last_segment + 1);
     }
 
-    pub(in crate::scheduler) fn next(&self) -> u64 {
-        self.next
+    /// The number of the segment that is written next.
+    pub(super) fn next_segment(&self) -> u64 {
+        self.next_segment
     }
 
     /// How many segments can be written before one that may still be needed is overwritten.
-    pub(in crate::scheduler) fn room(&self) -> u64 {
-        let first = self.live.keys().next();
-        first.map_or(self.ring, |number| {
-            (number + self.ring).saturating_sub(self.next)
+    pub(super) fn free_segments(&self) -> u64 {
+        let oldest = self.live_segments.keys().next();
+        oldest.map_or(self.segment_count, |number| {
+            (number + self.segment_count).saturating_sub(self.next_segment)
         })
     }
 
+    /// Whether checkpoints are to be written before anything else, to free segments.
+    pub(super) fn is_short_of_space(&self) -> bool {
+        self.free_segments() < self.segment_count / SHORT_OF_SPACE_DIVISOR
+    }
+
     /// The key that the next segment goes to.
-    pub(in crate::scheduler) fn slot(&self) -> u32 {
-        (self.next % self.ring) as u32
+    pub(super) fn next_slot(&self) -> u32 {
+        (self.next_segment % self.segment_count) as u32
+    }
+
+    /// The revision of a key, 0 if it was never written.
+    pub(super) fn slot_revision(&self, slot: u32) -> u64 {
+        self.slot_revisions.get(&slot).copied().unwrap_or(0)
     }
-}
 
-impl Scheduler {
-    /// Whether nothing needs the segment any more that the next one overwrites.
-    pub(in crate::scheduler) fn slot_is_free(&mut self) -> bool {
-        self.drop_obsolete_segments();
-        self.persistence.placement_log.room() > 0
+    /// The next segment was written, and mentions these ranges.
+    pub(super) fn segment_written(&mut self, slot: u32, revision: u64, ranges: Vec<TaskRange>) {
+        self.slot_revisions.insert(slot, revision);
+        self.live_segments.insert(self.next_segment, ranges);
+        self.next_segment += 1;
     }
 
-    /// Drops the oldest segments of which checkpoints hold all that still matters.
-    pub(in crate::scheduler) fn drop_obsolete_segments(&mut self) {
-        self.finish_rewrites();
-        while let Some((number, chunks)) = self.persistence.placement_log.live.first_key_value() {
-            let needed = chunks
-                .iter()
-                .any(|(job, c)| self.dependencies(*number, *job, *c));
-            if needed {
+    /// Drops the oldest segments as far as checkpoints hold everything that still matters of them.
+    pub(super) fn drop_obsolete_segments(&mut self, jobs: &Jobs) {
+        while let Some((number, ranges)) = self.live_segments.first_key_value() {
+            if ranges.iter().any(|range| is_needed(*number, *range, jobs)) {
                 return;
             }
-            self.persistence.placement_log.live.pop_first();
+            self.live_segments.pop_first();
         }
     }
 
-    /// Chunks that were written to the log anew don't need what it said of them before.
-    pub(in crate::scheduler) fn finish_rewrites(&mut self) {
-        if self.persistence.placement_log.rewritten.is_empty()
-            || self.persistence.in_flight.is_some()
-        {
-            return;
-        }
-        let all = std::mem::take(&mut self.persistence.placement_log.rewritten);
-        for ((number, c), from) in all {
-            let Some(job) = self.job_table.jobs.get_mut(&number) else {
-                continue;
+    /// The ranges of the oldest segments that need a checkpoint, at most `limit`.
+    pub(super) fn ranges_without_checkpoint(&self, jobs: &Jobs, limit: usize) -> Vec<TaskRange> {
+        let horizon = self.next_segment + self.segment_count / CHECKPOINT_AHEAD_DIVISOR + 1;
+        self.live_segments
+            .iter()
+            .take_while(|(number, _)| **number + self.segment_count < horizon)
+            .take(MAX_SEARCHED_SEGMENTS)
+            .flat_map(|(number, ranges)| ranges.iter().map(move |range| (*number, *range)))
+            .filter(|(number, range)| is_needed(*number, *range, jobs))
+            .map(|(_, range)| range)
+            .take(limit)
+            .collect()
+    }
+
+    /// All tasks of the range are written to the log anew, in segments from `first_segment` on.
+    pub(super) fn begin_rewrite(&mut self, range: TaskRange, first_segment: u64) {
+        self.rewritten_from.insert(range, first_segment);
+    }
+
+    /// Whether the range's tasks are being written to the log anew.
+    pub(super) fn is_rewriting(&self, range: TaskRange) -> bool {
+        self.rewritten_from.contains_key(&range)
+    }
+
+    /// Ranges that were written to the log anew need none of the earlier segments. Only to be called
+    /// while no transaction is in flight.
+    pub(super) fn finish_rewrites(&mut self, jobs: &mut Jobs, unsaved_tasks: &UnsavedTasks) {
+        self.rewritten_from.retain(|range, first_segment| {
+            let Some(job) = jobs.get_mut(&range.job) else {
+                return false;
             };
-            let hi = (c * CHUNK + CHUNK).min(job.spec.tasks);
-            if (c * CHUNK..hi).any(|t| self.persistence.unsaved_tasks.contains(number, t)) {
-                self.persistence
-                    .placement_log
-                    .rewritten
-                    .insert((number, c), from);
-            } else if let Some(at) = job.chunks.get_mut(c as usize) {
-                at.1 = at.1.max(from.saturating_sub(1));
+            let mut tasks = range.tasks(job.spec.tasks);
+            if tasks.any(|task| unsaved_tasks.contains(TaskKey::new(range.job, task))) {
+                return true;
             }
-        }
+            if let Some(checkpoint) = job.checkpoints.get_mut(range.index as usize) {
+                let rewritten_up_to = first_segment.saturating_sub(1);
+                checkpoint.up_to_segment = checkpoint.up_to_segment.max(rewritten_up_to);
+            }
+            false
+        });
     }
+}
 
-    pub(in crate::scheduler) fn dependencies(
-        &self,
-        segment: u64,
-        job: JobNumber,
-        chunk: u32,
-    ) -> bool {
-        let job = self.job_table.jobs.get(&job);
-        job.and_then(|job| job.chunks.get(chunk as usize))
-            .is_some_and(|at| at.1 < segment)
-    }
+fn slot_revisions(records: &RecordCache) -> BTreeMap<u32, u64> {
+    let segments = records.segments.iter();
+    segments
+        .map(|(slot, segment)| (*slot, segment.revision))
+        .collect()
+}
+
+/// The ranges that a segment mentions, of jobs that are in memory.
+fn known_ranges(
+    segment: &RecordedSegment,
+    job_numbers: &HashMap<Arc<str>, JobNumber>,
+) -> Vec<TaskRange> {
+    let ranges = segment.task_ranges.iter();
+    ranges
+        .filter_map(|(id, index)| {
+            let job = *job_numbers.get(id.as_str())?;
+            Some(TaskRange { job, index: *index })
+        })
+        .collect()
+}
+
+/// Whether the range's checkpoint is older than the segment.
+fn is_needed(segment: u64, range: TaskRange, jobs: &Jobs) -> bool {
+    let job = jobs.get(&range.job);
+    let checkpoint = job.and_then(|job| job.checkpoints.get(range.index as usize));
+    checkpoint.is_some_and(|checkpoint| checkpoint.up_to_segment < segment)
 }
--- /dev/null
+++ b/crates/saltpitch-core/src/scheduler/persistence/segments.rs
@@ -0,0 +1,158 @@
+//! Segments of the placement log: what is written of the tasks that are due.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::task_keys::TaskKey;
+use super::transaction::TransactionBuilder;
+use super::{to_json, Persistence, RecordSources};
+use crate::cluster::JobNumber;
+use crate::gang::Gang;
+use crate::records::{job_key, log_key, Entry, LogRecord};
+use crate::scheduler::{Allocation, Job, Task};
+
+/// The largest segment.
+const MAX_SEGMENT_BYTES: usize = 16 * 1024;
+/// Bytes of a segment beside its entries.
+const SEGMENT_ENVELOPE_BYTES: usize = 60;
+/// Bytes of a job's part of a segment beside its id and its entries.
+const SEGMENT_JOB_BYTES: usize = 8;
+/// Bytes of an entry beside the machine's name.
+const SEGMENT_ENTRY_BYTES: usize = 32;
+
+/// The entries of one segment, collected within its limits.
+struct SegmentDraft {
+    entries: BTreeMap<JobNumber, Vec<Entry>>,
+    bytes: usize,
+    max_bytes: usize,
+    /// Jobs of which allocations are written, each of which is a precondition.
+    allocating_jobs: BTreeSet<JobNumber>,
+    max_allocating_jobs: usize,
+}
+
+impl SegmentDraft {
+    fn new(builder: &TransactionBuilder, max_value_bytes: usize) -> SegmentDraft {
+        SegmentDraft {
+            entries: BTreeMap::new(),
+            bytes: SEGMENT_ENVELOPE_BYTES,
+            max_bytes: (max_value_bytes * 7 / 8)
+                .min(MAX_SEGMENT_BYTES)
+                .min(builder.max_bytes() / 2),
+            allocating_jobs: BTreeSet::new(),
+            max_allocating_jobs: builder.spare_preconditions().max(1),
+        }
+    }
+
+    /// Adds a task's entry; false if it does not fit.
+    fn add(&mut self, key: TaskKey, job: &mut Job) -> bool {
+        let allocation = job.tasks[key.task as usize].allocation.as_ref();
+        let machine_bytes = allocation.map_or(0, |allocation| allocation.machine.len());
+        let job_bytes = if self.entries.contains_key(&key.job) {
+            0
+        } else {
+            job.id.len() + SEGMENT_JOB_BYTES
+        };
+        let bytes = job_bytes + machine_bytes + SEGMENT_ENTRY_BYTES;
+        let needs_precondition = allocation.is_some() && !self.allocating_jobs.contains(&key.job);
+        if self.bytes + bytes > self.max_bytes
+            || (needs_precondition && self.allocating_jobs.len() >= self.max_allocating_jobs)
+        {
+            return false;
+        }
+        if needs_precondition {
+            self.allocating_jobs.insert(key.job);
+        }
+        self.bytes += bytes;
+        let entry = task_entry(key.task, &mut job.tasks[key.task as usize], job.gang);
+        self.entries.entry(key.job).or_default().push(entry);
+        true
+    }
+}
+
+impl Persistence {
+    /// Adds a segment with the tasks that are unsaved, what is due first, as far as one value holds them.
+    pub(super) fn add_segment(
+        &mut self,
+        builder: &mut TransactionBuilder,
+        sources: &mut RecordSources,
+    ) {
+        let due = self.unsaved_tasks.next_due();
+        if due.is_none_or(|due| due > sources.now) {
+            return;
+        }
+        self.drop_obsolete_segments(sources.jobs);
+        if self.placement_log.free_segments() == 0 {
+            self.log_alerts.blocked(sources.now);
+            return;
+        }
+        self.log_alerts.unblocked();
+        let entries = self.take_segment_entries(builder, sources);
+        if entries.is_empty() {
+            return;
+        }
+        let record = self.segment_record(entries, builder, sources);
+        let slot = self.placement_log.next_slot();
+        builder.require(log_key(slot), self.placement_log.slot_revision(slot));
+        builder.write(log_key(slot), to_json(&record));
+        builder.contents.segment_slot = Some(slot);
+    }
+
+    /// Takes the tasks that go into the next segment out of those that are unsaved.
+    fn take_segment_entries(
+        &mut self,
+        builder: &mut TransactionBuilder,
+        sources: &mut RecordSources,
+    ) -> BTreeMap<JobNumber, Vec<Entry>> {
+        let mut draft = SegmentDraft::new(builder, sources.config.max_value_bytes);
+        while let Some(key) = self.unsaved_tasks.first() {
+            if let Some(job) = sources.jobs.get_mut(&key.job) {
+                if !draft.add(key, job) {
+                    break;
+                }
+                builder.contents.tasks.insert(key);
+            }
+            self.unsaved_tasks.remove(key);
+        }
+        draft.entries
+    }
+
+    /// The segment's record. Allocations are on condition of their job's record: nothing is placed for a
+    /// job that was cancelled meanwhile.
+    fn segment_record(
+        &self,
+        entries: BTreeMap<JobNumber, Vec<Entry>>,
+        builder: &mut TransactionBuilder,
+        sources: &RecordSources,
+    ) -> LogRecord {
+        let mut record = LogRecord {
+            number: self.placement_log.next_segment(),
+            entries: Vec::with_capacity(entries.len()),
+        };
+        for (number, job_entries) in entries {
+            let Some(job) = sources.jobs.get(&number) else {
+                continue;
+            };
+            if job_entries.iter().any(Entry::is_allocated) {
+                builder.require(job_key(&job.id), job.rev);
+            }
+            record.entries.push((job.id.to_string(), job_entries));
+        }
+        record
+    }
+}
+
+/// Whether an allocation goes on record. A gang's members do so at quorum, not before.
+pub(super) fn is_recordable(allocation: &Allocation, gang: Gang) -> bool {
+    allocation.committed || !matches!(gang, Gang::Holding { .. })
+}
+
+/// What the log says of a task. Its allocation is part of the transaction from now on.
+pub(super) fn task_entry(index: u32, task: &mut Task, gang: Gang) -> Entry {
+    let mut entry = Entry(index, task.attempt, String::new(), 0, u8::from(task.done));
+    let allocation = task.allocation.as_mut();
+    if let Some(allocation) = allocation.filter(|allocation| is_recordable(allocation, gang)) {
+        allocation.in_transaction = true;
+        entry.2 = allocation.machine.to_string();
+        entry.3 = allocation.agent_epoch;
+    }
+    entry
+}
--- a/crates/saltpitch-core/src/scheduler/persistence/unsaved_tasks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/unsaved_tasks.rs
@@ -4,79 +4,100 @@
 
 use rustc_hash::FxHashMap;
 
+use super::task_keys::TaskKey;
 use crate::cluster::JobNumber;
 use crate::job::{JobKind, JobSpec, Priority};
 use crate::time::Micros;
 
-/// How long an outcome waits for others of its chunk: users expect `done` only 3 s after the fact.
-const GATHER: Micros = Micros::from_millis(400);
+/// How long an outcome waits so that others of its range share the write. Users expect `done` within
+/// 3 s of the fact.
+const OUTCOME_DELAY: Micros = Micros::from_millis(400);
+/// How far placements of production jobs are written ahead of batch work that was placed at the same
+/// time: batch work must not keep them waiting when writes are scarce.
+const PRODUCTION_HEAD_START: Micros = Micros::from_secs(8);
+/// The same for placements of gangs.
+const GANG_HEAD_START: Micros = Micros::from_secs(4);
+/// A task that has been due for this long is urgent.
+const URGENT_AFTER: Micros = Micros::from_secs(1);
+
+/// A task and when its record is due; ordered by due time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct DueTask {
+    due: Micros,
+    key: TaskKey,
+}
 
 /// Tasks that differ from their records, in the order in which they are to be written.
 #[derive(Default)]
-pub(in crate::scheduler) struct UnsavedTasks {
-    pub(in crate::scheduler) due: FxHashMap<(JobNumber, u32), Micros>,
-    pub(in crate::scheduler) queue: BTreeSet<(Micros, JobNumber, u32)>,
+pub(super) struct UnsavedTasks {
+    due_times: FxHashMap<TaskKey, Micros>,
+    queue: BTreeSet<DueTask>,
 }
 
 impl UnsavedTasks {
-    pub(in crate::scheduler) fn mark(&mut self, number: JobNumber, task: u32, due: Micros) {
-        let old = self.due.get(&(number, task)).copied();
-        if old.is_some_and(|old| old <= due) {
+    /// Marks a task for writing at `due`, or earlier if it is due earlier already.
+    pub(super) fn mark(&mut self, key: TaskKey, due: Micros) {
+        let known = self.due_times.get(&key).copied();
+        if known.is_some_and(|known| known <= due) {
             return;
         }
-        if let Some(old) = old {
-            self.queue.remove(&(old, number, task));
+        if let Some(known) = known {
+            self.queue.remove(&DueTask { due: known, key });
         }
-        self.due.insert((number, task), due);
-        self.queue.insert((due, number, task));
+        self.due_times.insert(key, due);
+        self.queue.insert(DueTask { due, key });
     }
 
-    /// A task was placed: production goes before gangs, and both before batch work, which must not
-    /// keep them waiting when changes are scarce.
-    pub(in crate::scheduler) fn placement(
-        &mut self,
-        number: JobNumber,
-        task: u32,
-        spec: &JobSpec,
-        now: Micros,
-    ) {
-        let ahead = match (spec.priority, spec.kind) {
-            (Priority::Production, _) => 8,
-            (_, JobKind::Gang) => 4,
-            _ => 0,
+    /// Marks a task that was placed. Production goes before gangs, and both before batch work.
+    pub(super) fn task_placed(&mut self, key: TaskKey, spec: &JobSpec, now: Micros) {
+        let head_start = match (spec.priority, spec.kind) {
+            (Priority::Production, _) => PRODUCTION_HEAD_START,
+            (_, JobKind::Gang) => GANG_HEAD_START,
+            _ => Micros::ZERO,
         };
-        self.mark(number, task, now.since(Micros::from_secs(ahead)));
+        self.mark(key, now.since(head_start));
     }
 
-    /// A task ended: that can wait a little.
-    pub(in crate::scheduler) fn outcome(&mut self, number: JobNumber, task: u32, now: Micros) {
-        self.mark(number, task, now.plus(GATHER));
+    /// Marks a task that ended or lost its allocation: that can wait a little.
+    pub(super) fn task_ended(&mut self, key: TaskKey, now: Micros) {
+        self.mark(key, now.plus(OUTCOME_DELAY));
     }
 
-    pub(in crate::scheduler) fn contains(&self, number: JobNumber, task: u32) -> bool {
-        self.due.contains_key(&(number, task))
+    /// Whether the task differs from its record.
+    pub(super) fn contains(&self, key: TaskKey) -> bool {
+        self.due_times.contains_key(&key)
     }
 
-    pub(in crate::scheduler) fn len(&self) -> usize {
-        self.due.len()
+    /// How many tasks differ from their records.
+    pub(super) fn len(&self) -> usize {
+        self.due_times.len()
     }
 
-    pub(in crate::scheduler) fn remove(&mut self, number: JobNumber, task: u32) {
-        if let Some(due) = self.due.remove(&(number, task)) {
-            self.queue.remove(&(due, number, task));
+    /// The task is written, or need not be.
+    pub(super) fn remove(&mut self, key: TaskKey) {
+        if let Some(due) = self.due_times.remove(&key) {
+            self.queue.remove(&DueTask { due, key });
         }
     }
 
-    /// Whether something urgent is due.
-    pub(in crate::scheduler) fn urgent(&self, now: Micros) -> bool {
-        let urgent = now.since(Micros::from_secs(1));
-        self.queue.first().is_some_and(|d| d.0 <= urgent)
+    /// The task to be written first.
+    pub(super) fn first(&self) -> Option<TaskKey> {
+        self.queue.first().map(|task| task.key)
+    }
+
+    /// When the first task is due.
+    pub(super) fn next_due(&self) -> Option<Micros> {
+        self.queue.first().map(|task| task.due)
+    }
+
+    /// Whether a task has been due for so long that it must not wait for others.
+    pub(super) fn has_urgent(&self, now: Micros) -> bool {
+        let urgent_since = now.since(URGENT_AFTER);
+        self.next_due().is_some_and(|due| due <= urgent_since)
     }
 
-    pub(in crate::scheduler) fn jobs(&self) -> Vec<JobNumber> {
-        let mut all: Vec<JobNumber> = self.due.keys().map(|k| k.0).collect();
-        all.sort_unstable();
-        all.dedup();
-        all
+    /// The jobs that have unsaved tasks, without repetition.
+    pub(super) fn jobs(&self) -> BTreeSet<JobNumber> {
+        self.due_times.keys().map(|key| key.job).collect()
     }
 }
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -172,9 +172,7 @@
                 }
                 let (agent_epoch, attempt) = (machine.agent_epoch, job.next_attempt(task));
                 self.allocate(number, task, name.clone(), agent_epoch, attempt, false, now);
-                self.persistence
-                    .unsaved_tasks
-                    .placement(number, task, &spec, now);
+                self.persistence.task_placed(number, task, &spec, now);
                 more -= 1;
             }
         }
--- /dev/null
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -0,0 +1,127 @@
+//! Transactions between the scheduler and its records: when one is sent, and what follows from its outcome.
+
+use std::sync::Arc;
+
+use super::persistence::{CommittedMachine, RecordSources};
+use super::{Alert, Scheduler, TransactionOutcome};
+use crate::cluster::{JobNumber, MachinePhase};
+use crate::job::JobState;
+use crate::records::RecordCache;
+use crate::time::Micros;
+
+impl Scheduler {
+    /// Sends the next transaction if there is something to write and none is in flight.
+    pub(super) fn commit(&mut self, now: Micros) {
+        let mut sources = RecordSources {
+            config: &self.config,
+            jobs: &mut self.job_table.jobs,
+            machines: &mut self.inventory.machines,
+            clock: &self.clock,
+            now,
+        };
+        let term_revision = self.leader_term.revision;
+        let effect = self.persistence.next_effect(&mut sources, term_revision);
+        self.effects.extend(effect);
+    }
+
+    /// The answer to [`super::Effect::Commit`].
+    pub fn committed(&mut self, outcome: TransactionOutcome, now: Micros) {
+        let jobs = &mut self.job_table.jobs;
+        let committed = self
+            .persistence
+            .transaction_ended(outcome, jobs, &self.config, now);
+        let Some(transaction) = committed else { return };
+        for number in &transaction.contents.finished_jobs {
+            self.finish_job(*number, now);
+        }
+        let jobs = &mut self.job_table.jobs;
+        let changes = self.persistence.apply_commit(transaction, jobs, now);
+        for machine in &changes.machines {
+            self.machine_committed(machine, now);
+        }
+        for name in &changes.start_on {
+            self.dispatch_soon(name);
+        }
+        for number in changes.cancelled_jobs {
+            self.stop_all(number, Micros::ZERO, now);
+        }
+        self.placement_pass.requested = true;
+    }
+
+    /// The machine's record is written: tasks may be placed on it, or it may be returned.
+    fn machine_committed(&mut self, committed: &CommittedMachine, now: Micros) {
+        let name = &committed.name;
+        let Some(machine) = self.inventory.machines.get_mut(name) else {
+            return;
+        };
+        let is_new = !machine.recorded;
+        machine.recorded = true;
+        if committed.returning && machine.phase == MachinePhase::Returning(false) {
+            machine.phase = MachinePhase::Returning(true);
+            self.schedule_health_check(name, now);
+        } else if is_new {
+            self.reindex(name);
+        }
+    }
+
+    /// The answer to [`super::Effect::ReloadRecords`]: `None` when the store could not be read.
+    pub fn refreshed(&mut self, records: Option<&RecordCache>, now: Micros, wall: Micros) {
+        let Some(records) = records else {
+            self.persistence.reload_failed(now);
+            return;
+        };
+        let job_numbers = &self.job_table.by_id;
+        let unsaved_jobs = self.persistence.records_reloaded(records, job_numbers, now);
+        for number in unsaved_jobs {
+            self.reload_job(number, records, now, wall);
+        }
+        self.placement_pass.requested = true;
+    }
+
+    /// Takes in a job's records after a transaction with unknown outcome.
+    fn reload_job(&mut self, number: JobNumber, records: &RecordCache, now: Micros, wall: Micros) {
+        let Some(job) = self.job_table.jobs.get_mut(&number) else {
+            return;
+        };
+        let id: Arc<str> = job.id.clone();
+        let on_record = records.chunks.get(&*id);
+        for (index, checkpoint) in (0..).zip(&mut job.checkpoints) {
+            let found = on_record.and_then(|checkpoints| checkpoints.get(&index));
+            *checkpoint = found.copied().unwrap_or_default();
+        }
+        // A final record may have been written although the answer was lost.
+        let entry = records.jobs.get(&*id);
+        let has_final_record =
+            entry.is_some_and(|entry| entry.record.spec.is_none() && entry.record.state.is_final());
+        if has_final_record {
+            self.persistence.final_record_found(number);
+            self.finish_job(number, now);
+        } else {
+            self.job_changed(records, &id, now, wall);
+        }
+    }
+
+    /// The final record is written: the job leaves memory.
+    pub(super) fn finish_job(&mut self, number: JobNumber, now: Micros) {
+        self.dequeue(number);
+        let Some(job) = self.job_table.jobs.remove(&number) else {
+            return;
+        };
+        if job.state == JobState::Active {
+            // Done is on record, so nobody can cancel it any more: what depends on it may start.
+            self.dependency_completed(&job.id, job.done_at.unwrap_or(now), now);
+        }
+        self.remember_timeline(&job);
+        self.job_table.by_id.remove(&job.id);
+        self.job_table.gangs_at_barrier.remove(&number);
+        self.persistence.job_removed(number, &job);
+    }
+
+    /// Faults that have not been reported yet, or not lately.
+    pub fn take_alerts(&mut self, now: Micros) -> Vec<Alert> {
+        let policy_faults = std::mem::take(&mut self.config.policy.faults);
+        let mut alerts: Vec<Alert> = policy_faults.into_iter().map(Alert::Policy).collect();
+        alerts.extend(self.persistence.take_log_alert(&self.config, now));
+        alerts
+    }
+}
--- a/crates/saltpitch-core/src/scheduler/recovery.rs
+++ b/crates/saltpitch-core/src/scheduler/recovery.rs
@@ -69,7 +69,7 @@
                 if let Some(first) = self.inventory.machines.get_mut(&machine.name) {
                     let from = first.block.replace(*number);
                     if let Some(from) = from.filter(|f| f != number) {
-                        self.persistence.machine_blocks.moved(
+                        self.persistence.remove_duplicate_machine(
                             &machine.name,
                             from,
                             now.plus(Micros::from_secs(1)),
@@ -92,12 +92,9 @@
         for id in ids {
             self.job_changed(records, id, now, wall);
         }
+        let job_table = &mut self.job_table;
         self.persistence
-            .placement_log
-            .restore(records, &self.job_table.by_id);
-        // Found in every incident of one week: what checkpoints already hold counted as needed until the
-        // first write, and each new leader sent a heartbeat a full log.
-        self.drop_obsolete_segments();
+            .restore_log(records, &job_table.by_id, &mut job_table.jobs);
         let over = records.chunks.iter();
         let mut over: Vec<_> = over
             .filter(|(id, _)| !self.job_table.by_id.contains_key(id.as_str()))
@@ -106,7 +103,7 @@
         over.sort_unstable_by_key(|(id, _)| *id);
         for (id, chunks) in over {
             let keys = chunks.keys().map(|c| crate::records::chunk_key(id, *c));
-            self.persistence.obsolete_keys.extend(keys);
+            self.persistence.delete_keys(keys);
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/summary.rs
+++ b/crates/saltpitch-core/src/scheduler/summary.rs
@@ -80,10 +80,10 @@
             up,
             lost.count(),
             room.join(", "),
-            self.persistence.unsaved_tasks.len() + self.persistence.finished_jobs.len() + self.persistence.machine_blocks.unsaved(),
-            self.persistence.placement_log.next(),
-            self.persistence.placement_log.room(),
-            self.persistence.outcome_unknown
+            self.persistence.unsaved_count(),
+            self.persistence.next_segment(),
+            self.persistence.free_segments(),
+            self.persistence.is_outcome_unknown()
         )
     }
 }
