--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -104,7 +104,7 @@
         // Where the outcome of a transaction is unknown, the record is written again: it must not keep an
         // allocation that memory has dropped.
         if allocation.committed || allocation.in_transaction {
-            self.persistence.unsaved_tasks.outcome(number, task, now);
+            self.persistence.task_ended(number, task, now);
         }
         self.placement_pass.requested = true;
     }
@@ -152,7 +152,7 @@
         };
         if over && job.placed == 0 {
             self.job_table.dequeue(number);
-            self.persistence.finished_jobs.insert(number);
+            self.persistence.job_finished(number);
         }
     }
 
@@ -163,7 +163,7 @@
         };
         if job.complete_task(task, now) {
             self.job_table.update_unplaced(number);
-            self.persistence.unsaved_tasks.outcome(number, task, now);
+            self.persistence.task_ended(number, task, now);
         }
     }
 }
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -10,7 +10,7 @@
 use crate::cluster::JobNumber;
 use crate::gang::Gang;
 use crate::job::{JobKind, JobSpec, JobState};
-use crate::records::{JobEntry, RecordCache, CHUNK};
+use crate::records::{Checkpoint, JobEntry, RecordCache, CHUNK};
 use crate::time::Micros;
 
 /// A place that the records show of a task.
@@ -166,7 +166,7 @@
             idle: (0..spec.tasks).collect(),
             placed: 0,
             done: 0,
-            chunks: vec![(0, 0); tasks.div_ceil(CHUNK as usize)],
+            checkpoints: vec![Checkpoint::default(); tasks.div_ceil(CHUNK as usize)],
             gang: Gang::default(),
             not_before: Micros::ZERO,
             parked_at: Micros::ZERO,
@@ -200,9 +200,7 @@
             let attempt = attempt.map(|task| task.attempt);
             let Some((name, attempt)) = name.zip(attempt) else {
                 lost_tasks = true;
-                self.persistence
-                    .unsaved_tasks
-                    .outcome(number, recorded.task, now);
+                self.persistence.task_ended(number, recorded.task, now);
                 continue;
             };
             let assignment = Assignment {
@@ -259,9 +257,9 @@
 
 /// Takes over what the records say of a job's tasks. Returns where they were placed.
 fn restore_tasks(job: &mut Job, id: &str, records: &RecordCache) -> Vec<RecordedAllocation> {
-    for (&chunk, checkpoint) in records.chunks.get(id).into_iter().flatten() {
-        if let Some(slot) = job.chunks.get_mut(chunk as usize) {
-            *slot = (checkpoint.rev, checkpoint.upto);
+    for (&index, on_record) in records.chunks.get(id).into_iter().flatten() {
+        if let Some(checkpoint) = job.checkpoints.get_mut(index as usize) {
+            *checkpoint = *on_record;
         }
     }
     let mut allocations = Vec::new();
--- a/crates/saltpitch-core/src/scheduler/job_table/job.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/job.rs
@@ -5,7 +5,7 @@
 
 use crate::gang::Gang;
 use crate::job::{JobKind, JobSpec, JobState, Priority};
-use crate::records::Guest;
+use crate::records::{Checkpoint, Guest};
 use crate::scheduler::delegation::JobOwner;
 use crate::scheduler::failure_history::FailureHistory;
 use crate::time::Micros;
@@ -83,8 +83,8 @@
     pub idle: BTreeSet<u32>,
     pub placed: u32,
     pub done: u32,
-    /// Revision of each chunk record (0: not there), and the log's segment up to which it holds.
-    pub chunks: Vec<(u64, u64)>,
+    /// The checkpoint of each range of tasks; of revision 0 if it is not on record.
+    pub checkpoints: Vec<Checkpoint>,
     pub gang: Gang,
     pub not_before: Micros,
     /// When it became idle as a whole again.
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -181,9 +181,7 @@
                     committed: false,
                 };
                 self.allocate(assignment, now);
-                self.persistence
-                    .unsaved_tasks
-                    .placement(number, task, &spec, now);
+                self.persistence.task_placed(number, task, &spec, now);
                 more -= 1;
             }
         }
