--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -1,5 +1,9 @@
-//! Gangs at the barrier: their members hold the room that they found until all have some.
+//! Gang scheduling: gangs at the Permit barrier. Their assumed members hold capacity until all have some.
+//!
+//! Owns which gangs wait at the barrier. Invariant: nothing of a gang goes on record, and no start is
+//! sent, before every member is assumed.
 
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -12,8 +16,10 @@
 use crate::job::JobKind;
 use crate::time::Micros;
 
-/// How long a gang keeps the room that it found while jobs of its team are stuck.
-const MAX_HOLD: Micros = Micros::from_secs(25);
+/// How long an aged gang keeps the capacity that it found while jobs of its team are blocked.
+const MAX_KEPT: Micros = Micros::from_secs(25);
+/// How long a gang stays parked after it has waited at the barrier in vain.
+const PARKED_AFTER_DROP: Micros = Micros::from_secs(1);
 
 /// The gangs that wait at the barrier with some members assumed.
 #[derive(Default)]
@@ -28,51 +34,30 @@
     }
 }
 
-impl Scheduler {
-    /// Whether a gang keeps the room that it found beyond the barrier's wait: its turn has come. Not for
-    /// ever, though: where the machines for the rest are not to be had, jobs of its team would wait
-    /// beside free room, since what the gang holds counts against the team's limit.
-    pub(super) fn keeps_waiting_at_barrier(
-        &self,
-        number: JobNumber,
-        since: Micros,
-        now: Micros,
-    ) -> bool {
-        let Some(job) = self
-            .job_table
-            .get(number)
-            .filter(|job| self.is_aged(job, now))
-        else {
-            return false;
-        };
-        let blocked = |other: &Job| {
-            other.team == job.team
-                && other.spec.kind == JobKind::Array
-                && !other.idle.is_empty()
-                && !other.at_fault()
-                && self.is_blocked(other, now)
-        };
-        now.since(since) < MAX_HOLD || !self.job_table.values().any(blocked)
-    }
+/// What is left of a team's limit is kept for a starved gang in this pass.
+pub(super) struct ReservedQuota {
+    team: usize,
+    /// Of the accelerators alone; otherwise of everything.
+    accelerators_only: bool,
+}
 
-    /// What its team has left is kept for a gang that has waited too long: nothing behind that one
-    /// takes of the same kind until it has started.
-    pub(super) fn is_quota_reserved(&self, job: &Job) -> bool {
-        self.placement_pass
-            .reserved_quota
-            .iter()
-            .any(|(team, only_gpu)| *team == job.team && (!only_gpu || job.spec.need.gpu > 0))
+impl ReservedQuota {
+    /// Whether the job may take nothing of what is kept.
+    pub(super) fn excludes(&self, job: &Job) -> bool {
+        self.team == job.team && (!self.accelerators_only || job.spec.need.gpu > 0)
     }
+}
 
-    /// Takes back the room of all gangs at the barrier, so that this pass deals it out anew, oldest
+impl Scheduler {
+    /// Releases the capacity of all gangs at the barrier, so that this pass deals it out anew, oldest
     /// first: two gangs must not each hold what the other lacks.
     pub(super) fn release_barriers(&mut self, now: Micros) {
-        let holding: Vec<(JobNumber, Micros)> = (self.gang_barrier.waiting.iter())
-            .filter_map(|number| match self.job_table.get(*number)?.gang {
-                Gang::Holding { since } => Some((*number, since)),
-                _ => None,
-            })
-            .collect();
+        let holding_since = |number: &JobNumber| match self.job_table.get(*number)?.gang {
+            Gang::Holding { since } => Some((*number, since)),
+            _ => None,
+        };
+        let waiting = self.gang_barrier.waiting.iter();
+        let holding: Vec<(JobNumber, Micros)> = waiting.filter_map(holding_since).collect();
         self.gang_barrier.waiting.clear();
         for (number, since) in holding {
             self.park(number, now);
@@ -80,145 +65,106 @@
         }
     }
 
-    /// The gang's members found so far hold their room.
-    pub(super) fn wait_at_barrier(&mut self, number: JobNumber, since: Micros) {
-        if let Some(job) = self.job_table.get_mut(number) {
-            job.gang = Gang::Holding { since };
-            self.gang_barrier.waiting.insert(number);
-        }
-    }
-
     /// One pass over a gang: gate, assumption, barrier.
-    pub(super) fn schedule_gang(&mut self, w: QueuedJob, now: Micros) {
-        let Some(job) = self.job_table.get(w.number) else {
+    pub(super) fn schedule_gang(&mut self, queued: QueuedJob, now: Micros) {
+        let Some(job) = self.job_table.get(queued.number) else {
             return;
         };
-        let n = job.spec.tasks;
-        // The job's record carries all of its tasks, so the group is known whole or not at all.
-        if !pre_enqueue(true, job.tasks.len() as u32, n) {
+        let Some(waiting_since) = barrier_entered_at(job, now) else {
             return;
-        }
-        let since = match job.gang {
-            Gang::Parked { until } if until <= now && job.placed == 0 => now,
-            Gang::Holding { since } => since,
-            _ => return,
         };
-        let need = job.spec.need;
-        let idle = job.idle.len() as u64;
-        if self.quota.more(job.team, &need) < idle {
-            if self.is_starved(job, now) && !job.at_fault() && self.can_become_free(job) {
-                // Of processors, everybody's tasks take; of accelerators, only some.
-                let cpu = Resources { gpu: 0, ..need };
-                let only_gpu = self.quota.more(job.team, &cpu) >= idle;
-                self.placement_pass
-                    .reserved_quota
-                    .push((job.team, only_gpu));
+        if !self.fits_limit(job) {
+            if let Some(reserved) = self.reserved_quota(job, now) {
+                self.placement_pass.reserved_quota.push(reserved);
             }
-            return self.park(w.number, now);
+            return self.park(queued.number, now);
         }
-        let one_zone = job.spec.one_zone;
-        let zone = if one_zone {
-            match job.zones.keys().next().cloned() {
-                Some(z) => Some(z),
-                None => self.best_zone(w.number, now),
-            }
-        } else {
-            None
-        };
-        if !one_zone || zone.is_some() {
-            self.assume_members(w.number, zone.as_deref(), now);
+        self.assume_members(queued.number, now);
+        self.pass_barrier(queued, waiting_since, now);
+    }
+
+    /// Whether what is left of its team's limit holds all idle members.
+    fn fits_limit(&self, job: &Job) -> bool {
+        self.quota.more(job.team, &job.spec.need) >= job.idle.len() as u64
+    }
+
+    /// What its team has left is kept for a gang that has waited too long: nothing behind that one takes
+    /// of the same kind until it has started.
+    fn reserved_quota(&self, job: &Job, now: Micros) -> Option<ReservedQuota> {
+        if !self.is_starved(job, now) || job.at_fault() || !self.can_become_free(job) {
+            return None;
         }
-        let Some(spec) = self.job_table.get(w.number).map(|job| job.spec.clone()) else {
-            return;
+        // Every task takes processors, only some take accelerators.
+        let without_accelerators = Resources {
+            gpu: 0,
+            ..job.spec.need
         };
-        let wait = self.gang_hold(&spec);
-        let Some(job) = self.job_table.get_mut(w.number) else {
-            return;
-        };
-        match permit(job.placed, n, since, now, wait) {
-            Permit::Allow => {
-                job.gang = Gang::Committing;
-                job.served_at = now;
-                self.gang_barrier.leave(w.number);
-                for task in 0..n {
-                    self.persistence.task_placed(w.number, task, &spec, now);
-                }
-            }
-            Permit::Wait => {
-                let left = u64::from(n - job.placed);
-                if job.placed > 0 {
-                    self.wait_at_barrier(w.number, since);
-                }
-                self.preempt(w, left, now);
-            }
-            Permit::Drop if self.keeps_waiting_at_barrier(w.number, since, now) => {
-                // It keeps what it found: its turn has come.
-                self.wait_at_barrier(w.number, since);
-            }
-            Permit::Drop => {
-                self.park(w.number, now);
-                if let Some(job) = self.job_table.get_mut(w.number) {
-                    job.gang = Gang::Parked {
-                        until: now.plus(Micros::from_secs(1)),
-                    };
-                }
-            }
-        }
+        let left = self.quota.more(job.team, &without_accelerators);
+        Some(ReservedQuota {
+            team: job.team,
+            accelerators_only: left >= job.idle.len() as u64,
+        })
     }
 
     /// Whether the team's limit holds the whole gang beside the team's services, which don't end by
     /// themselves. If it does not, keeping what the team has left would only make the team's other
-    /// jobs wait beside free room, for as long as the services run.
-    pub(super) fn can_become_free(&self, job: &Job) -> bool {
-        let services = self
-            .job_table
-            .values()
-            .filter(|other| other.team == job.team && other.spec.kind == JobKind::Service);
+    /// jobs wait beside free capacity, for as long as the services run.
+    fn can_become_free(&self, job: &Job) -> bool {
+        let is_service =
+            |other: &&Job| other.team == job.team && other.spec.kind == JobKind::Service;
+        let services = self.job_table.values().filter(is_service);
         let lasting = services.fold(Resources::default(), |sum, service| {
             sum.plus(&service.spec.need.times(u64::from(service.placed)))
         });
         let team = self.quota.team(job.team);
-        team.is_some_and(|t| t.more(&lasting, &job.spec.need) >= u64::from(job.spec.tasks))
+        let tasks = u64::from(job.spec.tasks);
+        team.is_some_and(|team| team.more(&lasting, &job.spec.need) >= tasks)
     }
 
-    /// Drops the room of a gang that is not complete: nothing of it has gone on record.
-    pub(super) fn park(&mut self, number: JobNumber, now: Micros) {
-        let Some(job) = self.job_table.get_mut(number) else {
+    /// Assumes the gang's idle members, one by one, on the present snapshot.
+    fn assume_members(&mut self, number: JobNumber, now: Micros) {
+        let Some(job) = self.job_table.get(number) else {
             return;
         };
-        job.gang = Gang::Parked { until: now };
-        if job.placed == 0 {
-            return;
+        let one_zone = job.spec.one_zone;
+        let zone = match job.zones.keys().next().filter(|_| one_zone) {
+            Some(zone) => Some(zone.clone()),
+            None if one_zone => self.best_zone(number, now),
+            None => None,
+        };
+        if !one_zone || zone.is_some() {
+            self.assume_members_in(number, zone.as_deref(), now);
         }
-        for task in 0..job.spec.tasks {
-            self.release(number, task, now);
+    }
+
+    /// The zone that holds most members of a gang now.
+    fn best_zone(&mut self, number: JobNumber, now: Micros) -> Option<Arc<str>> {
+        let job = self.job_table.get(number)?;
+        let (need, all) = (job.spec.need, u64::from(job.spec.tasks));
+        let mut capacity: BTreeMap<Arc<str>, u64> = BTreeMap::new();
+        for name in self.candidates(number, None, all, now) {
+            if let Some(machine) = self.inventory.machines.get(&name) {
+                let tasks = need.count_in(&machine.free());
+                *capacity.entry(machine.zone.clone()).or_default() += tasks;
+            }
         }
+        let zones = capacity.into_iter();
+        let best = zones.max_by_key(|(zone, tasks)| ((*tasks).min(all), Reverse(zone.clone())));
+        best.map(|(zone, _)| zone)
     }
 
-    /// Assumes the gang's idle members, one by one, on the present snapshot.
-    pub(super) fn assume_members(&mut self, number: JobNumber, zone: Option<&str>, now: Micros) {
+    fn assume_members_in(&mut self, number: JobNumber, zone: Option<&str>, now: Micros) {
         let Some(job) = self.job_table.get(number) else {
             return;
         };
-        let need = job.spec.need;
-        let attempt = if job.placed > 0 {
-            job.tasks.iter().map(|t| t.attempt).max().unwrap_or(1)
-        } else {
-            job.next_attempt(0)
+        // Members that are assumed later join the attempt of those before them.
+        let attempt = match job.placed {
+            0 => job.next_attempt(0),
+            _ => job.highest_attempt(),
         };
-        let want = job.idle.len() as u64;
-        for name in self.candidates(number, zone, want, now) {
-            while let (Some(job), Some(machine)) = (
-                self.job_table.get(number),
-                self.inventory.machines.get(&name),
-            ) {
-                let Some(&task) = job.idle.first() else {
-                    return;
-                };
-                if !need.fits(&machine.free()) || !Self::zone_allows(job, &machine.zone) {
-                    break;
-                }
-                let agent_epoch = machine.agent_epoch;
+        let wanted = job.idle.len() as u64;
+        for name in self.candidates(number, zone, wanted, now) {
+            while let Some((task, agent_epoch)) = self.next_fit(number, &name) {
                 let assignment = Assignment {
                     job: number,
                     task,
@@ -232,19 +178,109 @@
         }
     }
 
-    /// The zone that holds most members of a gang now.
-    pub(super) fn best_zone(&mut self, number: JobNumber, now: Micros) -> Option<Arc<str>> {
+    /// The job's first idle task, if it may go to this machine now, and the machine's agent epoch.
+    fn next_fit(&self, number: JobNumber, machine: &Arc<str>) -> Option<(u32, u64)> {
         let job = self.job_table.get(number)?;
-        let (need, all) = (job.spec.need, u64::from(job.spec.tasks));
-        let mut rooms: BTreeMap<Arc<str>, u64> = BTreeMap::new();
-        for name in self.candidates(number, None, all, now) {
-            if let Some(machine) = self.inventory.machines.get(&name) {
-                *rooms.entry(machine.zone.clone()).or_default() += need.count_in(&machine.free());
+        let machine = self.inventory.machines.get(machine)?;
+        let task = *job.idle.first()?;
+        let fits = job.spec.need.fits(&machine.free()) && Self::zone_allows(job, &machine.zone);
+        fits.then_some((task, machine.agent_epoch))
+    }
+
+    /// The Permit barrier: with all members assumed the gang goes on record; otherwise it waits or is
+    /// parked.
+    fn pass_barrier(&mut self, queued: QueuedJob, waiting_since: Micros, now: Micros) {
+        let number = queued.number;
+        let Some(job) = self.job_table.get(number) else {
+            return;
+        };
+        let (spec, placed) = (job.spec.clone(), job.placed);
+        let wait = self.gang_hold(&spec);
+        match permit(placed, spec.tasks, waiting_since, now, wait) {
+            Permit::Allow => self.commit_gang(number, now),
+            Permit::Wait => {
+                if placed > 0 {
+                    self.wait_at_barrier(number, waiting_since);
+                }
+                self.preempt(queued, u64::from(spec.tasks - placed), now);
+            }
+            Permit::Drop if self.keeps_waiting_at_barrier(number, waiting_since, now) => {
+                self.wait_at_barrier(number, waiting_since);
+            }
+            Permit::Drop => {
+                self.park(number, now);
+                if let Some(job) = self.job_table.get_mut(number) {
+                    let until = now.plus(PARKED_AFTER_DROP);
+                    job.gang = Gang::Parked { until };
+                }
             }
         }
-        rooms
-            .into_iter()
-            .max_by_key(|(z, n)| ((*n).min(all), std::cmp::Reverse(z.clone())))
-            .map(|x| x.0)
+    }
+
+    /// Every member is assumed: they go on record together.
+    fn commit_gang(&mut self, number: JobNumber, now: Micros) {
+        let Some(job) = self.job_table.get_mut(number) else {
+            return;
+        };
+        job.gang = Gang::Committing;
+        job.served_at = now;
+        self.gang_barrier.leave(number);
+        for task in 0..job.spec.tasks {
+            self.persistence.task_placed(number, task, &job.spec, now);
+        }
+    }
+
+    /// The gang's members found so far hold their capacity.
+    fn wait_at_barrier(&mut self, number: JobNumber, since: Micros) {
+        if let Some(job) = self.job_table.get_mut(number) {
+            job.gang = Gang::Holding { since };
+            self.gang_barrier.waiting.insert(number);
+        }
+    }
+
+    /// Whether a gang keeps the capacity that it found beyond the barrier's wait, because it is aged. Not
+    /// for ever, though: where the machines for the rest are not to be had, jobs of its team would wait
+    /// beside free capacity, since what the gang holds counts against the team's limit.
+    fn keeps_waiting_at_barrier(&self, number: JobNumber, since: Micros, now: Micros) -> bool {
+        let job = self.job_table.get(number);
+        let Some(job) = job.filter(|job| self.is_aged(job, now)) else {
+            return false;
+        };
+        let is_blocked = |other: &Job| {
+            other.team == job.team
+                && other.spec.kind == JobKind::Array
+                && !other.idle.is_empty()
+                && !other.at_fault()
+                && self.is_blocked(other, now)
+        };
+        now.since(since) < MAX_KEPT || !self.job_table.values().any(is_blocked)
+    }
+
+    /// Releases the capacity of a gang that is not complete: nothing of it has gone on record.
+    fn park(&mut self, number: JobNumber, now: Micros) {
+        let Some(job) = self.job_table.get_mut(number) else {
+            return;
+        };
+        job.gang = Gang::Parked { until: now };
+        if job.placed == 0 {
+            return;
+        }
+        for task in 0..job.spec.tasks {
+            self.release(number, task, now);
+        }
+    }
+}
+
+/// Since when the gang has waited at the barrier, which it enters now if it was parked. `None`: it is not
+/// to be looked at in this pass.
+fn barrier_entered_at(job: &Job, now: Micros) -> Option<Micros> {
+    // The job's record carries all of its tasks, so the group is known whole or not at all.
+    if !pre_enqueue(true, job.tasks.len() as u32, job.spec.tasks) {
+        return None;
+    }
+    match job.gang {
+        Gang::Parked { until } if until <= now && job.placed == 0 => Some(now),
+        Gang::Holding { since } => Some(since),
+        _ => None,
     }
 }
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -1,28 +1,32 @@
-//! Placement: job by job in the order of service, task by task on one snapshot.
+//! Placement: job by job in the order of the queue, task by task on one snapshot.
 
 use std::sync::Arc;
 
 use super::allocations::Assignment;
-use super::{preemption::SEARCHES_PER_PASS, Job, Scheduler};
-use crate::cluster::JobNumber;
-use crate::job::{JobKind, Priority};
+use super::gang_barrier::ReservedQuota;
+use super::preemption::SEARCHES_PER_PASS;
+use super::queue_order::QueuedJob;
+use super::{Job, Scheduler};
+use crate::cluster::{JobNumber, Machine};
+use crate::job::{JobKind, JobSpec, Priority};
 use crate::placement;
 use crate::time::Micros;
 
 /// How long a gang waits for machines that have its image, in times of fetching it.
-const PATIENCE: f64 = 0.6;
+const IMAGE_WAIT_RATIO: f64 = 0.6;
 /// Machines of one group that a pass looks at for one job, beyond those that it needs.
-const LOOKS: usize = 48;
+const MACHINES_BEYOND_NEED: usize = 48;
+/// The most machines of one group that are looked at for the needs of one job.
+const MAX_MACHINES_NEEDED: u64 = 1_000;
 
 /// When the next pass is due, and what this one may still do.
 pub(super) struct PlacementPass {
     /// Something changed that may let waiting jobs be placed.
     pub(super) requested: bool,
     pub(super) next_at: Micros,
-    /// Teams of which, in this pass, the rest of the limit is kept for a starved gang: of the
-    /// accelerators alone, or of everything.
-    pub(super) reserved_quota: Vec<(usize, bool)>,
-    /// Searches for room to be made that are left in this pass.
+    /// What is kept for starved gangs in this pass.
+    pub(super) reserved_quota: Vec<ReservedQuota>,
+    /// Searches for tasks to preempt that are left in this pass.
     pub(super) preemption_searches_left: u32,
     /// When a job was last found waiting.
     pub(super) last_waiting_at: Micros,
@@ -39,121 +43,139 @@
             last_waiting_at: now,
         }
     }
+
+    fn is_quota_reserved(&self, job: &Job) -> bool {
+        let mut reserved = self.reserved_quota.iter();
+        reserved.any(|reserved| reserved.excludes(job))
+    }
 }
 
 impl Scheduler {
+    /// One pass over the jobs with tasks to place.
     pub(super) fn run_pass(&mut self, now: Micros) {
         self.release_barriers(now);
         self.placement_pass.preemption_searches_left = SEARCHES_PER_PASS;
         self.placement_pass.reserved_quota.clear();
-        for w in self.queued_jobs(now) {
-            let Some(job) = self.job_table.get(w.number) else {
+        for queued in self.queued_jobs(now) {
+            let Some(job) = self.job_table.get(queued.number) else {
                 continue;
             };
-            if job.not_before > now || self.is_quota_reserved(job) {
+            if job.not_before > now || self.placement_pass.is_quota_reserved(job) {
                 continue;
             }
             match job.spec.kind {
-                JobKind::Gang => self.schedule_gang(w, now),
-                _ => {
-                    let urgent = job.spec.priority == Priority::Production && !job.at_fault();
-                    if urgent && self.preempts_near_image(w, now) {
-                        continue;
-                    }
-                    let left = self.place_tasks(w.number, now);
-                    if left > 0 {
-                        self.preempt(w, left, now);
-                    }
-                }
+                JobKind::Gang => self.schedule_gang(queued, now),
+                JobKind::Array | JobKind::Service => self.schedule_tasks(queued, now),
             }
         }
     }
 
-    /// Machines where this job's tasks could go now, best first, in `zone` if one is given. Of each
-    /// group only as many are looked at as may be of use, the fullest first.
+    /// One pass over an array or a service.
+    fn schedule_tasks(&mut self, queued: QueuedJob, now: Micros) {
+        let Some(job) = self.job_table.get(queued.number) else {
+            return;
+        };
+        let urgent = job.spec.priority == Priority::Production && !job.at_fault();
+        if urgent && self.preempts_near_image(queued, now) {
+            return;
+        }
+        let left = self.place_tasks(queued.number, now);
+        if left > 0 {
+            self.preempt(queued, left, now);
+        }
+    }
+
+    /// Machines where this job's tasks could go now, best first, in `zone` if one is given.
     pub(super) fn candidates(
         &mut self,
         number: JobNumber,
         zone: Option<&str>,
-        want: u64,
+        wanted: u64,
         now: Micros,
     ) -> Vec<Arc<str>> {
         let Some(job) = self.job_table.get(number) else {
             return Vec::new();
         };
-        let stuck = self.is_blocked(job, now);
-        let spec = job.spec.clone();
-        let limit = LOOKS + want.min(1_000) as usize;
+        let (spec, is_blocked) = (job.spec.clone(), self.is_blocked(job, now));
+        let found = self.machines_with_capacity(&spec, zone, wanted, is_blocked);
+        let Some(job) = self.job_table.get(number) else {
+            return Vec::new();
+        };
+        let image_free_in = self.image_free_in(job);
+        let scored = found.into_iter().filter_map(|name| {
+            let machine = self.inventory.machines.get(&name)?;
+            let waits = waits_for_image(job, machine, image_free_in, now);
+            let avoided = job.failures.avoids(&name, now) || !self.admits_guest(job, machine);
+            let suits = is_blocked || self.may_share_accelerators(&spec, machine, now);
+            let passes = !waits && !avoided && suits;
+            passes.then(|| (placement::score(&spec, machine), name))
+        });
+        let mut scored: Vec<(u64, Arc<str>)> = scored.collect();
+        scored.sort();
+        scored.into_iter().map(|(_, name)| name).collect()
+    }
+
+    /// Machines whose free capacity holds a task. Of each group only as many are looked at as may be of
+    /// use, the fullest first.
+    fn machines_with_capacity(
+        &mut self,
+        spec: &JobSpec,
+        zone: Option<&str>,
+        wanted: u64,
+        is_blocked: bool,
+    ) -> Vec<Arc<str>> {
+        let limit = MACHINES_BEYOND_NEED + wanted.min(MAX_MACHINES_NEEDED) as usize;
         let mut found = Vec::new();
-        for g in 0..self.inventory.index.groups.len() {
-            let group = &self.inventory.index.groups[g];
-            if zone.is_some_and(|z| z != &*group.zone)
-                || !(stuck || self.ever_suits(&spec, &group.kind.size))
+        for at in 0..self.inventory.index.groups.len() {
+            let group = &self.inventory.index.groups[at];
+            if zone.is_some_and(|zone| zone != &*group.zone)
+                || !(is_blocked || self.ever_suits(spec, &group.kind.size))
                 || !spec.allows(&group.kind.name, &group.zone, group.spot)
             {
                 continue;
             }
-            let group = &mut self.inventory.index.groups[g];
-            let search = group.search(&spec.need, limit);
+            let search = self.inventory.index.groups[at].search(&spec.need, limit);
             self.steps += search.steps;
             found.extend(search.fits);
         }
-        let Some(job) = self.job_table.get(number) else {
-            return Vec::new();
-        };
-        let holders = self.inventory.index.holders(&spec.image) as u64;
-        let waited = now.since(job.queued.max(job.parked_at));
-        // How soon the machines that have its image become free for it, one after the other.
-        let soon = match spec.kind {
-            JobKind::Gang if holders > 0 => self.estimate(job).0 * u64::from(spec.tasks) / holders,
-            _ => u64::MAX,
-        };
-        let mut list: Vec<(u64, Arc<str>)> = found
-            .into_iter()
-            .filter_map(|name| {
-                let machine = self.inventory.machines.get(&name)?;
-                // A large image takes as long to fetch as the gang may soon find a machine that has
-                // it; and this machine may have what another gang needs.
-                if !machine.has_image(&spec.image) {
-                    let patience = machine.kind.fetch_time(spec.image_mb).times(PATIENCE);
-                    if soon < patience.0 && waited < patience {
-                        return None;
-                    }
-                }
-                let avoided = job.failures.avoids(&name, now) || !self.admits_guest(job, machine);
-                (!avoided && (stuck || self.may_share_accelerators(&spec, machine, now)))
-                    .then(|| (placement::score(&spec, machine), name))
-            })
-            .collect();
-        list.sort();
-        list.into_iter().map(|x| x.1).collect()
+        found
+    }
+
+    /// How soon the machines that have a gang's image become free for it, one after the other.
+    fn image_free_in(&self, job: &Job) -> Option<Micros> {
+        let holders = self.inventory.index.holders(&job.spec.image) as u64;
+        if job.spec.kind != JobKind::Gang || holders == 0 {
+            return None;
+        }
+        let all_tasks = self.estimate(job).0 * u64::from(job.spec.tasks);
+        Some(Micros(all_tasks / holders))
     }
 
     /// Whether one more task of the job may go to this zone, given where the others are.
     pub(super) fn zone_allows(job: &Job, zone: &str) -> bool {
-        if job.spec.one_zone && job.zones.keys().any(|z| &**z != zone) {
+        if job.spec.one_zone && job.zones.keys().any(|used| &**used != zone) {
             return false;
         }
         !job.spec.spread || job.zones.get(zone).copied().unwrap_or(0) < job.spec.per_zone()
     }
 
-    /// Places as many idle tasks of an array or a service as go; says how many are left over that
+    /// Places as many idle tasks of an array or a service as go. Returns how many are left over that
     /// the team's limit would allow.
-    pub(super) fn place_tasks(&mut self, number: JobNumber, now: Micros) -> u64 {
+    fn place_tasks(&mut self, number: JobNumber, now: Micros) -> u64 {
         let Some(job) = self.job_table.get(number) else {
             return 0;
         };
         let spec = job.spec.clone();
         let idle = job.idle.len() as u64;
-        let mut more = self.quota.more(job.team, &spec.need).min(idle);
-        more = more.min(job.placeable());
-        if more == 0 {
+        let mut left = self.quota.more(job.team, &spec.need).min(idle);
+        left = left.min(job.placeable());
+        if left == 0 {
             return 0;
         }
-        // Beside what suits it, an array that is stuck takes room for a single task of it.
-        let single = spec.kind == JobKind::Array && self.is_blocked(job, now);
-        for name in self.candidates(number, None, more, now) {
-            while more > 0 {
+        // Beside what suits it, a blocked array takes the capacity for a single task of it.
+        let takes_any = spec.kind == JobKind::Array && self.is_blocked(job, now);
+        for name in self.candidates(number, None, left, now) {
+            while left > 0 {
                 let (Some(job), Some(machine)) = (
                     self.job_table.get(number),
                     self.inventory.machines.get(&name),
@@ -168,23 +190,40 @@
                 }
                 let suits = self.ever_suits(&spec, &machine.kind.size)
                     && self.may_share_accelerators(&spec, machine, now);
-                if single && !suits && job.placed > 0 {
+                if takes_any && !suits && job.placed > 0 {
                     break;
                 }
-                let (agent_epoch, attempt) = (machine.agent_epoch, job.next_attempt(task));
                 let assignment = Assignment {
                     job: number,
                     task,
                     machine: name.clone(),
-                    agent_epoch,
-                    attempt,
+                    agent_epoch: machine.agent_epoch,
+                    attempt: job.next_attempt(task),
                     committed: false,
                 };
                 self.allocate(assignment, now);
                 self.persistence.task_placed(number, task, &spec, now);
-                more -= 1;
+                left -= 1;
             }
         }
-        more
+        left
+    }
+}
+
+/// Whether a gang had better wait for a machine that has its image than fetch it to this one. A large
+/// image takes as long to fetch as the gang may soon find a machine that has it; and this machine may
+/// have what another gang needs.
+fn waits_for_image(
+    job: &Job,
+    machine: &Machine,
+    image_free_in: Option<Micros>,
+    now: Micros,
+) -> bool {
+    if machine.has_image(&job.spec.image) {
+        return false;
     }
+    let fetch = machine.kind.fetch_time(job.spec.image_mb);
+    let limit = fetch.times(IMAGE_WAIT_RATIO);
+    let waited = now.since(job.queued.max(job.parked_at));
+    image_free_in.is_some_and(|free_in| free_in < limit) && waited < limit
 }
