--- /dev/null
+++ b/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
@@ -0,0 +1,124 @@
+//! Preemption for services on machines that have their image: a replica starts at once there, and only
+//! after a fetch elsewhere.
+
+use std::sync::Arc;
+
+use super::options::PreemptionOption;
+use super::{Grace, VictimTask};
+use crate::job::JobSpec;
+use crate::scheduler::queue_order::QueuedJob;
+use crate::scheduler::{Job, ObjectiveTarget, Scheduler};
+use crate::time::Micros;
+
+/// How long after its submission capacity is made for a service where its image is, at most; half of the
+/// time in which it should start, and no longer than a fetch could still be in time.
+const MAX_SEARCH_TIME: Micros = Micros::from_millis(2_500);
+/// How long the service waits for capacity that is being made.
+const WAIT_FOR_CAPACITY: Micros = Micros::from_millis(700);
+/// How much longer than expected a fetch may take.
+const FETCH_MARGIN: f64 = 1.3;
+/// Between the end of a fetch and the start.
+const START_MARGIN: Micros = Micros::from_secs(1);
+/// The part of the time in which a service should start that is searched for machines with its image.
+const SEARCH_SHARE: f64 = 0.5;
+
+impl Scheduler {
+    /// Stops lesser work on machines that have the service's image, once for each job. Returns whether
+    /// that capacity is awaited.
+    pub(in crate::scheduler) fn preempts_near_image(
+        &mut self,
+        queued: QueuedJob,
+        now: Micros,
+    ) -> bool {
+        let Some(job) = self.job_table.get(queued.number) else {
+            return false;
+        };
+        // Searched again while a start there would be sooner than a fetch elsewhere.
+        if let Some(until) = job.room_awaited_until {
+            if now < until || now.since(job.queued) > self.search_time(job) {
+                return now < until;
+            }
+        }
+        let (spec, idle) = (job.spec.clone(), job.idle.len() as u64);
+        let ready = self.tasks_ready_near_image(queued, &spec, idle, now);
+        let missing = idle.saturating_sub(ready) as usize;
+        let options = match missing {
+            0 => Vec::new(),
+            _ => self.options_near_image(queued, &spec, missing, now),
+        };
+        let awaited = !options.is_empty();
+        if let Some(job) = self.job_table.get_mut(queued.number) {
+            let wait = match awaited {
+                true => WAIT_FOR_CAPACITY,
+                false => Micros::ZERO,
+            };
+            job.room_awaited_until = Some(now.plus(wait));
+        }
+        let victims: Vec<VictimTask> = options
+            .into_iter()
+            .flat_map(|option| option.victims)
+            .collect();
+        self.preempt_tasks(victims, Grace::None, now);
+        awaited
+    }
+
+    /// For how long after its submission capacity is searched where the service's image is.
+    fn search_time(&self, job: &Job) -> Micros {
+        let types = self.catalog.types.iter();
+        let suitable = types.filter(|machine_type| {
+            job.spec.need.fits(&machine_type.size)
+                && !self.contested_for(&job.spec, &machine_type.size)
+        });
+        let fetch_times = suitable.map(|machine_type| {
+            let expected = machine_type.fetch_time(job.spec.image_mb);
+            expected.times(FETCH_MARGIN)
+        });
+        let fetch = fetch_times.min().unwrap_or_default();
+        let objectives = self.job_table.classes.objectives(job.class);
+        let limits = objectives.iter().filter_map(|target| match target {
+            // Where a fetch would be in time, there is no more to hope for than that.
+            ObjectiveTarget::Started(within) if fetch < *within => {
+                Some(within.since(fetch).since(START_MARGIN))
+            }
+            ObjectiveTarget::Started(within) => Some(within.times(SEARCH_SHARE)),
+            ObjectiveTarget::Finished(_) | ObjectiveTarget::Deadline(_) => None,
+        });
+        let limit = limits.min().unwrap_or(MAX_SEARCH_TIME);
+        limit.min(MAX_SEARCH_TIME)
+    }
+
+    /// How many tasks could start at once where the image is.
+    fn tasks_ready_near_image(
+        &mut self,
+        queued: QueuedJob,
+        spec: &JobSpec,
+        idle: u64,
+        now: Micros,
+    ) -> u64 {
+        let candidates = self.candidates(queued.number, None, idle, now);
+        let with_image = candidates.iter().filter(|name| self.has_image(name, spec));
+        let machines = with_image.filter_map(|name| self.inventory.machines.get(name));
+        let tasks = machines.map(|machine| spec.need.count_in(&machine.free()));
+        tasks.sum()
+    }
+
+    fn options_near_image(
+        &mut self,
+        queued: QueuedJob,
+        spec: &JobSpec,
+        wanted: usize,
+        now: Micros,
+    ) -> Vec<PreemptionOption> {
+        let mut options = self.preemption_options(queued, spec, now);
+        options
+            .retain(|option| self.has_image(&option.machine, spec) && !option.victims.is_empty());
+        options.sort_by_key(|option| option.loss);
+        options.truncate(wanted);
+        options
+    }
+
+    fn has_image(&self, machine: &Arc<str>, spec: &JobSpec) -> bool {
+        let machine = self.inventory.machines.get(machine);
+        machine.is_some_and(|machine| machine.has_image(&spec.image))
+    }
+}
