--- a/crates/saltpitch/src/agents.rs
+++ b/crates/saltpitch/src/agents.rs
@@ -1,4 +1,4 @@
-//! Agents' heartbeats.
+//! Answers to the heartbeats of agents.
 
 use saltpitch_core::controller::HeartbeatAnswer;
 
@@ -6,22 +6,27 @@
 use crate::wire::agents;
 
 /// The answer to a heartbeat.
-pub struct ReportReply {
+pub struct HeartbeatReply {
     /// The HTTP status.
     pub status: u16,
     /// The JSON body.
     pub body: Vec<u8>,
 }
 
+impl HeartbeatReply {
+    fn new(status: u16, body: Vec<u8>) -> HeartbeatReply {
+        HeartbeatReply { status, body }
+    }
+}
+
 impl Node {
-    /// Answers an agent's heartbeat.
-    pub fn report(&self, body: &[u8]) -> ReportReply {
+    /// Answers an agent's heartbeat: with commands as the leader, with a redirect otherwise.
+    pub fn answer_heartbeat(&self, body: &[u8]) -> HeartbeatReply {
         let heartbeat = match agents::decode_heartbeat(body) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
-                tracing::error!("unreadable report refused: {error}");
-                let body = agents::redirect(None);
-                return ReportReply { status: 400, body };
+                tracing::error!("unreadable heartbeat refused: {error}");
+                return HeartbeatReply::new(400, agents::encode_redirect(None));
             }
         };
         let now = self.now();
@@ -33,11 +38,11 @@
             } => {
                 self.wake.notify_one();
                 let body = agents::encode_commands(fencing_token, None, &commands);
-                ReportReply { status: 200, body }
+                HeartbeatReply::new(200, body)
             }
             HeartbeatAnswer::Redirect { leader } => {
-                let body = agents::redirect(leader.as_deref());
-                ReportReply { status: 421, body }
+                let body = agents::encode_redirect(leader.as_deref());
+                HeartbeatReply::new(421, body)
             }
         }
     }
--- a/crates/saltpitch/src/api.rs
+++ b/crates/saltpitch/src/api.rs
@@ -2,147 +2,124 @@
 
 use std::sync::Arc;
 
-use poem::http::{HeaderValue, Method, StatusCode};
+use poem::http::{HeaderValue, Method};
 use poem::{Endpoint, Request, Response};
 use saltpitch_core::messages::UserRequest;
-use serde_json::{json, Value};
 
 use crate::node::Node;
-use crate::users::Unavailable;
-use crate::wire::{users, MAX_BODY};
+use crate::responses::{healthy, not_ready, raw, read_body, reply, RequestError};
+use crate::wire::users::is_job_id;
 
-/// Every path and method in one place.
+/// The paths and methods of the interface.
 pub struct Api(pub Arc<Node>);
 
 impl Endpoint for Api {
     type Output = Response;
 
-    async fn call(&self, req: Request) -> poem::Result<Response> {
-        Ok(self.route(req).await)
+    async fn call(&self, request: Request) -> poem::Result<Response> {
+        let routed = self.route(request).await;
+        Ok(routed.unwrap_or_else(|error| error.response()))
     }
 }
 
 impl Api {
-    async fn route(&self, mut req: Request) -> Response {
-        let path = req.uri().path().to_owned();
-        let method = req.method().clone();
+    async fn route(&self, mut request: Request) -> Result<Response, RequestError> {
+        let path = request.uri().path().to_owned();
+        let method = request.method().clone();
         match path.as_str() {
             "/up" => {
                 if method != Method::GET && method != Method::HEAD {
-                    return refuse(StatusCode::METHOD_NOT_ALLOWED, "use GET");
-                }
-                if self.0.is_up() {
-                    answer(StatusCode::OK, &json!({"status": "up"}))
-                } else {
-                    refuse(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+                    return Err(RequestError::WrongMethod(Method::GET));
                 }
+                Ok(self.health())
             }
             "/v1/report" => {
-                if method != Method::POST {
-                    return refuse(StatusCode::METHOD_NOT_ALLOWED, "use POST");
-                }
-                if let Some(from) = req.remote_addr().as_socket_addr() {
-                    self.0.connections.is_worker(from);
-                }
-                match body(&mut req).await {
-                    Ok(b) => {
-                        let reply = self.0.report(&b);
-                        let mut r = raw(reply.status, reply.body);
-                        if self.0.connections.crowded() {
-                            r.headers_mut()
-                                .insert("connection", HeaderValue::from_static("close"));
-                        }
-                        r
-                    }
-                    Err(r) => r,
-                }
+                require(&method, Method::POST)?;
+                self.heartbeat(&mut request).await
             }
             "/v2/runs" => {
-                if method != Method::POST {
-                    return refuse(StatusCode::METHOD_NOT_ALLOWED, "use POST");
-                }
-                match body(&mut req).await {
-                    Ok(b) => self.user(UserRequest::Submit(b)).await,
-                    Err(r) => r,
-                }
+                require(&method, Method::POST)?;
+                let body = read_body(&mut request).await?;
+                Ok(self.user_request(UserRequest::Submit(body)).await)
             }
             _ => match path.strip_prefix("/v2/runs/") {
                 Some(rest) => self.one_job(rest, &method).await,
-                None => refuse(StatusCode::NOT_FOUND, "no such path"),
+                None => Err(RequestError::NoSuchPath),
             },
         }
     }
 
-    async fn one_job(&self, rest: &str, method: &Method) -> Response {
-        let (id, want, op): (&str, Method, fn(String) -> UserRequest) = match rest.split_once('/') {
-            None => (rest, Method::GET, UserRequest::Query),
-            Some((id, "abort")) => (id, Method::POST, UserRequest::Cancel),
-            Some(_) => return refuse(StatusCode::NOT_FOUND, "no such path"),
-        };
-        if *method != want {
-            return refuse(StatusCode::METHOD_NOT_ALLOWED, &format!("use {want}"));
+    fn health(&self) -> Response {
+        if self.0.is_up() {
+            healthy()
+        } else {
+            not_ready()
+        }
+    }
+
+    async fn heartbeat(&self, request: &mut Request) -> Result<Response, RequestError> {
+        let connections = &self.0.connections;
+        if let Some(from) = request.remote_addr().as_socket_addr() {
+            connections.mark_agent(from);
         }
-        if !users::is_job_id(id) {
-            return refuse(StatusCode::NOT_FOUND, "no such job");
+        let body = read_body(request).await?;
+        let reply = self.0.answer_heartbeat(&body);
+        let mut response = raw(reply.status, reply.body);
+        if connections.is_crowded() {
+            response
+                .headers_mut()
+                .insert("connection", HeaderValue::from_static("close"));
         }
-        self.user(op(id.to_owned())).await
+        Ok(response)
     }
 
-    async fn user(&self, request: UserRequest) -> Response {
-        match self.0.user_request(request).await {
-            Ok(reply) => answer(
-                StatusCode::from_u16(reply.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE),
-                &reply.body,
-            ),
-            // Answered at once: the user is told when to come back.
-            Err(Unavailable) => {
-                refuse(StatusCode::SERVICE_UNAVAILABLE, "the state service is away")
-            }
+    /// A query or cancellation of one job; `rest` is the path after `/v2/runs/`.
+    async fn one_job(&self, rest: &str, method: &Method) -> Result<Response, RequestError> {
+        let (id, operation) = match rest.split_once('/') {
+            None => (rest, JobOperation::Query),
+            Some((id, "abort")) => (id, JobOperation::Cancel),
+            Some(_) => return Err(RequestError::NoSuchPath),
+        };
+        require(method, operation.method())?;
+        if !is_job_id(id) {
+            return Err(RequestError::NoSuchJob);
         }
+        let request = operation.request(id.to_owned());
+        Ok(self.user_request(request).await)
     }
-}
 
-/// A request's body, or the answer to one that is too long or too slow.
-pub async fn body(req: &mut Request) -> Result<Vec<u8>, Response> {
-    let read = req.take_body().into_bytes_limit(MAX_BODY);
-    match tokio::time::timeout(std::time::Duration::from_secs(5), read).await {
-        Ok(Ok(b)) => Ok(b.to_vec()),
-        Ok(Err(_)) => Err(refuse(
-            StatusCode::BAD_REQUEST,
-            "the body is unreadable or longer than 64 KiB",
-        )),
-        Err(_) => Err(refuse(StatusCode::BAD_REQUEST, "the body took too long")),
+    async fn user_request(&self, request: UserRequest) -> Response {
+        reply(self.0.user_request(request).await)
     }
 }
 
-fn raw(status: u16, body: Vec<u8>) -> Response {
-    let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-    Response::builder()
-        .status(status)
-        .content_type("application/json")
-        .body(body)
+/// What users can ask of one job.
+enum JobOperation {
+    Query,
+    Cancel,
 }
 
-/// An answer in JSON. 503 says when to come back.
-pub fn answer(status: StatusCode, body: &Value) -> Response {
-    let mut r = raw(status.as_u16(), body.to_string().into_bytes());
-    if status == StatusCode::SERVICE_UNAVAILABLE {
-        r.headers_mut()
-            .insert("retry-after", HeaderValue::from_static("1"));
+impl JobOperation {
+    fn method(&self) -> Method {
+        match self {
+            JobOperation::Query => Method::GET,
+            JobOperation::Cancel => Method::POST,
+        }
     }
-    r
-}
 
-/// A refusal with the time after which to come back.
-pub fn answer_later(status: StatusCode, reason: &str, seconds: u64) -> Response {
-    let mut response = refuse(status, reason);
-    response
-        .headers_mut()
-        .insert("retry-after", HeaderValue::from(seconds));
-    response
+    fn request(&self, id: String) -> UserRequest {
+        match self {
+            JobOperation::Query => UserRequest::Query(id),
+            JobOperation::Cancel => UserRequest::Cancel(id),
+        }
+    }
 }
 
-/// A refusal with its reason.
-pub fn refuse(status: StatusCode, reason: &str) -> Response {
-    answer(status, &json!({ "error": reason }))
+/// Refuses a request by any other method.
+fn require(method: &Method, expected: Method) -> Result<(), RequestError> {
+    if *method == expected {
+        Ok(())
+    } else {
+        Err(RequestError::WrongMethod(expected))
+    }
 }
--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -11,14 +11,14 @@
 use saltpitch_core::records::{
     job_key, Delegation, DelegationState, JobEntry, JobRecord, RecordCache,
 };
-use saltpitch_core::scheduler::{Precondition, TransactionOutcome, Write};
+use saltpitch_core::scheduler::{Precondition, Transaction, TransactionOutcome, Write};
 
 use crate::clock::Clock;
 use crate::http::Client;
 use crate::settings::Settings;
-use crate::store::Store;
+use crate::store::StoreClient;
 
-const TXN_TIMEOUT: Duration = Duration::from_secs(3);
+const TRANSACTION_TIMEOUT: Duration = Duration::from_secs(3);
 /// Connections kept while the command runs.
 const KEPT_ADDRESSES: usize = 4;
 
@@ -72,7 +72,7 @@
     let settings = Settings::load(config, None, None).map_err(CommandError::Settings)?;
     let client = Arc::new(Client::new(KEPT_ADDRESSES));
     let limits = settings.store.clone();
-    let store = Store::new(
+    let store = StoreClient::new(
         client,
         settings.state,
         Clock::start(),
@@ -99,7 +99,7 @@
     }
 }
 
-async fn read(store: &Store) -> Result<RecordCache, CommandError> {
+async fn read(store: &StoreClient) -> Result<RecordCache, CommandError> {
     let mut records = RecordCache::default();
     let listed = store.list(|rows| {
         for row in rows {
@@ -149,7 +149,7 @@
 }
 
 async fn give_up(
-    store: &Store,
+    store: &StoreClient,
     records: &RecordCache,
     job: &str,
     cell: &str,
@@ -162,12 +162,14 @@
     };
     let key = job_key(job);
     let record = taken_back(entry, cell)?;
-    let preconditions = [Precondition::new(key.clone(), entry.rev)];
-    let write = Write {
-        key,
-        value: serde_json::to_string(&record).ok(),
+    let transaction = Transaction {
+        preconditions: vec![Precondition::new(key.clone(), entry.rev)],
+        writes: vec![Write {
+            key,
+            value: serde_json::to_string(&record).ok(),
+        }],
     };
-    match store.txn(&preconditions, &[write], None, TXN_TIMEOUT).await {
+    match store.commit(&transaction, TRANSACTION_TIMEOUT).await {
         TransactionOutcome::Committed(_) => {
             println!("{job} is this cell's own again");
             Ok(())
--- a/crates/saltpitch/src/cells/link.rs
+++ b/crates/saltpitch/src/cells/link.rs
@@ -1,4 +1,4 @@
-//! Calls to a neighbour's listener.
+//! Requests to a peer cell's listener.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use serde::Deserialize;
 
 use crate::http::{CallError, Client, Reply};
-use crate::wire::users;
+use crate::wire::users::{encode_cancellation, encode_submission, JobStatus};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The most of an answer that the log is told.
+/// The most characters of a refusal that are kept for the log.
 const MAX_REASON: usize = 200;
 
-/// The answer to a question or a submission.
+/// The answer to a query, a submission or a cancellation.
 #[derive(Debug, Deserialize)]
 struct StatusBody {
     #[serde(rename = "ref")]
@@ -27,6 +27,7 @@
     running: u64,
 }
 
+/// The answer to a request that is refused.
 #[derive(Debug, Default, Deserialize)]
 struct ErrorBody {
     #[serde(default)]
@@ -40,7 +41,7 @@
         .call(address, method, &path, body, CALL_TIMEOUT)
         .await
     {
-        Ok(reply) => read(request, &reply),
+        Ok(reply) => decode(request, &reply),
         Err(CallError::NotSent) => LinkAnswer::NotSent,
         Err(CallError::Unknown) => LinkAnswer::NoAnswer,
     }
@@ -50,19 +51,19 @@
     match request {
         LinkRequest::Up => (Method::GET, "/up".to_owned(), Vec::new()),
         LinkRequest::Submit(submission) => {
-            let body = users::submission_body(submission).to_string();
+            let body = encode_submission(submission).to_string();
             (Method::POST, "/v2/runs".to_owned(), body.into_bytes())
         }
         LinkRequest::Status { id } => (Method::GET, format!("/v2/runs/{id}"), Vec::new()),
         LinkRequest::Abort { id, unless_begun } => {
-            let body = users::abort_body(*unless_begun).to_string();
+            let body = encode_cancellation(*unless_begun).to_string();
             let path = format!("/v2/runs/{id}/abort");
             (Method::POST, path, body.into_bytes())
         }
     }
 }
 
-fn read(request: &LinkRequest, reply: &Reply) -> LinkAnswer {
+fn decode(request: &LinkRequest, reply: &Reply) -> LinkAnswer {
     let (id, closing) = match request {
         LinkRequest::Up if reply.status == 200 => return LinkAnswer::Ready,
         LinkRequest::Up => return refusal(reply),
@@ -70,28 +71,45 @@
         LinkRequest::Status { id } | LinkRequest::Abort { id, .. } => (id, false),
     };
     match reply.status {
-        200 | 201 => match status(id, reply) {
+        200 | 201 => match decode_status(id, reply) {
             Ok(HostStatus::Withdrawn) if closing && reply.status == 201 => LinkAnswer::Closed,
             Ok(status) => LinkAnswer::Status(status),
-            Err(reason) => LinkAnswer::Malformed(reason),
+            Err(reason) => LinkAnswer::Malformed(reason.to_string()),
         },
         404 => LinkAnswer::NotFound,
         _ => refusal(reply),
     }
 }
 
-fn status(id: &str, reply: &Reply) -> Result<HostStatus, String> {
-    let body: StatusBody = serde_json::from_slice(&reply.body).map_err(|e| e.to_string())?;
+/// Why an answer cannot be read.
+#[derive(Debug, thiserror::Error)]
+enum MalformedReply {
+    /// It is not JSON, or not of the expected structure.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// It is about another job.
+    #[error("asked about {asked}, answered about {answered}")]
+    OtherJob { asked: String, answered: String },
+    /// The status is none of the protocol's.
+    #[error("no such status: {0:?}")]
+    UnknownStatus(String),
+}
+
+fn decode_status(id: &str, reply: &Reply) -> Result<HostStatus, MalformedReply> {
+    let body: StatusBody = serde_json::from_slice(&reply.body)?;
     if body.id != id {
-        return Err(format!("asked about {id}, answered about {}", body.id));
+        return Err(MalformedReply::OtherJob {
+            asked: id.to_owned(),
+            answered: body.id,
+        });
     }
-    match body.status.as_str() {
-        "pending" if body.running + body.done > 0 => Ok(HostStatus::Running),
-        "pending" => Ok(HostStatus::Pending),
-        "running" => Ok(HostStatus::Running),
-        "done" => Ok(HostStatus::Done),
-        "withdrawn" => Ok(HostStatus::Withdrawn),
-        other => Err(format!("no such status: {other:?}")),
+    match JobStatus::parse(&body.status) {
+        Some(JobStatus::Pending) if body.running + body.done > 0 => Ok(HostStatus::Running),
+        Some(JobStatus::Pending) => Ok(HostStatus::Pending),
+        Some(JobStatus::Running) => Ok(HostStatus::Running),
+        Some(JobStatus::Done) => Ok(HostStatus::Done),
+        Some(JobStatus::Cancelled) => Ok(HostStatus::Withdrawn),
+        None => Err(MalformedReply::UnknownStatus(body.status)),
     }
 }
 
--- a/crates/saltpitch/src/cells/link/tests.rs
+++ b/crates/saltpitch/src/cells/link/tests.rs
@@ -1,4 +1,4 @@
-//! What a neighbour's answers are read as.
+//! How the answers of a peer cell are read.
 
 use bytes::Bytes;
 
@@ -16,7 +16,7 @@
 
 fn asked(status: u16, body: &str) -> LinkAnswer {
     let request = LinkRequest::Status { id: ID.to_owned() };
-    read(&request, &reply(status, body))
+    decode(&request, &reply(status, body))
 }
 
 #[test]
--- a/crates/saltpitch/src/connection_limit.rs
+++ b/crates/saltpitch/src/connection_limit.rs
@@ -18,6 +18,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 use crate::clock::Clock;
+use crate::mutex::lock;
 
 /// An agent's connection gives way when it has been quiet for this long: heartbeats are answered at
 /// once, so that nothing is under way on it.
@@ -60,7 +61,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Table> {
-        self.table.lock().unwrap_or_else(|e| e.into_inner())
+        lock(&self.table)
     }
 
     /// A connection was accepted. None: it is one too many, and to be closed at once.
@@ -103,7 +104,7 @@
         let found = quiet.len();
         for (_, c) in quiet {
             c.over.store(true, Ordering::Relaxed);
-            let waker = c.waker.lock().unwrap_or_else(|e| e.into_inner()).take();
+            let waker = lock(&c.waker).take();
             if let Some(w) = waker {
                 w.wake();
             }
@@ -126,14 +127,14 @@
     }
 
     /// A heartbeat came by this connection.
-    pub fn is_worker(&self, from: &SocketAddr) {
+    pub fn mark_agent(&self, from: &SocketAddr) {
         if let Some(c) = self.lock().open.get(from) {
             c.worker.store(true, Ordering::Relaxed);
         }
     }
 
     /// Whether an agent is to open a new connection for its next heartbeat.
-    pub fn crowded(&self) -> bool {
+    pub fn is_crowded(&self) -> bool {
         let t = self.lock();
         (t.open.len() - t.leaving) * 3 > self.limit * 2
     }
@@ -216,7 +217,7 @@
         if read.is_ready() {
             self.this.used.store(self.clock.now().0, Ordering::Relaxed);
         } else {
-            let mut waker = self.this.waker.lock().unwrap_or_else(|e| e.into_inner());
+            let mut waker = lock(&self.this.waker);
             if !waker.as_ref().is_some_and(|w| w.will_wake(cx.waker())) {
                 *waker = Some(cx.waker().clone());
             }
@@ -286,7 +287,7 @@
             }
             if let Some(c) = open.get(&from) {
                 c.used.store(now.0, Ordering::Relaxed);
-                all.is_worker(&from);
+                all.mark_agent(&from);
             }
             // Those told to close are still there for a moment.
             assert!(open.len() <= limit + limit / BATCH, "{} open", open.len());
@@ -311,11 +312,11 @@
         let _workers: Vec<_> = (40..100)
             .map(|n| {
                 let c = all.admit(addr(n), at(0));
-                all.is_worker(&addr(n));
+                all.mark_agent(&addr(n));
                 c
             })
             .collect();
-        assert!(all.crowded());
+        assert!(all.is_crowded());
         assert!(all.admit(addr(200), at(0)).is_none(), "nobody is quiet");
         for n in 200..260 {
             assert!(all.admit(addr(n), at(2)).is_some(), "dead workers go");
--- /dev/null
+++ b/crates/saltpitch/src/effects.rs
@@ -0,0 +1,245 @@
+//! Running the scheduler while this node leads, and carrying out the effects that it asks for.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use hyper::Method;
+use saltpitch_core::cluster::{Command, Heartbeat};
+use saltpitch_core::records::TERM_KEY;
+use saltpitch_core::scheduler::{
+    CommandOutcome, Effect, Scheduler, Transaction, TransactionOutcome,
+};
+use saltpitch_core::Micros;
+
+use crate::cloud::ScaleOutRequest;
+use crate::http::{CallError, Reply};
+use crate::node::Node;
+use crate::wire::agents;
+
+/// How long the loop sleeps when this node does not lead.
+const IDLE_WAIT: Duration = Duration::from_millis(500);
+/// Heartbeats that arrive within this time are handled by one pass.
+const BATCHING: Duration = Duration::from_millis(5);
+/// How often the log gets a line on the scheduler's state.
+const SUMMARY_INTERVAL: Micros = Micros::from_secs(10);
+const TRANSACTION_TIMEOUT: Duration = Duration::from_millis(1_500);
+const COMMANDS_TIMEOUT: Duration = Duration::from_millis(1_500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The most names in one call that returns machines.
+const MAX_RETURNED_PER_CALL: usize = 100;
+
+/// Runs the scheduler whenever something has happened or is due.
+pub async fn run_scheduler(node: Arc<Node>) {
+    let mut summarised_at = Micros::ZERO;
+    loop {
+        let wait = poll(&node, &mut summarised_at);
+        let _ = tokio::time::timeout(wait.max(BATCHING), node.wake.notified()).await;
+        tokio::time::sleep(BATCHING).await;
+    }
+}
+
+/// Runs the scheduler once and starts its effects; returns how long to wait unless something happens.
+fn poll(node: &Arc<Node>, summarised_at: &mut Micros) -> Duration {
+    let now = node.now();
+    let mut controller = node.controller();
+    let effects = controller.poll(now);
+    let epoch = controller.epoch();
+    if !controller.may_answer(now) {
+        return IDLE_WAIT;
+    }
+    let Some(scheduler) = controller.scheduler_in_epoch(epoch) else {
+        return IDLE_WAIT;
+    };
+    log_diagnostics(scheduler, now, summarised_at);
+    let wait = node.clock.until(scheduler.next_poll());
+    for effect in effects {
+        tokio::spawn(carry_out(node.clone(), epoch, effect));
+    }
+    wait
+}
+
+fn log_diagnostics(scheduler: &mut Scheduler, now: Micros, summarised_at: &mut Micros) {
+    for alert in scheduler.take_alerts(now) {
+        tracing::error!("{alert}");
+    }
+    for job in scheduler.take_failing_jobs() {
+        tracing::info!("{job} fails on several machines: it is tried ever less often until a task of it completes");
+    }
+    if now.since(*summarised_at) > SUMMARY_INTERVAL {
+        *summarised_at = now;
+        tracing::info!("{}", scheduler.summary());
+    }
+}
+
+/// Hands a result to the scheduler that asked for it, unless its leadership has ended.
+fn deliver(node: &Node, epoch: u64, deliver: impl FnOnce(&mut Scheduler, Micros)) {
+    let now = node.now();
+    if let Some(scheduler) = node.controller().scheduler_in_epoch(epoch) {
+        deliver(scheduler, now);
+        node.wake.notify_one();
+    }
+}
+
+async fn carry_out(node: Arc<Node>, epoch: u64, effect: Effect) {
+    match effect {
+        Effect::Commit(transaction) => commit(&node, epoch, &transaction).await,
+        Effect::ReloadRecords => reload_records(&node, epoch).await,
+        Effect::SendCommands {
+            machine,
+            addr,
+            agent_epoch,
+            fencing_token,
+            commands,
+        } => {
+            let starts = commands
+                .iter()
+                .any(|command| matches!(command, Command::Start { .. }));
+            tracing::debug!("{machine}: {commands:?}");
+            let body = agents::encode_commands(fencing_token, Some(agent_epoch), &commands);
+            let outcome = send_commands(&node, &addr, body).await;
+            deliver(&node, epoch, |scheduler, now| {
+                scheduler.command_ended(&machine, agent_epoch, fencing_token, starts, outcome, now);
+            });
+        }
+        Effect::Probe { machine, addr } => probe(&node, epoch, &machine, &addr).await,
+        Effect::ScaleOut {
+            request,
+            type_name,
+            zone,
+            spot,
+            count,
+        } => {
+            let request = ScaleOutRequest {
+                id: &request,
+                type_name: &type_name,
+                zone: &zone,
+                spot,
+                count,
+            };
+            scale_out(&node, epoch, &request).await;
+        }
+        Effect::ScaleIn { names } => scale_in(&node, epoch, &names).await,
+        Effect::RaiseTerm => raise_term(&node, epoch).await,
+    }
+}
+
+async fn commit(node: &Node, epoch: u64, transaction: &Transaction) {
+    let outcome = node
+        .store
+        .commit_as_leader(transaction, TRANSACTION_TIMEOUT)
+        .await;
+    if let TransactionOutcome::Conflict(keys) = &outcome {
+        tracing::info!("transaction failed on {keys:?}");
+        if keys.iter().any(|key| key == TERM_KEY) {
+            return node.controller().term_conflict(epoch);
+        }
+    }
+    deliver(node, epoch, |scheduler, now| {
+        scheduler.committed(outcome, now);
+    });
+}
+
+async fn reload_records(node: &Node, epoch: u64) {
+    let read = node.read_latest_records().await;
+    let (now, wall) = (node.now(), node.clock.wall());
+    node.controller().refreshed(epoch, read, now, wall);
+    node.wake.notify_one();
+}
+
+/// Asks an agent for its heartbeat.
+async fn probe(node: &Node, epoch: u64, machine: &str, addr: &str) {
+    match request_heartbeat(node, machine, addr).await {
+        Some(heartbeat) => deliver(node, epoch, |scheduler, now| {
+            scheduler.probe_answered(heartbeat, now);
+        }),
+        None => deliver(node, epoch, |scheduler, now| {
+            scheduler.probe_failed(machine, now);
+        }),
+    }
+}
+
+async fn request_heartbeat(node: &Node, machine: &str, addr: &str) -> Option<Heartbeat> {
+    let addr = addr.parse::<SocketAddr>().ok()?;
+    let reply = node
+        .http
+        .call(addr, Method::GET, "/show", Vec::new(), PROBE_TIMEOUT)
+        .await;
+    let Some(reply) = reply.ok().filter(|reply| reply.status == 200) else {
+        tracing::debug!("{machine} does not answer");
+        return None;
+    };
+    agents::decode_heartbeat(&reply.body)
+        .map_err(|error| tracing::error!("{machine}: unreadable heartbeat: {error}"))
+        .ok()
+}
+
+async fn send_commands(node: &Node, addr: &str, body: Vec<u8>) -> CommandOutcome {
+    let Ok(addr) = addr.parse::<SocketAddr>() else {
+        return CommandOutcome::NotSent;
+    };
+    let reply = node
+        .http
+        .call(addr, Method::POST, "/orders", body, COMMANDS_TIMEOUT)
+        .await;
+    match reply {
+        Ok(reply) => command_outcome(&reply),
+        Err(CallError::NotSent) => CommandOutcome::NotSent,
+        Err(CallError::Unknown) => CommandOutcome::Unknown,
+    }
+}
+
+fn command_outcome(reply: &Reply) -> CommandOutcome {
+    match (reply.status, agents::decode_heartbeat(&reply.body)) {
+        (200, Ok(heartbeat)) => CommandOutcome::Executed(heartbeat),
+        (409, Ok(heartbeat)) => CommandOutcome::Stale(heartbeat),
+        (400 | 409, _) => CommandOutcome::NotSent,
+        _ => CommandOutcome::Unknown,
+    }
+}
+
+async fn scale_out(node: &Node, epoch: u64, request: &ScaleOutRequest<'_>) {
+    let outcome = node.cloud.scale_out(request).await;
+    let ScaleOutRequest {
+        id,
+        type_name,
+        zone,
+        spot,
+        count,
+    } = request;
+    tracing::info!("rent {count} {type_name} in {zone} spot {spot}: {outcome:?}");
+    deliver(node, epoch, |scheduler, now| {
+        scheduler.rented(id, outcome, now);
+    });
+}
+
+async fn scale_in(node: &Node, epoch: u64, names: &[Arc<str>]) {
+    for batch in names.chunks(MAX_RETURNED_PER_CALL) {
+        let returned = node.cloud.scale_in(batch).await;
+        tracing::info!("return {batch:?}: {returned}");
+        if returned {
+            deliver(node, epoch, |scheduler, now| scheduler.returned(batch, now));
+        }
+    }
+}
+
+/// Takes the next term without giving up the leadership.
+async fn raise_term(node: &Node, epoch: u64) {
+    let Some(increment) = node.controller().term_increment(epoch) else {
+        return;
+    };
+    let term = increment.term;
+    let outcome = node
+        .store
+        .commit(&increment.transaction, TRANSACTION_TIMEOUT)
+        .await;
+    match outcome {
+        TransactionOutcome::Committed(revision) => {
+            tracing::info!("token raised to {term}");
+            deliver(node, epoch, |scheduler, _| {
+                scheduler.term_raised(term, revision);
+            });
+        }
+        _ => deliver(node, epoch, |scheduler, _| scheduler.term_raise_failed()),
+    }
+}
--- a/crates/saltpitch/src/http.rs
+++ b/crates/saltpitch/src/http.rs
@@ -14,6 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
+use crate::mutex::lock;
+
 /// Idle connections kept per address.
 const KEPT: usize = 4;
 const CONNECT: Duration = Duration::from_millis(1_000);
@@ -60,7 +62,7 @@
     }
 
     fn take(&self, addr: SocketAddr) -> Option<Sender> {
-        let mut idle = self.idle.lock().unwrap_or_else(|e| e.into_inner());
+        let mut idle = lock(&self.idle);
         let list = &mut idle.by_addr.get_mut(&addr)?.1;
         while let Some(s) = list.pop() {
             if s.is_ready() {
@@ -71,7 +73,7 @@
     }
 
     fn put(&self, addr: SocketAddr, s: Sender) {
-        let mut idle = self.idle.lock().unwrap_or_else(|e| e.into_inner());
+        let mut idle = lock(&self.idle);
         let idle = &mut *idle;
         idle.uses += 1;
         let entry = idle.by_addr.entry(addr).or_default();
--- a/crates/saltpitch/src/main.rs
+++ b/crates/saltpitch/src/main.rs
@@ -6,12 +6,19 @@
 mod cells;
 mod clock;
 mod cloud;
+mod cloud_sync;
 mod connection_limit;
+mod effects;
+mod fresh_reads;
 mod http;
 mod leadership;
+mod mutex;
 mod node;
 mod peer;
+mod peer_link;
 mod record_sync;
+mod responses;
+mod server;
 mod settings;
 mod store;
 mod users;
@@ -119,7 +126,7 @@
             for warning in s.warnings() {
                 tracing::info!("settings: {warning}");
             }
-            runtime()?.block_on(node::serve(s))
+            runtime()?.block_on(server::serve(s))
         }
         Command::Cells { config, command } => {
             runtime()?.block_on(command::run(&config, &command))?;
--- a/crates/saltpitch/src/node.rs
+++ b/crates/saltpitch/src/node.rs
@@ -1,83 +1,71 @@
-//! The process around one [`Controller`]: it owns the adapters and shares the state machine between
-//! the tasks that carry its messages.
+//! The state that the tasks of one controller process share: the state machine, the settings, and the
+//! clients of the systems around it.
 
 use std::ops::{Deref, DerefMut};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use anyhow::{Context, Result};
-use poem::listener::TcpAcceptor;
-use poem::Server;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use saltpitch_core::controller::{Controller, StoreHealth};
 use saltpitch_core::Micros;
 use tokio::sync::{Notify, Semaphore};
 
-use crate::api::Api;
-use crate::cells::{self, Cells};
+use crate::cells::state::Cells;
 use crate::clock::Clock;
 use crate::cloud::Cloud;
-use crate::connection_limit::{Bounded, Connections};
+use crate::connection_limit::Connections;
+use crate::fresh_reads::FreshReads;
 use crate::http::Client;
-use crate::peer::{self, Links};
-use crate::record_sync::FreshReads;
+use crate::mutex::lock;
+use crate::peer_link::PeerClient;
 use crate::settings::Settings;
-use crate::store::Store;
-use crate::{leadership, record_sync};
+use crate::store::StoreClient;
 
-/// A connection on which nothing moves for this long is closed.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
-
-/// How the sockets are shared out, in percent: connections accepted from users and agents, those
-/// that wait to be accepted, and kept ones to machines. The rest is for the store, the cloud, the peers
-/// and calls under way.
+/// How the sockets are shared out, in percent: connections accepted from users and agents, and kept ones
+/// to machines. [`crate::server`] takes those that wait to be accepted; the rest is for the store, the
+/// cloud, the peers and calls in flight.
 const ACCEPTED_PERCENT: usize = 70;
-const BACKLOG_PERCENT: usize = 10;
 const KEPT_PERCENT: usize = 10;
-/// Questions of users that may wait for the newest records at a time, as a part of the sockets: heartbeats,
+/// Queries of users that may wait for the latest records at a time, as a part of the sockets: heartbeats,
 /// submissions and cancellations share the processor with them.
-const QUESTIONS_PERCENT: usize = 20;
-
-/// Connections that may wait to be accepted; the kernel keeps no more than about the latter.
-const MIN_BACKLOG: usize = 8;
-const MAX_BACKLOG: usize = 4_096;
+const QUERIES_PERCENT: usize = 20;
 
-/// How long after its last answer the state service counts as reachable when peers ask, and when the
-/// load balancer does.
+/// How long after its last answer the state service counts as reachable in heartbeats to peers, and when
+/// the load balancer asks for this node's health.
 const STORE_REACHABLE_WITHIN: Micros = Micros::from_secs(12);
 const HEALTHY_WITHIN: Micros = Micros::from_secs(15);
 
-/// A controller process.
+/// One controller process.
 pub struct Node {
     /// The platform's settings.
     pub settings: Settings,
     /// This process's clocks.
     pub clock: Clock,
     /// The state service.
-    pub store: Store,
+    pub store: StoreClient,
     /// The cloud.
     pub cloud: Cloud,
-    /// Calls to machines.
+    /// The client of the agents.
     pub http: Arc<Client>,
-    /// Connections to the other controllers.
-    pub links: Links,
+    /// The other controllers.
+    pub peers: PeerClient,
     /// The connections of users and agents.
     pub connections: Arc<Connections>,
-    /// Wakes the leader's loop.
+    /// Wakes the task that runs the scheduler.
     pub wake: Notify,
-    /// Reads of the newest records that requests wait for.
+    /// Reads of the latest records that requests wait for.
     pub fresh_reads: FreshReads,
-    /// Questions of users that may wait for them.
-    pub questions: Semaphore,
-    /// Delegations to other cells, with a file on cells.
+    /// Queries of users that may wait for them.
+    pub query_permits: Semaphore,
+    /// Delegations to other cells, if there is a file on cells.
     pub cells: Option<Cells>,
     controller: Mutex<Controller>,
     rng: Mutex<SmallRng>,
 }
 
-/// Exclusive access to the controller. Never held across an await. What the controller wants logged
-/// is written when the guard is dropped.
+/// Exclusive access to the controller, never held across an await. Dropping the guard writes the
+/// controller's notices to the log.
 pub struct ControllerGuard<'a>(MutexGuard<'a, Controller>);
 
 impl Deref for ControllerGuard<'_> {
@@ -106,53 +94,13 @@
     }
 }
 
-/// Runs a controller until the process is killed.
-pub async fn serve(settings: Settings) -> Result<()> {
-    let (api, peer_bind) = (settings.api, settings.peer_bind);
-    let backlog = settings.sockets * BACKLOG_PERCENT / 100;
-    let node = Arc::new(Node::new(settings));
-    let listener = tokio::net::TcpListener::bind(peer_bind)
-        .await
-        .with_context(|| format!("cannot listen on peer_bind {peer_bind}"))?;
-    tracing::info!("node {} starts", node.settings.node);
-    tokio::spawn(peer::serve(node.clone(), listener));
-    tokio::spawn(record_sync::follow(node.clone()));
-    tokio::spawn(record_sync::read_fresh(node.clone()));
-    peer::spawn_heartbeats(&node);
-    tokio::spawn(record_sync::load_catalog(node.clone()));
-    tokio::spawn(leadership::hold_leadership(node.clone()));
-    tokio::spawn(leadership::run(node.clone()));
-    tokio::spawn(leadership::list_machines(node.clone()));
-    cells::start(&node).await?;
-    let cannot_serve = || format!("cannot serve on api_addr {api}");
-    let acceptor = listen(api, backlog).with_context(cannot_serve)?;
-    let acceptor = Bounded::new(acceptor, node.clock, node.connections.clone());
-    Server::new_with_acceptor(acceptor)
-        .idle_timeout(IDLE_TIMEOUT)
-        .run(Api(node))
-        .await
-        .with_context(cannot_serve)
-}
-
-/// Listens with a bounded backlog: connections that wait to be accepted take sockets as well.
-pub fn listen(addr: std::net::SocketAddr, backlog: usize) -> std::io::Result<TcpAcceptor> {
-    let socket = if addr.is_ipv4() {
-        tokio::net::TcpSocket::new_v4()?
-    } else {
-        tokio::net::TcpSocket::new_v6()?
-    };
-    socket.set_reuseaddr(true)?;
-    socket.bind(addr)?;
-    TcpAcceptor::from_tokio(socket.listen(backlog.clamp(MIN_BACKLOG, MAX_BACKLOG) as u32)?)
-}
-
 impl Node {
     /// A controller that has not begun to serve.
     pub fn new(settings: Settings) -> Node {
-        let questions = Semaphore::new(settings.sockets * QUESTIONS_PERCENT / 100);
+        let query_permits = Semaphore::new(settings.sockets * QUERIES_PERCENT / 100);
         let clock = Clock::start();
         let http = Arc::new(Client::new(settings.sockets * KEPT_PERCENT / 100));
-        let store = Store::new(
+        let store = StoreClient::new(
             http.clone(),
             settings.state,
             clock,
@@ -171,49 +119,48 @@
             store,
             cloud,
             http,
-            links: Links::default(),
+            peers: PeerClient::default(),
             connections: Arc::new(Connections::new(accepted)),
             wake: Notify::new(),
             fresh_reads: FreshReads::default(),
-            questions,
+            query_permits,
             cells,
             controller: Mutex::new(controller),
             rng: Mutex::new(rng),
         }
     }
 
-    /// The controller's state machine.
+    /// Locks the controller's state machine.
     pub fn controller(&self) -> ControllerGuard<'_> {
-        ControllerGuard(self.controller.lock().unwrap_or_else(|e| e.into_inner()))
+        ControllerGuard(lock(&self.controller))
     }
 
-    /// The present time on the steady clock.
+    /// The time on the monotonic clock.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
     /// A random number.
     pub fn random(&self) -> u64 {
-        let mut rng = self.rng.lock().unwrap_or_else(|e| e.into_inner());
-        rng.random()
+        lock(&self.rng).random()
     }
 
-    /// A pause of about `ms`, spread so that nodes don't act in step.
+    /// A pause of about `ms`, spread by half either way so that nodes don't act in step.
     pub async fn pause(&self, ms: u64) {
         let spread = self.random() % (ms + 1);
         tokio::time::sleep(Duration::from_millis(ms / 2 + 1 + spread)).await;
     }
 
-    /// How the state service has served this process, as peers are told.
+    /// How the state service has served this process, for heartbeats to peers.
     pub fn store_health(&self) -> StoreHealth {
         StoreHealth {
             reachable: self.store.is_up(STORE_REACHABLE_WITHIN),
-            last_success_at: self.store.last_ok(),
+            last_success_at: self.store.last_success_at(),
         }
     }
 
-    /// Whether this node can take requests. In a common outage all stay up: to be taken out of the
-    /// balance costs longer than that.
+    /// Whether this node can take requests. When the state service fails for all nodes, all stay up: the
+    /// load balancer would take longer to bring them back than most outages last.
     pub fn is_up(&self) -> bool {
         let controller = self.controller();
         if !controller.is_synced() || controller.catalog().is_none() {
--- a/crates/saltpitch/src/record_sync.rs
+++ b/crates/saltpitch/src/record_sync.rs
@@ -1,88 +1,39 @@
 //! Keeping the controller's copy of the records up to date.
 
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
 use saltpitch_core::records::{node_key, RecordCache, RecordChange};
-use saltpitch_core::scheduler::{Precondition, TransactionOutcome};
+use saltpitch_core::scheduler::{Precondition, Transaction, TransactionOutcome};
 use serde_json::value::RawValue;
-use tokio::sync::{watch, Notify};
 
 use crate::node::Node;
-use crate::store::News;
+use crate::store::WatchOutcome;
 
 /// How long a watch waits for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(8);
-/// How long a request waits for the newest records.
+/// How long a request waits for the latest records.
 const FRESH_READ_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// After so many failed watches in a row the records are listed anew.
+/// After so many failed watches in a row the records are listed again.
 const FAILURES_BEFORE_LISTING: u32 = 5;
-/// The parts of this node's share of the state service's requests that watches and fresh reads take.
+/// The fractions of this node's share of the state service's requests that watches and fresh reads take.
 const WATCH_SHARE: f64 = 0.12;
 const FRESH_READ_SHARE: f64 = 0.3;
-const TXN_TIMEOUT: Duration = Duration::from_secs(1);
-
-/// Requests that wait for records as new as themselves. One read serves all that wait when it starts.
-pub struct FreshReads {
-    wanted: Notify,
-    started: AtomicU64,
-    done: watch::Sender<FreshRead>,
-}
-
-/// The last read that ended.
-#[derive(Clone, Copy, Default)]
-struct FreshRead {
-    ticket: u64,
-    ok: bool,
-}
-
-impl Default for FreshReads {
-    fn default() -> FreshReads {
-        FreshReads {
-            wanted: Notify::new(),
-            started: AtomicU64::new(0),
-            done: watch::channel(FreshRead::default()).0,
-        }
-    }
-}
-
-impl FreshReads {
-    /// Waits for a read that starts after this call. False: the state service could not be read.
-    async fn wait(&self) -> bool {
-        let needed = self.started.load(Ordering::Relaxed) + 1;
-        let mut done = self.done.subscribe();
-        self.wanted.notify_one();
-        loop {
-            let last = *done.borrow_and_update();
-            if last.ticket >= needed {
-                return last.ok;
-            }
-            if done.changed().await.is_err() {
-                return false;
-            }
-        }
-    }
-}
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pauses before the next try, in milliseconds; each is spread by half either way.
+const FAILED_READ_PAUSE_MS: u64 = 400;
+const FAILED_ANNOUNCEMENT_PAUSE_MS: u64 = 300;
+const RELISTING_PAUSE_MS: u64 = 200;
 
 impl Node {
     /// Waits until the records are as new as this call. False: the state service could not be read.
-    pub async fn fresh(&self) -> bool {
+    pub async fn read_latest_records(&self) -> bool {
         tokio::time::timeout(FRESH_READ_TIMEOUT, self.fresh_reads.wait())
             .await
             .unwrap_or(false)
     }
 
-    fn apply(&self, from: u64, changes: Vec<RecordChange>, upto: u64) {
-        let (now, wall) = (self.now(), self.clock.wall());
-        let mut controller = self.controller();
-        let job_changed = controller.apply_changes(from, changes, upto, now, wall);
-        if job_changed && controller.is_leader() {
-            self.wake.notify_one();
-        }
-    }
-
-    /// A write that this node made itself is known from the answer on.
+    /// Applies a write that this node made itself, without waiting for the watch to bring it.
     pub fn apply_own_write(&self, key: &str, value: &str, revision: u64) {
         let Ok(value) = RawValue::from_string(value.to_owned()) else {
             return;
@@ -96,106 +47,120 @@
         self.controller().apply_own_write(&change, now, wall);
         self.wake.notify_one();
     }
-
-    /// Reads all records anew.
-    async fn list_records(&self) -> bool {
-        let mut records = RecordCache::default();
-        let take = |rows: Vec<RecordChange>| {
-            for row in rows {
-                let Some(value) = &row.value else { continue };
-                if let Err(error) = records.put(&row.key, value, row.revision) {
-                    tracing::error!("record {} is unreadable and was skipped: {error}", row.key);
-                }
-            }
-        };
-        let Some(revision) = self.store.list(take).await else {
-            return false;
-        };
-        records.rev = revision;
-        let (now, wall) = (self.now(), self.clock.wall());
-        let replaced = self.controller().replace_records(records, now, wall);
-        if let Err(error) = replaced {
-            tracing::error!("{error}");
-            return false;
-        }
-        self.wake.notify_one();
-        true
-    }
-
-    /// Puts this process's incarnation on record.
-    async fn announce(&self) {
-        let Some(announcement) = self.controller().announcement() else {
-            return;
-        };
-        let key = node_key(&self.settings.node);
-        let preconditions = [Precondition::new(key, announcement.expected_revision)];
-        let outcome = self
-            .store
-            .txn(&preconditions, &[announcement.write], None, TXN_TIMEOUT)
-            .await;
-        let written = matches!(outcome, TransactionOutcome::Committed(_));
-        // The answer may have been lost.
-        if !written && !self.fresh().await {
-            return;
-        }
-        self.controller()
-            .confirm_announcement(announcement.incarnation, written);
-    }
 }
 
 /// Follows the changes of the records with one watch at a time.
 pub async fn follow(node: Arc<Node>) {
     let mut failures = 0;
     loop {
-        if !node.controller().is_synced() && !node.list_records().await {
-            node.pause(400).await;
+        if !node.controller().is_synced() && !list_records(&node).await {
+            node.pause(FAILED_READ_PAUSE_MS).await;
             continue;
         }
         if !node.controller().is_announced() {
-            node.announce().await;
+            announce(&node).await;
             if !node.controller().is_announced() {
-                node.pause(300).await;
-                let _ = node.fresh().await;
+                node.pause(FAILED_ANNOUNCEMENT_PAUSE_MS).await;
+                let _ = node.read_latest_records().await;
             }
         }
-        let from = node.controller().records().rev;
-        match node.store.news(from, WATCH_WAIT).await {
-            News::Changes(changes, revision) => {
-                failures = 0;
-                node.apply(from, changes, revision);
-                // Each reopening counts against the store's rate.
-                tokio::time::sleep(node.store.pace(WATCH_SHARE)).await;
-            }
-            News::TooOld => {
-                node.list_records().await;
-                node.pause(200).await;
+        watch_once(&node, &mut failures).await;
+    }
+}
+
+/// Waits for changes once and applies them. `failures` counts the watches in a row that failed.
+async fn watch_once(node: &Node, failures: &mut u32) {
+    let from = node.controller().records().rev;
+    match node.store.watch(from, WATCH_WAIT).await {
+        WatchOutcome::Changes(changes) => {
+            *failures = 0;
+            apply_changes(node, from, changes.changes, changes.revision);
+            // Each watch counts against the service's rate of requests.
+            tokio::time::sleep(node.store.pace(WATCH_SHARE)).await;
+        }
+        WatchOutcome::RevisionTooOld => {
+            list_records(node).await;
+            node.pause(RELISTING_PAUSE_MS).await;
+        }
+        WatchOutcome::Failed => {
+            node.pause(FAILED_READ_PAUSE_MS).await;
+            *failures += 1;
+            // After a long absence the changes may be too many for one answer, while a listing
+            // comes in pages.
+            if failures.is_multiple_of(FAILURES_BEFORE_LISTING) {
+                list_records(node).await;
             }
-            News::Failed => {
-                node.pause(400).await;
-                failures += 1;
-                // After a long absence the changes may be too many for one answer, while a listing
-                // comes in pages.
-                if failures % FAILURES_BEFORE_LISTING == 0 {
-                    node.list_records().await;
-                }
+        }
+    }
+}
+
+fn apply_changes(node: &Node, from: u64, changes: Vec<RecordChange>, upto: u64) {
+    let (now, wall) = (node.now(), node.clock.wall());
+    let mut controller = node.controller();
+    let job_changed = controller.apply_changes(from, changes, upto, now, wall);
+    if job_changed && controller.is_leader() {
+        node.wake.notify_one();
+    }
+}
+
+/// Reads all records, in place of those in memory. False: they could not be read.
+async fn list_records(node: &Node) -> bool {
+    let mut records = RecordCache::default();
+    let take = |page: Vec<RecordChange>| {
+        for row in page {
+            let Some(value) = &row.value else { continue };
+            if let Err(error) = records.put(&row.key, value, row.revision) {
+                tracing::error!("record {} is unreadable and was skipped: {error}", row.key);
             }
         }
+    };
+    let Some(revision) = node.store.list(take).await else {
+        return false;
+    };
+    records.rev = revision;
+    let (now, wall) = (node.now(), node.clock.wall());
+    let replaced = node.controller().replace_records(records, now, wall);
+    if let Err(error) = replaced {
+        tracing::error!("{error}");
+        return false;
+    }
+    node.wake.notify_one();
+    true
+}
+
+/// Puts this process's incarnation on record.
+async fn announce(node: &Node) {
+    let Some(announcement) = node.controller().announcement() else {
+        return;
+    };
+    let key = node_key(&node.settings.node);
+    let transaction = Transaction {
+        preconditions: vec![Precondition::new(key, announcement.expected_revision)],
+        writes: vec![announcement.write],
+    };
+    let outcome = node.store.commit(&transaction, ANNOUNCEMENT_TIMEOUT).await;
+    let written = matches!(outcome, TransactionOutcome::Committed(_));
+    // A write whose answer was lost shows in the latest records.
+    if !written && !node.read_latest_records().await {
+        return;
     }
+    node.controller()
+        .confirm_announcement(announcement.incarnation, written);
 }
 
-/// Reads the newest changes for whoever waits for them.
-pub async fn read_fresh(node: Arc<Node>) {
+/// Reads the latest changes whenever a request waits for them.
+pub async fn serve_fresh_reads(node: Arc<Node>) {
     let reads = &node.fresh_reads;
     loop {
-        reads.wanted.notified().await;
-        let ticket = reads.started.fetch_add(1, Ordering::Relaxed) + 1;
-        let ok = read_newest(&node).await;
-        reads.done.send_replace(FreshRead { ticket, ok });
+        reads.requested().await;
+        let number = reads.start();
+        let succeeded = read_latest_changes(&node).await;
+        reads.finish(number, succeeded);
         tokio::time::sleep(node.store.pace(FRESH_READ_SHARE)).await;
     }
 }
 
-async fn read_newest(node: &Node) -> bool {
+async fn read_latest_changes(node: &Node) -> bool {
     let (synced, from) = {
         let controller = node.controller();
         (controller.is_synced(), controller.records().rev)
@@ -203,23 +168,12 @@
     if !synced {
         return false;
     }
-    match node.store.news(from, Duration::ZERO).await {
-        News::Changes(changes, revision) => {
-            node.apply(from, changes, revision);
+    match node.store.watch(from, Duration::ZERO).await {
+        WatchOutcome::Changes(changes) => {
+            apply_changes(node, from, changes.changes, changes.revision);
             true
         }
-        News::TooOld => node.list_records().await,
-        News::Failed => false,
-    }
-}
-
-/// Reads the machine types from the cloud, and again every now and then.
-pub async fn load_catalog(node: Arc<Node>) {
-    loop {
-        if let Some(catalog) = node.cloud.catalog().await {
-            node.controller().set_catalog(Arc::new(catalog));
-        }
-        let known = node.controller().catalog().is_some();
-        node.pause(if known { 30_000 } else { 700 }).await;
+        WatchOutcome::RevisionTooOld => list_records(node).await,
+        WatchOutcome::Failed => false,
     }
 }
--- /dev/null
+++ b/crates/saltpitch/src/server.rs
@@ -0,0 +1,69 @@
+//! Starting a controller: its listeners and the tasks that run until the process ends.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use anyhow::{Context, Result};
+use poem::listener::TcpAcceptor;
+use poem::Server;
+use tokio::net::{TcpListener, TcpSocket};
+
+use crate::api::Api;
+use crate::connection_limit::Bounded;
+use crate::node::Node;
+use crate::settings::Settings;
+use crate::{cells, cloud_sync, effects, leadership, peer, record_sync};
+
+/// A connection on which nothing moves for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
+/// The percentage of the sockets for connections of users and agents that wait to be accepted.
+const BACKLOG_PERCENT: usize = 10;
+/// Bounds of a listener's backlog; the kernel keeps no more than about the latter.
+const MIN_BACKLOG: usize = 8;
+const MAX_BACKLOG: usize = 4_096;
+
+/// Runs a controller until the process is killed.
+pub async fn serve(settings: Settings) -> Result<()> {
+    let (api, peer_bind) = (settings.api, settings.peer_bind);
+    let backlog = settings.sockets * BACKLOG_PERCENT / 100;
+    let node = Arc::new(Node::new(settings));
+    let peer_listener = TcpListener::bind(peer_bind)
+        .await
+        .with_context(|| format!("cannot listen on peer_bind {peer_bind}"))?;
+    tracing::info!("node {} starts", node.settings.node);
+    spawn_tasks(&node, peer_listener);
+    cells::start(&node).await?;
+    let cannot_serve = || format!("cannot serve on api_addr {api}");
+    let acceptor = listen(api, backlog).with_context(cannot_serve)?;
+    let acceptor = Bounded::new(acceptor, node.clock, node.connections.clone());
+    Server::new_with_acceptor(acceptor)
+        .idle_timeout(IDLE_TIMEOUT)
+        .run(Api(node))
+        .await
+        .with_context(cannot_serve)
+}
+
+fn spawn_tasks(node: &Arc<Node>, peer_listener: TcpListener) {
+    tokio::spawn(peer::serve(node.clone(), peer_listener));
+    tokio::spawn(record_sync::follow(node.clone()));
+    tokio::spawn(record_sync::serve_fresh_reads(node.clone()));
+    peer::spawn_heartbeats(node);
+    tokio::spawn(cloud_sync::load_catalog(node.clone()));
+    tokio::spawn(leadership::hold_leadership(node.clone()));
+    tokio::spawn(effects::run_scheduler(node.clone()));
+    tokio::spawn(cloud_sync::list_machines(node.clone()));
+}
+
+/// Listens with a bounded backlog: connections that wait to be accepted take sockets as well.
+pub fn listen(addr: SocketAddr, backlog: usize) -> std::io::Result<TcpAcceptor> {
+    let socket = if addr.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
+    socket.set_reuseaddr(true)?;
+    socket.bind(addr)?;
+    let backlog = backlog.clamp(MIN_BACKLOG, MAX_BACKLOG) as u32;
+    TcpAcceptor::from_tokio(socket.listen(backlog)?)
+}
--- a/crates/saltpitch/src/settings.rs
+++ b/crates/saltpitch/src/settings.rs
@@ -237,7 +237,7 @@
             write_rate: self.store.write_rps * crate::store::leader_share(self.size),
             next_write_rate: self.store.next_write_rps * crate::store::leader_share(self.size),
             max_value_bytes: self.store.max_value_bytes,
-            scale_out_rate: self.cloud_rps * crate::cloud::RENT_PART,
+            scale_out_rate: self.cloud_rps * crate::cloud::SCALE_OUT_SHARE,
             log_segments: LOG_RING,
             teams: self.teams.clone(),
             objectives: self.objectives.clone(),
--- a/crates/saltpitch/src/store.rs
+++ b/crates/saltpitch/src/store.rs
@@ -1,30 +1,47 @@
-//! The state service, as this project uses it.
+//! The client of the state service: reads, watches, transactions and the leadership lease, within this
+//! controller's share of the service's rates.
 
 use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 use hyper::Method;
 use saltpitch_core::records::{RecordChange, PREFIX};
-use saltpitch_core::scheduler::{Precondition, TransactionOutcome, Write};
+use saltpitch_core::scheduler::{Precondition, Transaction, TransactionOutcome, Write};
 use saltpitch_core::Micros;
 
 use crate::budget::Budget;
 use crate::clock::Clock;
 use crate::http::{CallError, Client, Reply};
+use crate::mutex::lock;
 use crate::settings::StoreLimits;
 use crate::wire::store as wire;
+pub use crate::wire::store::{Changes, LeaseAttachment};
 
-/// What reading the changes came to.
-pub enum News {
-    Changes(Vec<RecordChange>, u64),
-    /// The asked-for revision is too old: everything has to be read again.
-    TooOld,
-    Failed,
-}
+/// Records in one page of a listing.
+const PAGE_SIZE: usize = 1_000;
+const LIST_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long an answer to a watch may take beyond the time for which the service holds it open.
+const WATCH_GRACE: Duration = Duration::from_millis(1_500);
+const LEASE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// So many refusals within the window mean that the service's next limits are in force.
+const REFUSALS_BEFORE_NEXT_LIMITS: usize = 5;
+const REFUSAL_WINDOW: Micros = Micros::from_secs(10);
+
+/// This controller's share of a rate when it serves alone, as the leader, and all followers' together.
+const ONLY_NODE_SHARE: f64 = 0.9;
+const LEADER_SHARE: f64 = 0.5;
+const FOLLOWERS_SHARE: f64 = 0.45;
 
-/// The leader's part of the store's rate of changes, which its core paces by itself. The rest is for
-/// what users ask of all nodes.
+/// Bounds of the pause between two paced requests, in seconds, and the slowest rate it is derived from.
+const MIN_PACE_S: f64 = 0.02;
+const MAX_PACE_S: f64 = 2.0;
+const MIN_PACED_RATE: f64 = 0.5;
+
+/// The part of the service's rate of changes that the leader's scheduler paces by itself. The rest is
+/// for what users ask of all controllers.
 pub fn leader_share(size: usize) -> f64 {
     if size == 1 {
         0.9
@@ -33,119 +50,206 @@
     }
 }
 
-pub struct Store {
+/// The outcome of a watch.
+pub enum WatchOutcome {
+    /// What has changed, possibly nothing.
+    Changes(Changes),
+    /// The revision is older than the service's history: all records have to be read again.
+    RevisionTooOld,
+    /// The service did not answer, or not with changes.
+    Failed,
+}
+
+/// The outcome of a renewal of the leadership lease.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum KeepAlive {
+    /// The lease is renewed.
+    Renewed,
+    /// The lease has expired.
+    Expired,
+    /// No answer: the lease may have been renewed or not.
+    Unknown,
+}
+
+/// What this controller may still send.
+struct Budgets {
+    requests: Budget,
+    changes: Budget,
+}
+
+/// Refusals of changes for their rate.
+#[derive(Default)]
+struct RateLimiting {
+    /// The refusals within [`REFUSAL_WINDOW`].
+    refused_at: Vec<Micros>,
+    /// Whether the service's next limits are taken to be in force.
+    next_limits: bool,
+}
+
+/// Requests and changes a second that the service takes.
+struct Rates {
+    requests: f64,
+    changes: f64,
+}
+
+/// When the service last answered, and when it last failed to.
+#[derive(Clone, Copy, Default)]
+struct Health {
+    last_success_at: Option<Micros>,
+    last_failure_at: Option<Micros>,
+}
+
+/// A transaction that writes one record on condition of its revision; revision 0 creates it.
+pub fn conditional_write(key: &str, value: &str, revision: u64) -> Transaction {
+    Transaction {
+        preconditions: vec![Precondition::new(key, revision)],
+        writes: vec![Write {
+            key: key.to_owned(),
+            value: Some(value.to_owned()),
+        }],
+    }
+}
+
+/// The client of the state service.
+pub struct StoreClient {
     http: Arc<Client>,
     addr: SocketAddr,
     clock: Clock,
-    budgets: Mutex<(Budget, Budget)>,
+    budgets: Mutex<Budgets>,
     limits: StoreLimits,
+    /// The number of controllers that share the service.
     size: usize,
-    /// When it refused changes for their number, and whether that is taken for its next limit.
-    throttles: Mutex<(Vec<Micros>, bool)>,
-    leads: std::sync::atomic::AtomicBool,
-    /// When it answered last, for better or worse.
-    ok_at: Mutex<Option<Micros>>,
-    failed_at: Mutex<Option<Micros>>,
+    rate_limiting: Mutex<RateLimiting>,
+    leads: AtomicBool,
+    health: Mutex<Health>,
 }
 
-impl Store {
+impl StoreClient {
+    /// A client for one of `size` controllers, with a follower's share of the rates.
     pub fn new(
         http: Arc<Client>,
         addr: SocketAddr,
         clock: Clock,
         limits: StoreLimits,
         size: usize,
-    ) -> Store {
-        let s = Store {
+    ) -> StoreClient {
+        let budgets = Budgets {
+            requests: Budget::new(limits.rps),
+            changes: Budget::new(limits.write_rps),
+        };
+        let client = StoreClient {
             http,
             addr,
             clock,
-            budgets: Mutex::new((Budget::new(limits.rps), Budget::new(limits.write_rps))),
+            budgets: Mutex::new(budgets),
             limits,
             size: size.max(1),
-            throttles: Mutex::default(),
-            leads: std::sync::atomic::AtomicBool::new(false),
-            ok_at: Mutex::new(None),
-            failed_at: Mutex::new(None),
+            rate_limiting: Mutex::default(),
+            leads: AtomicBool::new(false),
+            health: Mutex::default(),
         };
-        s.set_leading(false);
-        s
+        client.set_leading(false);
+        client
     }
 
     /// The leader may use half of the requests, the others the rest between them. Users' changes are
-    /// few but come in bursts, to any node: each may use what the leader leaves, and the store itself
-    /// refuses what is too much in all.
+    /// few but come in bursts, to any controller: each may use what the leader leaves, and the service
+    /// itself refuses what is too much in all.
     pub fn set_leading(&self, leads: bool) {
-        self.leads
-            .store(leads, std::sync::atomic::Ordering::Relaxed);
+        self.leads.store(leads, Ordering::Relaxed);
         let share = match (leads, self.size) {
-            (_, 1) => 0.9,
-            (true, _) => 0.5,
-            (false, n) => 0.45 / (n - 1) as f64,
+            (_, 1) => ONLY_NODE_SHARE,
+            (true, _) => LEADER_SHARE,
+            (false, size) => FOLLOWERS_SHARE / (size - 1) as f64,
         };
-        let mut b = self.budgets.lock().unwrap_or_else(|e| e.into_inner());
-        let (rps, write_rps) = self.rates();
-        b.0.set_rate(rps * share);
-        b.1.set_rate(write_rps * (1.0 - leader_share(self.size)));
+        let mut budgets = lock(&self.budgets);
+        let rates = self.rates();
+        budgets.requests.set_rate(rates.requests * share);
+        budgets
+            .changes
+            .set_rate(rates.changes * (1.0 - leader_share(self.size)));
     }
 
-    /// Requests and changes a second that it takes now, as far as known.
-    fn rates(&self) -> (f64, f64) {
-        let lowered = self.throttles.lock().unwrap_or_else(|e| e.into_inner()).1;
-        if lowered {
-            (self.limits.next_rps, self.limits.next_write_rps)
+    /// The rates that are taken to be in force.
+    fn rates(&self) -> Rates {
+        if lock(&self.rate_limiting).next_limits {
+            Rates {
+                requests: self.limits.next_rps,
+                changes: self.limits.next_write_rps,
+            }
         } else {
-            (self.limits.rps, self.limits.write_rps)
+            Rates {
+                requests: self.limits.rps,
+                changes: self.limits.write_rps,
+            }
         }
     }
 
-    /// It refused a change for their number: now and then that is a burst, again and again its next
-    /// limit, which comes without notice.
-    fn throttled(&self) {
-        let now = self.clock.now();
-        let lowered = {
-            let mut t = self.throttles.lock().unwrap_or_else(|e| e.into_inner());
-            t.0.push(now);
-            let recent = now.since(Micros::from_secs(10));
-            t.0.retain(|at| *at >= recent);
-            let lowers = !t.1 && t.0.len() >= 5;
-            t.1 |= lowers;
-            lowers
-        };
-        if lowered {
-            let (rps, write_rps) = self.rates();
-            tracing::info!("the store refuses changes: keeping to its next limits, {rps} requests and {write_rps} changes a second");
-            self.set_leading(self.leads.load(std::sync::atomic::Ordering::Relaxed));
+    /// The service refused a change for its rate. Once in a while that is a burst; several in a row mean
+    /// that its next limits have come into force, which happens without notice.
+    fn record_rate_limited(&self) {
+        if !self.detects_next_limits() {
+            return;
         }
+        let Rates { requests, changes } = self.rates();
+        tracing::info!("the store refuses changes: keeping to its next limits, {requests} requests and {changes} changes a second");
+        self.set_leading(self.leads.load(Ordering::Relaxed));
+    }
+
+    /// Notes a refusal; whether it is the one that shows that the next limits are in force.
+    fn detects_next_limits(&self) -> bool {
+        let now = self.clock.now();
+        let mut limiting = lock(&self.rate_limiting);
+        limiting.refused_at.push(now);
+        let window_start = now.since(REFUSAL_WINDOW);
+        limiting.refused_at.retain(|at| *at >= window_start);
+        let detected =
+            !limiting.next_limits && limiting.refused_at.len() >= REFUSALS_BEFORE_NEXT_LIMITS;
+        limiting.next_limits |= detected;
+        detected
     }
 
-    /// How long to leave between two requests of a kind that may use `part` of this node's share.
-    pub fn pace(&self, part: f64) -> Duration {
-        let each = self.rates().0 * part / self.size as f64;
-        Duration::from_secs_f64((1.0 / each.max(0.5)).clamp(0.02, 2.0))
+    /// The pause between two requests of a kind that may use this fraction of the controller's share.
+    pub fn pace(&self, fraction: f64) -> Duration {
+        let rate = self.rates().requests * fraction / self.size as f64;
+        let pause_s = (1.0 / rate.max(MIN_PACED_RATE)).clamp(MIN_PACE_S, MAX_PACE_S);
+        Duration::from_secs_f64(pause_s)
     }
 
-    fn may(&self, requests: f64, writes: f64) -> bool {
+    /// Takes one request from the budget.
+    fn try_request(&self) -> bool {
+        lock(&self.budgets).requests.take(1.0, self.clock.now())
+    }
+
+    /// Takes one request with so many changes from the budgets.
+    fn try_changes(&self, changes: usize) -> bool {
         let now = self.clock.now();
-        let mut b = self.budgets.lock().unwrap_or_else(|e| e.into_inner());
-        b.0.take(requests, now) && (writes == 0.0 || b.1.take(writes, now))
+        let mut budgets = lock(&self.budgets);
+        budgets.requests.take(1.0, now)
+            && (changes == 0 || budgets.changes.take(changes as f64, now))
     }
 
-    fn note(&self, ok: bool) {
-        let slot = if ok { &self.ok_at } else { &self.failed_at };
-        *slot.lock().unwrap_or_else(|e| e.into_inner()) = Some(self.clock.now());
+    fn record_health(&self, served: bool) {
+        let now = self.clock.now();
+        let mut health = lock(&self.health);
+        if served {
+            health.last_success_at = Some(now);
+        } else {
+            health.last_failure_at = Some(now);
+        }
     }
 
-    /// When it last served this node.
-    pub fn last_ok(&self) -> Option<Micros> {
-        *self.ok_at.lock().unwrap_or_else(|e| e.into_inner())
+    /// When the service last served this controller.
+    pub fn last_success_at(&self) -> Option<Micros> {
+        lock(&self.health).last_success_at
     }
 
-    /// Whether it served this node at its last word, which is not older than `within`.
+    /// Whether the last request was served, and that no longer ago than `within`.
     pub fn is_up(&self, within: Micros) -> bool {
-        let ok = *self.ok_at.lock().unwrap_or_else(|e| e.into_inner());
-        let bad = *self.failed_at.lock().unwrap_or_else(|e| e.into_inner());
-        ok.is_some_and(|at| self.clock.now().since(at) < within) && ok >= bad
+        let health = *lock(&self.health);
+        let recent = |at| self.clock.now().since(at) < within;
+        health.last_success_at.is_some_and(recent)
+            && health.last_success_at >= health.last_failure_at
     }
 
     async fn call(
@@ -155,176 +259,185 @@
         body: Vec<u8>,
         limit: Duration,
     ) -> Result<Reply, CallError> {
-        let r = self.http.call(self.addr, method, path, body, limit).await;
-        match &r {
-            Ok(r) => self.note(r.status != 503),
-            Err(_) => self.note(false),
-        }
-        r
+        let result = self.http.call(self.addr, method, path, body, limit).await;
+        let served = result.as_ref().is_ok_and(|reply| reply.status != 503);
+        self.record_health(served);
+        result
     }
 
-    /// All of our records, page by page as they come, since all of them at once may be more than this
-    /// node has memory for. Returns the revision from which to follow their changes.
+    /// Reads all records of this project, and hands them on page by page, since all of them at once may
+    /// be more than this process has memory for. Returns the revision from which to follow changes.
     pub async fn list(&self, mut take: impl FnMut(Vec<RecordChange>)) -> Option<u64> {
-        let mut first = None;
-        let mut after = String::new();
+        let mut first_revision = None;
+        let mut last_key = String::new();
         loop {
-            let path = if after.is_empty() {
-                format!("/store?starts={PREFIX}&page=1000")
-            } else {
-                format!("/store?starts={PREFIX}&from={after}&page=1000")
-            };
-            let r = self
-                .call(Method::GET, &path, Vec::new(), Duration::from_secs(3))
-                .await
-                .ok()?;
-            if r.status != 200 {
-                return None;
-            }
-            let (items, more, rev) = wire::page(&r.body)
-                .map_err(|e| tracing::error!("store: unreadable page: {e}"))
-                .ok()?;
-            first.get_or_insert(rev);
-            if let Some(last) = items.last() {
-                after.clone_from(&last.key);
+            let page = self.list_page(&last_key).await?;
+            let revision = *first_revision.get_or_insert(page.revision);
+            if let Some(last) = page.records.last() {
+                last_key.clone_from(&last.key);
             }
-            let empty = items.is_empty();
-            take(items);
-            if !more || empty {
-                return Some(first.unwrap_or(rev));
+            let is_last = !page.has_next || page.records.is_empty();
+            take(page.records);
+            if is_last {
+                return Some(revision);
             }
         }
     }
 
-    /// Changes after `from`; waits up to `wait` for one.
-    pub async fn news(&self, from: u64, wait: Duration) -> News {
-        if wait.is_zero() && !self.may(1.0, 0.0) {
-            return News::Failed;
+    /// The page of records after a key; the first one after the empty key.
+    async fn list_page(&self, after: &str) -> Option<wire::Page> {
+        let path = if after.is_empty() {
+            format!("/store?starts={PREFIX}&page={PAGE_SIZE}")
+        } else {
+            format!("/store?starts={PREFIX}&from={after}&page={PAGE_SIZE}")
+        };
+        let reply = self
+            .call(Method::GET, &path, Vec::new(), LIST_TIMEOUT)
+            .await
+            .ok()?;
+        if reply.status != 200 {
+            return None;
+        }
+        wire::decode_page(&reply.body)
+            .map_err(|error| tracing::error!("store: unreadable page: {error}"))
+            .ok()
+    }
+
+    /// Reads the changes after a revision; waits up to `wait` for one. A watch that waits is paced by its
+    /// caller; one that does not is taken from the budget of requests.
+    pub async fn watch(&self, from: u64, wait: Duration) -> WatchOutcome {
+        if wait.is_zero() && !self.try_request() {
+            return WatchOutcome::Failed;
         }
-        let path = format!(
-            "/watch?starts={PREFIX}&from={from}&wait_ms={}",
-            wait.as_millis()
-        );
-        let limit = wait + Duration::from_millis(1_500);
-        match self.call(Method::GET, &path, Vec::new(), limit).await {
-            Ok(r) if r.status == 200 => match wire::news(&r.body) {
-                Ok((items, rev)) => News::Changes(items, rev),
-                Err(e) => {
-                    tracing::error!("store: unreadable changes: {e}");
-                    News::Failed
-                }
-            },
-            Ok(r) if r.status == 410 => News::TooOld,
-            _ => News::Failed,
+        let wait_ms = wait.as_millis();
+        let path = format!("/watch?starts={PREFIX}&from={from}&wait_ms={wait_ms}");
+        let reply = self
+            .call(Method::GET, &path, Vec::new(), wait + WATCH_GRACE)
+            .await;
+        let Ok(reply) = reply else {
+            return WatchOutcome::Failed;
+        };
+        match reply.status {
+            200 => wire::decode_changes(&reply.body).map_or_else(
+                |error| {
+                    tracing::error!("store: unreadable changes: {error}");
+                    WatchOutcome::Failed
+                },
+                WatchOutcome::Changes,
+            ),
+            410 => WatchOutcome::RevisionTooOld,
+            _ => WatchOutcome::Failed,
         }
     }
 
-    pub async fn txn(
+    /// Commits a transaction within this controller's budgets.
+    pub async fn commit(&self, transaction: &Transaction, limit: Duration) -> TransactionOutcome {
+        self.commit_with_lease(transaction, None, limit).await
+    }
+
+    /// Commits a transaction within this controller's budgets, one write of which may end with a lease.
+    pub async fn commit_with_lease(
         &self,
-        preconditions: &[Precondition],
-        writes: &[Write],
-        hold: Option<(u64, &str)>,
+        transaction: &Transaction,
+        lease: Option<LeaseAttachment<'_>>,
         limit: Duration,
     ) -> TransactionOutcome {
-        if !self.may(1.0, writes.len() as f64) {
+        if !self.try_changes(transaction.writes.len()) {
             return TransactionOutcome::Unavailable;
         }
-        self.send(preconditions, writes, hold, limit).await
+        self.send_transaction(transaction, lease, limit).await
     }
 
-    /// A transaction of the leader's core, which keeps to its share of the changes by itself.
-    pub async fn leader_txn(
+    /// Commits a transaction of the leader's scheduler, which paces its changes by itself.
+    pub async fn commit_as_leader(
         &self,
-        preconditions: &[Precondition],
-        writes: &[Write],
+        transaction: &Transaction,
         limit: Duration,
     ) -> TransactionOutcome {
-        if !self.may(1.0, 0.0) {
+        if !self.try_request() {
             return TransactionOutcome::Unavailable;
         }
-        self.send(preconditions, writes, None, limit).await
+        self.send_transaction(transaction, None, limit).await
     }
 
-    async fn send(
+    async fn send_transaction(
         &self,
-        preconditions: &[Precondition],
-        writes: &[Write],
-        hold: Option<(u64, &str)>,
+        transaction: &Transaction,
+        lease: Option<LeaseAttachment<'_>>,
         limit: Duration,
     ) -> TransactionOutcome {
-        let body = wire::transaction(preconditions, writes, hold);
+        let body = wire::encode_transaction(transaction, lease);
         match self.call(Method::POST, "/txn", body, limit).await {
-            Ok(r) if r.status == 200 => wire::txn(&r.body)
-                .map_or(TransactionOutcome::Unknown, |t| {
-                    TransactionOutcome::Committed(t.0)
+            Ok(reply) => self.transaction_outcome(transaction, &reply),
+            Err(CallError::NotSent) => TransactionOutcome::Unavailable,
+            Err(CallError::Unknown) => TransactionOutcome::Unknown,
+        }
+    }
+
+    fn transaction_outcome(&self, transaction: &Transaction, reply: &Reply) -> TransactionOutcome {
+        match reply.status {
+            200 => wire::decode_transaction_reply(&reply.body)
+                .map_or(TransactionOutcome::Unknown, |decoded| {
+                    TransactionOutcome::Committed(decoded.revision)
                 }),
-            Ok(r) if r.status == 409 => wire::txn(&r.body)
-                .map_or(TransactionOutcome::Unknown, |t| {
-                    TransactionOutcome::Conflict(t.1)
+            409 => wire::decode_transaction_reply(&reply.body)
+                .map_or(TransactionOutcome::Unknown, |decoded| {
+                    TransactionOutcome::Conflict(decoded.failed_keys)
                 }),
-            Ok(r) if r.status == 429 => {
-                self.throttled();
+            429 => {
+                self.record_rate_limited();
                 TransactionOutcome::RateLimited
             }
-            Ok(r) if r.status == 503 => TransactionOutcome::Unavailable,
-            Ok(r) if r.status == 400 => {
+            503 => TransactionOutcome::Unavailable,
+            400 => {
                 tracing::error!(
                     "store: a transaction of {} writes was turned down: {}",
-                    writes.len(),
-                    String::from_utf8_lossy(&r.body)
+                    transaction.writes.len(),
+                    String::from_utf8_lossy(&reply.body)
                 );
                 TransactionOutcome::TooLarge
             }
-            Ok(r) => {
+            status => {
                 tracing::error!(
-                    "store: transaction answered {}: {}",
-                    r.status,
-                    String::from_utf8_lossy(&r.body)
+                    "store: transaction answered {status}: {}",
+                    String::from_utf8_lossy(&reply.body)
                 );
                 TransactionOutcome::Unknown
             }
-            Err(CallError::NotSent) => TransactionOutcome::Unavailable,
-            Err(CallError::Unknown) => TransactionOutcome::Unknown,
         }
     }
 
+    /// Opens a lease that expires unless it is renewed within `ttl`.
     pub async fn grant_lease(&self, ttl: Micros) -> Option<u64> {
-        let r = self
-            .call(
-                Method::POST,
-                "/holds",
-                wire::grant_lease(ttl.0 / 1_000),
-                Duration::from_secs(1),
-            )
+        let body = wire::encode_grant_lease(ttl.0 / 1_000);
+        let reply = self
+            .call(Method::POST, "/holds", body, LEASE_TIMEOUT)
             .await
             .ok()?;
-        (r.status == 200)
-            .then(|| wire::hold(&r.body).ok())
-            .flatten()
+        if reply.status != 200 {
+            return None;
+        }
+        wire::decode_lease(&reply.body).ok()
     }
 
-    /// Renews a hold: Some(true) renewed, Some(false) it is gone, None not known.
-    pub async fn touch(&self, hold: u64) -> Option<bool> {
-        let path = format!("/holds/{hold}/touch");
-        match self
-            .call(
-                Method::POST,
-                &path,
-                Vec::new(),
-                Duration::from_millis(1_000),
-            )
-            .await
-        {
-            Ok(r) if r.status == 200 => Some(true),
-            Ok(r) if r.status == 404 => Some(false),
-            _ => None,
+    /// Renews a lease.
+    pub async fn keep_alive(&self, lease: u64) -> KeepAlive {
+        let path = format!("/holds/{lease}/touch");
+        let reply = self
+            .call(Method::POST, &path, Vec::new(), LEASE_TIMEOUT)
+            .await;
+        match reply.map(|reply| reply.status) {
+            Ok(200) => KeepAlive::Renewed,
+            Ok(404) => KeepAlive::Expired,
+            _ => KeepAlive::Unknown,
         }
     }
 
-    pub async fn revoke_lease(&self, hold: u64) {
-        let path = format!("/holds/{hold}");
+    /// Ends a lease, and with it what is attached to it. One that cannot be ended expires by itself.
+    pub async fn revoke_lease(&self, lease: u64) {
+        let path = format!("/holds/{lease}");
         let _ = self
-            .call(Method::DELETE, &path, Vec::new(), Duration::from_secs(1))
+            .call(Method::DELETE, &path, Vec::new(), LEASE_TIMEOUT)
             .await;
     }
 }
--- a/crates/saltpitch/src/users.rs
+++ b/crates/saltpitch/src/users.rs
@@ -1,20 +1,22 @@
-//! Users' requests: submissions, questions and cancellations.
+//! Users' requests: submissions, queries and cancellations.
 
-use std::sync::Arc;
+mod submission;
+
+use std::fmt::Display;
 use std::time::Duration;
 
-use saltpitch_core::job::{JobKind, JobSpec, JobState};
+use saltpitch_core::job::JobState;
 use saltpitch_core::messages::{PeerRequest, PeerResponse, UserRequest};
-use saltpitch_core::records::{self, CancelStep, DelegationState, JobRecord};
-use saltpitch_core::scheduler::{Precondition, TransactionOutcome, Write};
-use serde_json::{json, Value};
+use saltpitch_core::records::{job_key, CancelStep, DelegationState, JobRecord};
+use saltpitch_core::scheduler::TransactionOutcome;
+use serde_json::Value;
 
 use crate::node::Node;
-use crate::wire::users;
+use crate::store::conditional_write;
+use crate::wire::users::{encode_error, encode_progress, encode_status, JobStatus};
 
 /// How long a peer may take to serve a forwarded request.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
-const SUBMIT_TIMEOUT: Duration = Duration::from_millis(2_000);
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How often a cancellation is tried against a record that keeps changing.
 const CANCEL_ATTEMPTS: u32 = 3;
@@ -33,20 +35,24 @@
         UserReply { status, body }
     }
 
-    fn error(status: u16, reason: impl std::fmt::Display) -> UserReply {
-        UserReply::new(status, json!({ "error": reason.to_string() }))
+    fn error(status: u16, reason: impl Display) -> UserReply {
+        UserReply::new(status, encode_error(&reason.to_string()))
+    }
+
+    fn no_such_job() -> UserReply {
+        UserReply::error(404, "no such job")
     }
 
-    fn known(id: &str, status: JobStatus) -> UserReply {
-        UserReply::new(200, users::short(id, status.word()))
+    fn status(id: &str, status: JobStatus) -> UserReply {
+        UserReply::new(200, encode_status(id, status))
     }
 }
 
-/// The controller cannot answer now: it cannot read the state service. The user is told to come back.
+/// The controller cannot answer now, since it cannot read the state service; the user may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unavailable;
 
-/// What became of a cancellation.
+/// The outcome of a cancellation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Cancellation {
     /// The transaction ended like this.
@@ -57,18 +63,18 @@
 
 /// What is known of a job.
 #[derive(Clone, Copy, Debug)]
-struct JobStatus {
+struct JobProgress {
     state: JobState,
     running: u64,
     done: u64,
-    /// Another cell said that it runs.
+    /// Whether another cell has said that it runs.
     runs_elsewhere: bool,
 }
 
-impl JobStatus {
-    fn word(self) -> &'static str {
+impl JobProgress {
+    fn status(self) -> JobStatus {
         let running = self.running.max(u64::from(self.runs_elsewhere));
-        users::status_word(self.state, running)
+        JobStatus::new(self.state, running)
     }
 }
 
@@ -91,16 +97,16 @@
     }
 
     async fn forward(&self, request: UserRequest) -> Result<UserReply, Unavailable> {
-        let peers: Vec<_> = {
+        let able_peers: Vec<_> = {
             let controller = self.controller();
             let able: Vec<&str> = controller.peers_with_store(self.now()).collect();
             let peers = self.settings.peers.iter();
-            let peers = peers.filter(|p| able.contains(&p.node.as_str()));
-            peers.map(|p| p.addr).collect()
+            let peers = peers.filter(|peer| able.contains(&peer.node.as_str()));
+            peers.map(|peer| peer.addr).collect()
         };
         let request = PeerRequest::User(request);
-        for addr in peers {
-            let answer = self.links.ask(addr, &request, FORWARD_TIMEOUT).await;
+        for addr in able_peers {
+            let answer = self.peers.request(addr, &request, FORWARD_TIMEOUT).await;
             if let Some(PeerResponse::User { status, body }) = answer {
                 let body = serde_json::from_str(&body).unwrap_or(Value::Null);
                 return Ok(UserReply::new(status, body));
@@ -109,66 +115,66 @@
         Err(Unavailable)
     }
 
-    fn status_in_memory(&self, id: &str) -> Option<JobStatus> {
+    fn progress_in_memory(&self, id: &str) -> Option<JobProgress> {
         let controller = self.controller();
-        let state = controller.records().state(id)?;
-        let (running, done) = controller.records().counts(id);
+        let records = controller.records();
+        let state = records.state(id)?;
+        let (running, done) = records.counts(id);
         let running = if state.is_final() { 0 } else { running };
-        let record = controller.records().jobs.get(id).map(|entry| &entry.record);
+        let record = records.jobs.get(id).map(|entry| &entry.record);
         let delegation = record.and_then(|record| record.delegation.as_ref());
         let runs_elsewhere = delegation.is_some_and(|d| d.state == DelegationState::Running);
-        Some(JobStatus {
-            runs_elsewhere,
+        Some(JobProgress {
             state,
             running,
             done,
+            runs_elsewhere,
         })
     }
 
-    /// A job's status, `None` if it was never accepted. A final state never changes, so memory may
+    /// A job's progress, `None` if it was never accepted. A final state never changes, so memory may
     /// answer; anything else needs records as new as the request.
-    async fn status(&self, id: &str) -> Result<Option<JobStatus>, Unavailable> {
-        let in_memory = self.status_in_memory(id);
-        if in_memory.is_some_and(|status| status.state.is_final()) {
+    async fn progress(&self, id: &str) -> Result<Option<JobProgress>, Unavailable> {
+        let in_memory = self.progress_in_memory(id);
+        if in_memory.is_some_and(|progress| progress.state.is_final()) {
             return Ok(in_memory);
         }
-        if !self.fresh().await {
+        if !self.read_latest_records().await {
             return Err(Unavailable);
         }
-        Ok(self.status_in_memory(id))
+        Ok(self.progress_in_memory(id))
     }
 
     async fn query(&self, id: &str) -> Result<UserReply, Unavailable> {
-        let in_memory = self.status_in_memory(id);
-        let known = in_memory.is_some_and(|status| status.state.is_final());
-        let permit = self.questions.try_acquire();
-        if permit.is_err() && !known {
-            // Told to come back rather than held: more of them would only make all of them later.
+        let in_memory = self.progress_in_memory(id);
+        let is_final = in_memory.is_some_and(|progress| progress.state.is_final());
+        let permit = self.query_permits.try_acquire();
+        if permit.is_err() && !is_final {
+            // Refused rather than held: more of them would only make all of them later.
             return Ok(UserReply::error(503, "too many questions are waiting"));
         }
-        Ok(match self.status(id).await? {
-            Some(status) => {
-                let body = users::full(id, status.word(), status.done, status.running);
-                UserReply::new(200, body)
-            }
-            None => UserReply::error(404, "no such job"),
-        })
+        let Some(progress) = self.progress(id).await? else {
+            return Ok(UserReply::no_such_job());
+        };
+        let JobProgress { done, running, .. } = progress;
+        let body = encode_progress(id, progress.status(), done, running);
+        Ok(UserReply::new(200, body))
     }
 
     async fn cancel(&self, id: &str) -> Result<UserReply, Unavailable> {
         for _ in 0..CANCEL_ATTEMPTS {
-            let Some(status) = self.status(id).await? else {
-                return Ok(UserReply::error(404, "no such job"));
+            let Some(progress) = self.progress(id).await? else {
+                return Ok(UserReply::no_such_job());
             };
-            if status.state.is_final() {
-                return Ok(UserReply::known(id, status));
+            if progress.state.is_final() {
+                return Ok(UserReply::status(id, progress.status()));
             }
             match self.write_cancellation(id).await? {
                 Cancellation::Ended(TransactionOutcome::Committed(_)) => {
-                    return Ok(UserReply::new(200, users::short(id, "withdrawn")));
+                    return Ok(UserReply::status(id, JobStatus::Cancelled));
                 }
-                // The record has changed: look again.
-                Cancellation::Ended(TransactionOutcome::Conflict(_)) => continue,
+                // The record has changed meanwhile: read it again.
+                Cancellation::Ended(TransactionOutcome::Conflict(_)) => {}
                 Cancellation::Ended(_) => return Err(Unavailable),
                 Cancellation::Requested => {
                     let reason = "the cell that has the job is asked to give it up; come back";
@@ -179,8 +185,8 @@
         Err(Unavailable)
     }
 
-    /// Cancelled and done are both written on condition of the record's revision: one of them wins and
-    /// stays.
+    /// Cancels a job on record. Completion and cancellation are both written on condition of the record's
+    /// revision, so that only one of them succeeds.
     pub async fn write_cancellation(&self, id: &str) -> Result<Cancellation, Unavailable> {
         let entry = self.controller().records().jobs.get(id).cloned();
         let entry = entry.ok_or(Unavailable)?;
@@ -189,153 +195,32 @@
             CancelStep::Request(record) => (record, false),
             CancelStep::Await => return Ok(Cancellation::Requested),
         };
-        let key = records::job_key(id);
-        let value = self.cancelled_record(record).ok_or(Unavailable)?;
-        let preconditions = [Precondition::new(key.clone(), entry.rev)];
-        let write = Write {
-            key: key.clone(),
-            value: Some(value.clone()),
+        let key = job_key(id);
+        let value = self.encode_cancelled(record).ok_or(Unavailable)?;
+        let transaction = conditional_write(&key, &value, entry.rev);
+        let outcome = self.store.commit(&transaction, CANCEL_TIMEOUT).await;
+        let TransactionOutcome::Committed(revision) = outcome else {
+            return Ok(Cancellation::Ended(outcome));
         };
-        let outcome = self
-            .store
-            .txn(&preconditions, &[write], None, CANCEL_TIMEOUT)
-            .await;
-        if let TransactionOutcome::Committed(revision) = outcome {
-            // Known here before the user is told: a leader without the state service asks for it.
-            self.apply_own_write(&key, &value, revision);
-            if !confirms {
-                tracing::info!(
-                    "{id} is to be cancelled, once the cell that has it has given it up"
-                );
-                return Ok(Cancellation::Requested);
-            }
-            tracing::info!("{id} is cancelled");
+        // Applied here before the user has the answer: a leader without the state service asks for it.
+        self.apply_own_write(&key, &value, revision);
+        if !confirms {
+            tracing::info!("{id} is to be cancelled, once the cell that has it has given it up");
+            return Ok(Cancellation::Requested);
         }
+        tracing::info!("{id} is cancelled");
         Ok(Cancellation::Ended(outcome))
     }
 
-    fn cancelled_record(&self, mut record: JobRecord) -> Option<String> {
+    fn encode_cancelled(&self, mut record: JobRecord) -> Option<String> {
         let value = serde_json::to_string(&record).ok()?;
         if value.len() <= self.settings.store.max_value_bytes {
             return Some(value);
         }
-        // Stored when the store took more. Its leader only needs to know what its tasks take.
+        // It was written under larger limits. The leader only needs to know what its tasks take.
         record.shorten();
         serde_json::to_string(&record).ok()
     }
-
-    async fn submit(&self, body: &[u8]) -> Result<UserReply, Unavailable> {
-        let value: Value = match serde_json::from_slice(body) {
-            Ok(value) => value,
-            Err(error) => return Ok(UserReply::error(400, format!("not JSON: {error}"))),
-        };
-        let id = match users::id_of(&value) {
-            Ok(id) => id.to_owned(),
-            Err(error) => return Ok(UserReply::error(400, error)),
-        };
-        if self.status_in_memory(&id).is_some() {
-            let status = self.status(&id).await?.ok_or(Unavailable)?;
-            return Ok(UserReply::known(&id, status));
-        }
-        match self.check_submission(&id, &value).await? {
-            Ok(spec) => self.create(&id, spec).await,
-            // A job that was accepted is known for ever, whatever its repetition looks like.
-            Err(refusal) => Ok(match self.status(&id).await? {
-                Some(status) => UserReply::known(&id, status),
-                None => refusal,
-            }),
-        }
-    }
-
-    async fn check_submission(
-        &self,
-        id: &str,
-        body: &Value,
-    ) -> Result<Result<JobSpec, UserReply>, Unavailable> {
-        let spec = match users::submission(body) {
-            Ok(spec) => spec,
-            Err(error) => return Ok(Err(UserReply::error(400, error))),
-        };
-        let catalog = self.controller().catalog().cloned().ok_or(Unavailable)?;
-        if let Err(never) = spec.can_ever_run(&catalog, &self.settings.teams) {
-            return Ok(Err(UserReply::error(422, never)));
-        }
-        if let Some(refusal) = self.check_dependencies(id, &spec).await? {
-            return Ok(Err(refusal));
-        }
-        Ok(Ok(spec))
-    }
-
-    /// Why the jobs that this one waits on cannot be waited on. A name that is not known here is looked
-    /// for in records as new as the request.
-    async fn check_dependencies(
-        &self,
-        id: &str,
-        spec: &JobSpec,
-    ) -> Result<Option<UserReply>, Unavailable> {
-        if self.unknown_dependency(spec).is_some() && !self.fresh().await {
-            return Err(Unavailable);
-        }
-        if let Some(name) = self.unknown_dependency(spec) {
-            let reason = format!("field `waits_on` names {name}, which was never accepted");
-            return Ok(Some(UserReply::error(422, reason)));
-        }
-        let Some(name) = self.service_dependency(spec) else {
-            return Ok(None);
-        };
-        tracing::info!("{id} is refused: {name} is a service");
-        let reason = format!("field `waits_on` names {name}, a service, which is never done");
-        Ok(Some(UserReply::error(422, reason)))
-    }
-
-    fn unknown_dependency(&self, spec: &JobSpec) -> Option<String> {
-        let controller = self.controller();
-        let jobs = &controller.records().jobs;
-        let unknown = spec
-            .dependencies
-            .iter()
-            .find(|name| !jobs.contains_key(*name));
-        unknown.cloned()
-    }
-
-    fn service_dependency(&self, spec: &JobSpec) -> Option<String> {
-        let controller = self.controller();
-        let jobs = &controller.records().jobs;
-        let is_service = |name: &&String| {
-            let spec = jobs.get(*name).and_then(|e| e.record.spec.as_ref());
-            spec.is_some_and(|s| s.kind == JobKind::Service)
-        };
-        spec.dependencies.iter().find(is_service).cloned()
-    }
-
-    async fn create(&self, id: &str, spec: JobSpec) -> Result<UserReply, Unavailable> {
-        let key = records::job_key(id);
-        let record = JobRecord::accepted(self.clock.wall(), Arc::new(spec));
-        let value = serde_json::to_string(&record).map_err(|_| Unavailable)?;
-        if value.len() > self.settings.store.max_value_bytes {
-            return Ok(UserReply::error(400, "the description is too long"));
-        }
-        let preconditions = [Precondition::new(key.clone(), 0)];
-        let write = Write {
-            key,
-            value: Some(value),
-        };
-        match self
-            .store
-            .txn(&preconditions, &[write], None, SUBMIT_TIMEOUT)
-            .await
-        {
-            TransactionOutcome::Committed(_) => {
-                tracing::debug!("{id} is accepted");
-                Ok(UserReply::new(201, users::short(id, "pending")))
-            }
-            TransactionOutcome::Conflict(_) => {
-                let status = self.status(id).await?.ok_or(Unavailable)?;
-                Ok(UserReply::known(id, status))
-            }
-            _ => Err(Unavailable),
-        }
-    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/saltpitch/src/users/submission.rs
@@ -0,0 +1,130 @@
+//! Submissions: checked against the site and the records, then put on record.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use saltpitch_core::job::{JobKind, JobSpec};
+use saltpitch_core::records::{job_key, JobRecord};
+use saltpitch_core::scheduler::TransactionOutcome;
+use serde_json::Value;
+
+use super::{Unavailable, UserReply};
+use crate::node::Node;
+use crate::store::conditional_write;
+use crate::wire::users::{decode_job_id, decode_submission, encode_status, JobStatus};
+
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(2_000);
+
+/// Why a submission is not accepted.
+enum SubmissionError {
+    /// The submission itself cannot be accepted.
+    Refused(UserReply),
+    /// The controller cannot answer now.
+    Unavailable,
+}
+
+impl SubmissionError {
+    fn refused(status: u16, reason: impl std::fmt::Display) -> SubmissionError {
+        SubmissionError::Refused(UserReply::error(status, reason))
+    }
+}
+
+impl From<Unavailable> for SubmissionError {
+    fn from(_: Unavailable) -> SubmissionError {
+        SubmissionError::Unavailable
+    }
+}
+
+impl Node {
+    /// Accepts a job. A submission is idempotent: one of a job that is known is answered with its status.
+    pub(super) async fn submit(&self, body: &[u8]) -> Result<UserReply, Unavailable> {
+        let body: Value = match serde_json::from_slice(body) {
+            Ok(body) => body,
+            Err(error) => return Ok(UserReply::error(400, format!("not JSON: {error}"))),
+        };
+        let id = match decode_job_id(&body) {
+            Ok(id) => id,
+            Err(error) => return Ok(UserReply::error(400, error)),
+        };
+        if self.progress_in_memory(id).is_some() {
+            return self.known_job(id).await;
+        }
+        match self.check_submission(id, &body).await {
+            Ok(spec) => self.create_job(id, spec).await,
+            // A job that was accepted stays accepted, whatever its repetition looks like.
+            Err(SubmissionError::Refused(refusal)) => Ok(match self.progress(id).await? {
+                Some(progress) => UserReply::status(id, progress.status()),
+                None => refusal,
+            }),
+            Err(SubmissionError::Unavailable) => Err(Unavailable),
+        }
+    }
+
+    /// The answer to a submission of a job that is on record.
+    async fn known_job(&self, id: &str) -> Result<UserReply, Unavailable> {
+        let progress = self.progress(id).await?.ok_or(Unavailable)?;
+        Ok(UserReply::status(id, progress.status()))
+    }
+
+    async fn check_submission(&self, id: &str, body: &Value) -> Result<JobSpec, SubmissionError> {
+        let spec = decode_submission(body).map_err(|error| SubmissionError::refused(400, error))?;
+        let catalog = self.controller().catalog().cloned().ok_or(Unavailable)?;
+        spec.can_ever_run(&catalog, &self.settings.teams)
+            .map_err(|never| SubmissionError::refused(422, never))?;
+        self.check_dependencies(id, &spec).await?;
+        Ok(spec)
+    }
+
+    /// Checks that the jobs on which this one depends can complete. One that is not known here is looked
+    /// for in records as new as the request.
+    async fn check_dependencies(&self, id: &str, spec: &JobSpec) -> Result<(), SubmissionError> {
+        if self.unknown_dependency(spec).is_some() && !self.read_latest_records().await {
+            return Err(SubmissionError::Unavailable);
+        }
+        if let Some(name) = self.unknown_dependency(spec) {
+            let reason = format!("field `waits_on` names {name}, which was never accepted");
+            return Err(SubmissionError::refused(422, reason));
+        }
+        if let Some(name) = self.service_dependency(spec) {
+            tracing::info!("{id} is refused: {name} is a service");
+            let reason = format!("field `waits_on` names {name}, a service, which is never done");
+            return Err(SubmissionError::refused(422, reason));
+        }
+        Ok(())
+    }
+
+    fn unknown_dependency(&self, spec: &JobSpec) -> Option<String> {
+        let controller = self.controller();
+        let jobs = &controller.records().jobs;
+        let mut dependencies = spec.dependencies.iter();
+        dependencies.find(|name| !jobs.contains_key(*name)).cloned()
+    }
+
+    fn service_dependency(&self, spec: &JobSpec) -> Option<String> {
+        let controller = self.controller();
+        let jobs = &controller.records().jobs;
+        let is_service = |name: &&String| {
+            let spec = jobs.get(*name).and_then(|entry| entry.record.spec.as_ref());
+            spec.is_some_and(|spec| spec.kind == JobKind::Service)
+        };
+        spec.dependencies.iter().find(is_service).cloned()
+    }
+
+    /// Puts a new job on record.
+    async fn create_job(&self, id: &str, spec: JobSpec) -> Result<UserReply, Unavailable> {
+        let record = JobRecord::accepted(self.clock.wall(), Arc::new(spec));
+        let value = serde_json::to_string(&record).map_err(|_| Unavailable)?;
+        if value.len() > self.settings.store.max_value_bytes {
+            return Ok(UserReply::error(400, "the description is too long"));
+        }
+        let transaction = conditional_write(&job_key(id), &value, 0);
+        match self.store.commit(&transaction, SUBMIT_TIMEOUT).await {
+            TransactionOutcome::Committed(_) => {
+                tracing::debug!("{id} is accepted");
+                Ok(UserReply::new(201, encode_status(id, JobStatus::Pending)))
+            }
+            TransactionOutcome::Conflict(_) => self.known_job(id).await,
+            _ => Err(Unavailable),
+        }
+    }
+}
--- a/crates/saltpitch/src/users/tests.rs
+++ b/crates/saltpitch/src/users/tests.rs
@@ -13,7 +13,7 @@
     let text = include_str!("../../../../docs/example-settings.json");
     let settings = Settings::parse(text).expect("the example is valid");
     let node = Arc::new(Node::new(settings));
-    let limit = node.questions.available_permits();
+    let limit = node.query_permits.available_permits();
     (node, limit)
 }
 
@@ -35,7 +35,7 @@
     }
     // All of them begin; none is answered within this time.
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(node.questions.available_permits(), 0);
+    assert_eq!(node.query_permits.available_permits(), 0);
     let asked_at = Instant::now();
     let reply = node.user_request_here(&question(limit)).await;
     assert_eq!(reply.expect("an answer").status, 503);
@@ -44,5 +44,5 @@
         let reply = task.await.expect("no panic");
         assert!(reply.is_err(), "the state service does not answer");
     }
-    assert_eq!(node.questions.available_permits(), limit);
+    assert_eq!(node.query_permits.available_permits(), limit);
 }
--- a/crates/saltpitch/src/wire/agents.rs
+++ b/crates/saltpitch/src/wire/agents.rs
@@ -1,12 +1,15 @@
-//! Reports and orders.
+//! Messages of the agents: heartbeats and commands.
 
 use saltpitch_core::cluster::{Cause, Command, Heartbeat, TaskState, TaskStatus};
 use serde::{Deserialize, Serialize};
 
-use super::span;
+use super::{span, DecodeError, FieldError};
+
+/// The longest name of a machine in bytes.
+const MAX_MACHINE_NAME: usize = 150;
 
 #[derive(Deserialize)]
-struct RawReport {
+struct RawHeartbeat {
     bollard: String,
     endpoint: String,
     hull_type: String,
@@ -57,41 +60,50 @@
     NoSuch,
 }
 
-/// Reads a report; a malformed one is refused whole.
-pub fn decode_heartbeat(body: &[u8]) -> Result<Heartbeat, String> {
-    let raw: RawReport = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    if raw.bollard.is_empty() || raw.bollard.len() > 150 || raw.bollard.contains([' ', '/']) {
-        return Err("field `bollard` is not a machine's name".to_owned());
+impl From<RawCause> for Cause {
+    fn from(raw: RawCause) -> Cause {
+        match raw {
+            RawCause::Done => Cause::Done,
+            RawCause::Halted => Cause::Stopped,
+            RawCause::Peers => Cause::Peers,
+            RawCause::Incomplete => Cause::Incomplete,
+            RawCause::Error => Cause::Error,
+            RawCause::NoRoom => Cause::NoRoom,
+            RawCause::Busy => Cause::Busy,
+            RawCause::NoSuch => Cause::Unknown,
+        }
     }
-    let mut tasks = Vec::new();
-    for t in raw.legs.unwrap_or_default() {
-        let (job, task) = task_id(&t.leg).ok_or_else(|| format!("no task id: {:?}", t.leg))?;
-        let state = match t.status {
-            RawState::Fetching => TaskState::Fetching,
-            RawState::Waiting => TaskState::Waiting,
-            RawState::Running => TaskState::Running,
-            RawState::Saving => TaskState::Saving,
-            RawState::Exited => TaskState::Exited {
-                cause: match t.cause.ok_or("an exited task has no `cause`")? {
-                    RawCause::Done => Cause::Done,
-                    RawCause::Halted => Cause::Stopped,
-                    RawCause::Peers => Cause::Peers,
-                    RawCause::Incomplete => Cause::Incomplete,
-                    RawCause::Error => Cause::Error,
-                    RawCause::NoRoom => Cause::NoRoom,
-                    RawCause::Busy => Cause::Busy,
-                    RawCause::NoSuch => Cause::Unknown,
-                },
-                saved: t.kept.unwrap_or(false),
-            },
-        };
-        tasks.push(TaskStatus {
-            job,
-            task,
-            attempt: t.launch_no,
-            state,
-        });
+}
+
+#[derive(Serialize)]
+struct RawCommand {
+    order_kind: &'static str,
+    leg: String,
+    launch_no: u32,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    slack_s: Option<f64>,
+}
+
+#[derive(Serialize)]
+struct RawCommands {
+    helm_mark: u64,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    watch: Option<u64>,
+    orders: Vec<RawCommand>,
+}
+
+/// Reads a heartbeat; a malformed one is refused as a whole.
+pub fn decode_heartbeat(body: &[u8]) -> Result<Heartbeat, DecodeError> {
+    let raw: RawHeartbeat = serde_json::from_slice(body)?;
+    if !is_machine_name(&raw.bollard) {
+        return Err(DecodeError::field("bollard", FieldError::NotAMachineName));
     }
+    let tasks: Result<Vec<TaskStatus>, DecodeError> = raw
+        .legs
+        .unwrap_or_default()
+        .into_iter()
+        .map(decode_task)
+        .collect();
     Ok(Heartbeat {
         machine: raw.bollard,
         addr: raw.endpoint,
@@ -102,46 +114,60 @@
         sequence: raw.log_no,
         fencing_token: raw.helm_mark.unwrap_or(0),
         spot_notice: raw.warning_s.and_then(span),
-        tasks,
+        tasks: tasks?,
     })
 }
 
-fn task_id(s: &str) -> Option<(String, u32)> {
-    let (job, task) = s.rsplit_once('/')?;
-    Some((job.to_owned(), task.parse().ok()?))
+fn is_machine_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_MACHINE_NAME && !name.contains([' ', '/'])
 }
 
-#[derive(Serialize)]
-struct RawOrder {
-    order_kind: &'static str,
-    leg: String,
-    launch_no: u32,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    slack_s: Option<f64>,
+fn decode_task(raw: RawTask) -> Result<TaskStatus, DecodeError> {
+    let Some((job, task)) = parse_task_id(&raw.leg) else {
+        return Err(DecodeError::TaskId(raw.leg));
+    };
+    let state = match raw.status {
+        RawState::Fetching => TaskState::Fetching,
+        RawState::Waiting => TaskState::Waiting,
+        RawState::Running => TaskState::Running,
+        RawState::Saving => TaskState::Saving,
+        RawState::Exited => TaskState::Exited {
+            cause: raw.cause.ok_or(DecodeError::ExitWithoutCause)?.into(),
+            saved: raw.kept.unwrap_or(false),
+        },
+    };
+    Ok(TaskStatus {
+        job,
+        task,
+        attempt: raw.launch_no,
+        state,
+    })
 }
 
-#[derive(Serialize)]
-struct RawOrders {
-    helm_mark: u64,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    watch: Option<u64>,
-    orders: Vec<RawOrder>,
+/// Splits a task's id, `JOB/INDEX`.
+fn parse_task_id(id: &str) -> Option<(String, u32)> {
+    let (job, index) = id.rsplit_once('/')?;
+    Some((job.to_owned(), index.parse().ok()?))
 }
 
-/// The body that carries orders: the answer to a report, or, with a session, a direct request.
-pub fn encode_commands(token: u64, agent_epoch: Option<u64>, list: &[Command]) -> Vec<u8> {
-    let orders = list.iter().map(raw).collect();
-    let body = RawOrders {
-        helm_mark: token,
+/// The body that carries commands: the answer to a heartbeat or, with the epoch of the agent that they
+/// are for, a direct request.
+pub fn encode_commands(
+    fencing_token: u64,
+    agent_epoch: Option<u64>,
+    commands: &[Command],
+) -> Vec<u8> {
+    let body = RawCommands {
+        helm_mark: fencing_token,
         watch: agent_epoch,
-        orders,
+        orders: commands.iter().map(raw_command).collect(),
     };
     serde_json::to_vec(&body).unwrap_or_default()
 }
 
-fn raw(o: &Command) -> RawOrder {
-    match o {
-        Command::Start { job, task, attempt } => RawOrder {
+fn raw_command(command: &Command) -> RawCommand {
+    match command {
+        Command::Start { job, task, attempt } => RawCommand {
             order_kind: "launch",
             leg: format!("{job}/{task}"),
             launch_no: *attempt,
@@ -152,13 +178,13 @@
             task,
             attempt,
             grace,
-        } => RawOrder {
+        } => RawCommand {
             order_kind: "kill",
             leg: format!("{job}/{task}"),
             launch_no: *attempt,
             slack_s: Some(grace.as_secs_f64()),
         },
-        Command::Forget { job, task, attempt } => RawOrder {
+        Command::Forget { job, task, attempt } => RawCommand {
             order_kind: "reap",
             leg: format!("{job}/{task}"),
             launch_no: *attempt,
@@ -167,10 +193,10 @@
     }
 }
 
-/// A 421: who handles reports, if that is known.
-pub fn redirect(leader: Option<&str>) -> Vec<u8> {
+/// The answer to a heartbeat that another controller is to have: the leader's name, if it is known.
+pub fn encode_redirect(leader: Option<&str>) -> Vec<u8> {
     match leader {
-        Some(l) => serde_json::json!({ "harbour_master": l }),
+        Some(leader) => serde_json::json!({ "harbour_master": leader }),
         None => serde_json::json!({}),
     }
     .to_string()
@@ -178,33 +204,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn reports_are_read_or_refused_whole() {
-        let good = br#"{"bollard":"vm-1","endpoint":"10.1.0.2:9000","hull_type":"g8","basin":"a",
-            "watch":1,"log_no":8,"helm_mark":4,"warning_s":null,"new":1,
-            "legs":[{"leg":"job-1/3","launch_no":2,"status":"exited","cause":"no_such"}]}"#;
-        let r = decode_heartbeat(good).expect("well formed");
-        assert_eq!(
-            (r.agent_epoch, r.sequence, r.fencing_token, r.spot),
-            (1, 8, 4, false)
-        );
-        assert_eq!(r.tasks[0].task, 3);
-        let text = String::from_utf8_lossy(good);
-        for (from, to) in [
-            ("\"log_no\":8", "\"log_no\":-8"),
-            ("job-1/3", "job-1"),
-            ("exited", "asleep"),
-            (",\"cause\":\"no_such\"", ""),
-            ("vm-1", "vm 1"),
-            ("}", ""),
-        ] {
-            assert!(
-                decode_heartbeat(text.replace(from, to).as_bytes()).is_err(),
-                "{from}"
-            );
-        }
-    }
-}
+mod tests;
--- a/crates/saltpitch/src/wire/cloud.rs
+++ b/crates/saltpitch/src/wire/cloud.rs
@@ -1,18 +1,27 @@
-//! The cloud's words.
+//! Messages of the cloud.
+
+use std::sync::Arc;
 
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
 use saltpitch_core::scheduler::ListedMachine;
 use serde::Deserialize;
 
-use super::{milli, span};
+use super::{milli, span, DecodeError};
+
+/// What a machine type has whose entry does not say: the rate at which images are fetched, in gigabytes
+/// a second, and the time until a machine is ready, in seconds.
+const DEFAULT_FETCH_GB_PER_S: f64 = 0.1;
+const DEFAULT_READY_S: f64 = 60.0;
+/// The status of a machine that will never be ready.
+const FAILED: &str = "failed";
 
 #[derive(Deserialize)]
 struct RawCatalog {
-    hulls_list: Vec<RawType>,
+    hulls_list: Vec<RawMachineType>,
 }
 
 #[derive(Deserialize)]
-struct RawType {
+struct RawMachineType {
     sku: String,
     cpus: f64,
     #[serde(default)]
@@ -30,45 +39,13 @@
     basins: Vec<String>,
 }
 
-/// Reads the catalogue; types that make no sense are left out.
-pub fn catalog(body: &[u8]) -> Result<Catalog, String> {
-    let raw: RawCatalog = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let types = raw
-        .hulls_list
-        .into_iter()
-        .filter_map(|t| {
-            Some(MachineType {
-                size: Resources {
-                    cpu: milli(t.cpus)?,
-                    gpu: milli(t.accelerators.unwrap_or(0.0))?,
-                    mem: milli(t.mem_gb)?,
-                },
-                cache_mb: milli(t.cache_gb.unwrap_or(0.0))?,
-                fetch_mb_per_s: milli(t.fetch_gb_per_s.unwrap_or(0.1))?.max(1),
-                price: milli(t.rate)?,
-                spot_price: milli(t.low_price.unwrap_or(t.rate))?,
-                boot: span(t.ready_s.unwrap_or(60.0))?,
-                zones: t.basins,
-                name: t.sku,
-            })
-        })
-        .collect();
-    Ok(Catalog { types })
-}
-
 #[derive(Deserialize)]
-struct RawRented {
+struct RawScaleOutReply {
     bollards: Vec<String>,
 }
 
-pub fn rented(body: &[u8]) -> Result<Vec<String>, String> {
-    serde_json::from_slice::<RawRented>(body)
-        .map(|r| r.bollards)
-        .map_err(|e| e.to_string())
-}
-
 #[derive(Deserialize)]
-struct RawList {
+struct RawMachinePage {
     bollards: Vec<RawMachine>,
     #[serde(default)]
     has_next: bool,
@@ -89,34 +66,96 @@
     age_s: Option<f64>,
 }
 
-/// One page of the list, and whether there are more.
-pub fn list(body: &[u8]) -> Result<(Vec<ListedMachine>, bool), String> {
-    let raw: RawList = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let items = raw
-        .bollards
-        .into_iter()
-        .map(|m| ListedMachine {
-            failed: m.status == "failed",
-            name: m.name,
-            addr: m.endpoint.unwrap_or_default(),
-            type_name: m.hull_type,
-            zone: m.basin,
-            spot: m.lay_by,
-            age: m.age_s.and_then(span).unwrap_or_default(),
-        })
-        .collect();
-    Ok((items, raw.has_next))
+/// One page of the list of machines.
+pub struct MachinePage {
+    /// The machines, in the order of their names.
+    pub machines: Vec<ListedMachine>,
+    /// Whether machines follow on another page.
+    pub has_next: bool,
+}
+
+/// A request for machines.
+pub struct ScaleOutRequest<'a> {
+    /// Names the request: its repetition has the same outcome.
+    pub id: &'a str,
+    /// The machine type.
+    pub type_name: &'a str,
+    /// The zone.
+    pub zone: &'a str,
+    /// Whether they are spot machines.
+    pub spot: bool,
+    /// How many.
+    pub count: u32,
+}
+
+/// Reads the catalogue; types whose numbers make no sense are left out.
+pub fn decode_catalog(body: &[u8]) -> Result<Catalog, DecodeError> {
+    let raw: RawCatalog = serde_json::from_slice(body)?;
+    let types = raw.hulls_list.into_iter().filter_map(machine_type);
+    Ok(Catalog {
+        types: types.collect(),
+    })
+}
+
+fn machine_type(raw: RawMachineType) -> Option<MachineType> {
+    Some(MachineType {
+        size: Resources {
+            cpu: milli(raw.cpus)?,
+            gpu: milli(raw.accelerators.unwrap_or(0.0))?,
+            mem: milli(raw.mem_gb)?,
+        },
+        cache_mb: milli(raw.cache_gb.unwrap_or(0.0))?,
+        fetch_mb_per_s: milli(raw.fetch_gb_per_s.unwrap_or(DEFAULT_FETCH_GB_PER_S))?.max(1),
+        price: milli(raw.rate)?,
+        spot_price: milli(raw.low_price.unwrap_or(raw.rate))?,
+        boot: span(raw.ready_s.unwrap_or(DEFAULT_READY_S))?,
+        zones: raw.basins,
+        name: raw.sku,
+    })
+}
+
+/// Reads the answer to a request for machines: their names.
+pub fn decode_scale_out_reply(body: &[u8]) -> Result<Vec<String>, DecodeError> {
+    let raw: RawScaleOutReply = serde_json::from_slice(body)?;
+    Ok(raw.bollards)
+}
+
+/// Reads one page of the list of machines.
+pub fn decode_machine_page(body: &[u8]) -> Result<MachinePage, DecodeError> {
+    let raw: RawMachinePage = serde_json::from_slice(body)?;
+    Ok(MachinePage {
+        machines: raw.bollards.into_iter().map(listed_machine).collect(),
+        has_next: raw.has_next,
+    })
+}
+
+fn listed_machine(raw: RawMachine) -> ListedMachine {
+    ListedMachine {
+        failed: raw.status == FAILED,
+        name: raw.name,
+        addr: raw.endpoint.unwrap_or_default(),
+        type_name: raw.hull_type,
+        zone: raw.basin,
+        spot: raw.lay_by,
+        age: raw.age_s.and_then(span).unwrap_or_default(),
+    }
 }
 
-pub fn rent(request: &str, type_name: &str, zone: &str, spot: bool, count: u32) -> Vec<u8> {
-    serde_json::json!({"charter": request, "hull_type": type_name, "basin": zone,
-        "lay_by": spot, "count": count})
-    .to_string()
-    .into_bytes()
+/// The request for machines.
+pub fn encode_scale_out(request: &ScaleOutRequest<'_>) -> Vec<u8> {
+    let body = serde_json::json!({
+        "charter": request.id,
+        "hull_type": request.type_name,
+        "basin": request.zone,
+        "lay_by": request.spot,
+        "count": request.count,
+    });
+    body.to_string().into_bytes()
 }
 
-pub fn give_back(names: &[std::sync::Arc<str>]) -> Vec<u8> {
-    let names: Vec<&str> = names.iter().map(|n| &**n).collect();
+/// The request to return machines.
+pub fn encode_scale_in(names: &[Arc<str>]) -> Vec<u8> {
+    let names: Vec<&str> = names.iter().map(|name| &**name).collect();
     serde_json::json!({ "bollards": names })
         .to_string()
         .into_bytes()
--- a/crates/saltpitch/src/wire/store.rs
+++ b/crates/saltpitch/src/wire/store.rs
@@ -1,10 +1,12 @@
-//! The state service's words.
+//! Messages of the state service.
 
 use saltpitch_core::records::RecordChange;
-use saltpitch_core::scheduler::{Precondition, Write};
+use saltpitch_core::scheduler::{Precondition, Transaction, Write};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
+use super::DecodeError;
+
 #[derive(Deserialize)]
 struct RawPage {
     rows: Vec<RawRow>,
@@ -21,7 +23,7 @@
 }
 
 #[derive(Deserialize)]
-struct RawNews {
+struct RawChanges {
     ledger_no: u64,
     news: Vec<RawChange>,
 }
@@ -38,103 +40,165 @@
 }
 
 #[derive(Deserialize)]
-struct RawTxn {
+struct RawTransactionReply {
     ledger_no: u64,
     #[serde(default)]
     failed: Option<Vec<String>>,
 }
 
 #[derive(Deserialize)]
-struct RawHold {
+struct RawLease {
     mooring: u64,
 }
 
-/// A page of a list: items, whether there are more, and the revision it was read at.
-pub fn page(body: &[u8]) -> Result<(Vec<RecordChange>, bool, u64), String> {
-    let raw: RawPage = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let items = raw
-        .rows
-        .into_iter()
-        .map(|r| RecordChange {
-            key: r.path,
-            value: Some(r.v),
-            revision: r.entry_no,
-        })
-        .collect();
-    Ok((items, raw.has_next, raw.ledger_no))
-}
-
-/// A watch's answer: the changes, and the revision up to which they are complete.
-pub fn news(body: &[u8]) -> Result<(Vec<RecordChange>, u64), String> {
-    let raw: RawNews = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let mut items = Vec::with_capacity(raw.news.len());
-    for c in raw.news {
-        let (key, value) = match (c.write, c.delete) {
-            (Some(k), None) => (k, Some(c.v.ok_or("a write without a value")?)),
-            (None, Some(k)) => (k, None),
-            _ => return Err("a change that is neither write nor delete".to_owned()),
-        };
-        items.push(RecordChange {
-            key,
-            value,
-            revision: c.entry_no,
-        });
-    }
-    Ok((items, raw.ledger_no))
+/// One page of a listing.
+pub struct Page {
+    /// The records, in the order of their keys.
+    pub records: Vec<RecordChange>,
+    /// Whether records follow on another page.
+    pub has_next: bool,
+    /// The revision at which the page was read.
+    pub revision: u64,
+}
+
+/// Changes of records after a revision.
+pub struct Changes {
+    /// The changes, in the order in which they were made.
+    pub changes: Vec<RecordChange>,
+    /// The revision up to which they are complete.
+    pub revision: u64,
+}
+
+/// The answer to a transaction.
+pub struct TransactionReply {
+    /// The revision of a transaction that was committed.
+    pub revision: u64,
+    /// The keys whose preconditions failed.
+    pub failed_keys: Vec<String>,
+}
+
+/// Has a lease delete a key when it ends.
+#[derive(Clone, Copy)]
+pub struct LeaseAttachment<'a> {
+    /// The lease.
+    pub lease: u64,
+    /// The key, which the same transaction writes.
+    pub key: &'a str,
+}
+
+/// Reads one page of a listing.
+pub fn decode_page(body: &[u8]) -> Result<Page, DecodeError> {
+    let raw: RawPage = serde_json::from_slice(body)?;
+    let record = |row: RawRow| RecordChange {
+        key: row.path,
+        value: Some(row.v),
+        revision: row.entry_no,
+    };
+    Ok(Page {
+        records: raw.rows.into_iter().map(record).collect(),
+        has_next: raw.has_next,
+        revision: raw.ledger_no,
+    })
+}
+
+/// Reads the answer to a watch.
+pub fn decode_changes(body: &[u8]) -> Result<Changes, DecodeError> {
+    let raw: RawChanges = serde_json::from_slice(body)?;
+    let changes: Result<Vec<RecordChange>, DecodeError> =
+        raw.news.into_iter().map(decode_change).collect();
+    Ok(Changes {
+        changes: changes?,
+        revision: raw.ledger_no,
+    })
+}
+
+fn decode_change(raw: RawChange) -> Result<RecordChange, DecodeError> {
+    let (key, value) = match (raw.write, raw.delete) {
+        (Some(key), None) => {
+            let value = raw.v.ok_or(DecodeError::WriteWithoutValue)?;
+            (key, Some(value))
+        }
+        (None, Some(key)) => (key, None),
+        _ => return Err(DecodeError::NeitherWriteNorDelete),
+    };
+    Ok(RecordChange {
+        key,
+        value,
+        revision: raw.entry_no,
+    })
 }
 
-/// A transaction's revision, and the keys that failed.
-pub fn txn(body: &[u8]) -> Result<(u64, Vec<String>), String> {
-    let raw: RawTxn = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    Ok((raw.ledger_no, raw.failed.unwrap_or_default()))
+/// Reads the answer to a transaction.
+pub fn decode_transaction_reply(body: &[u8]) -> Result<TransactionReply, DecodeError> {
+    let raw: RawTransactionReply = serde_json::from_slice(body)?;
+    Ok(TransactionReply {
+        revision: raw.ledger_no,
+        failed_keys: raw.failed.unwrap_or_default(),
+    })
 }
 
-pub fn hold(body: &[u8]) -> Result<u64, String> {
-    serde_json::from_slice::<RawHold>(body)
-        .map(|h| h.mooring)
-        .map_err(|e| e.to_string())
+/// Reads the id of a new lease.
+pub fn decode_lease(body: &[u8]) -> Result<u64, DecodeError> {
+    let raw: RawLease = serde_json::from_slice(body)?;
+    Ok(raw.mooring)
 }
 
-pub fn grant_lease(ttl_ms: u64) -> Vec<u8> {
+/// The request for a lease.
+pub fn encode_grant_lease(ttl_ms: u64) -> Vec<u8> {
     serde_json::json!({ "ttl_ms": ttl_ms })
         .to_string()
         .into_bytes()
 }
 
-/// A transaction's body. Values are JSON already; `hold` attaches the writes of `held` to it.
-pub fn transaction(
-    preconditions: &[Precondition],
-    writes: &[Write],
-    hold: Option<(u64, &str)>,
+/// The request for a transaction. It is written by hand since the values are JSON already.
+pub fn encode_transaction(
+    transaction: &Transaction,
+    lease: Option<LeaseAttachment<'_>>,
 ) -> Vec<u8> {
-    let mut s = String::with_capacity(256 + writes.len() * 128);
-    let quoted = |k: &str| serde_json::Value::from(k).to_string();
-    s.push_str("{\"when\":[");
-    for (i, Precondition { key, revision }) in preconditions.iter().enumerate() {
-        if i > 0 {
-            s.push(',');
+    let mut body = String::with_capacity(256 + transaction.writes.len() * 128);
+    body.push_str("{\"when\":[");
+    for (index, precondition) in transaction.preconditions.iter().enumerate() {
+        if index > 0 {
+            body.push(',');
         }
-        s.push_str(&format!(
-            "{{\"path\":{},\"entry_no\":{revision}}}",
-            quoted(key)
-        ));
+        push_precondition(&mut body, precondition);
     }
-    s.push_str("],\"writes\":[");
-    for (i, w) in writes.iter().enumerate() {
-        if i > 0 {
-            s.push(',');
+    body.push_str("],\"writes\":[");
+    for (index, write) in transaction.writes.iter().enumerate() {
+        if index > 0 {
+            body.push(',');
         }
-        match &w.value {
-            Some(v) => {
-                s.push_str(&format!("{{\"write\":{},\"v\":{v}", quoted(&w.key)));
-                if let Some((id, _)) = hold.filter(|h| h.1 == w.key) {
-                    s.push_str(&format!(",\"mooring\":{id}"));
-                }
-                s.push('}');
+        let attached = lease.filter(|attachment| attachment.key == write.key);
+        push_write(
+            &mut body,
+            write,
+            attached.map(|attachment| attachment.lease),
+        );
+    }
+    body.push_str("]}");
+    body.into_bytes()
+}
+
+fn push_precondition(body: &mut String, precondition: &Precondition) {
+    let Precondition { key, revision } = precondition;
+    let key = quoted(key);
+    body.push_str(&format!("{{\"path\":{key},\"entry_no\":{revision}}}"));
+}
+
+fn push_write(body: &mut String, write: &Write, lease: Option<u64>) {
+    let key = quoted(&write.key);
+    match &write.value {
+        Some(value) => {
+            body.push_str(&format!("{{\"write\":{key},\"v\":{value}"));
+            if let Some(lease) = lease {
+                body.push_str(&format!(",\"mooring\":{lease}"));
             }
-            None => s.push_str(&format!("{{\"delete\":{}}}", quoted(&w.key))),
+            body.push('}');
         }
+        None => body.push_str(&format!("{{\"delete\":{key}}}")),
     }
-    s.push_str("]}");
-    s.into_bytes()
+}
+
+fn quoted(text: &str) -> String {
+    serde_json::Value::from(text).to_string()
 }
--- a/crates/saltpitch/src/wire/users.rs
+++ b/crates/saltpitch/src/wire/users.rs
@@ -1,168 +1,230 @@
-//! What users send and are told.
+//! Messages of users, and of other cells in the role of users.
 
-use saltpitch_cells::link::Submission;
+use saltpitch_cells::link::{HostStatus, Submission};
 use saltpitch_core::catalog::Resources;
-use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority, MAX_TASKS};
+use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::Micros;
-use serde_json::{json, Map, Value};
+use serde::Deserialize;
+use serde_json::{json, Value};
 
-use super::{milli, span};
+use self::field::{is_text, Field};
+use super::{DecodeError, FieldError};
+
+mod field;
 
 /// The most ids in `waits_on`: a body of 64 KiB could hold more, a record of the state service not.
-pub const MAX_NEEDS: usize = 1_000;
+pub const MAX_DEPENDENCIES: usize = 1_000;
+
+/// The form of job ids: this prefix and so many digits at the most.
+const JOB_ID_PREFIX: &str = "job-";
+const MAX_JOB_ID_DIGITS: usize = 40;
 
 /// Fields of requests between cells, beyond those of the users' protocol.
 const CLOSING: &str = "closing";
 const UNLESS_BEGUN: &str = "unless_begun";
 
+/// A job's status as users read it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum JobStatus {
+    /// Accepted; no task runs.
+    Pending,
+    /// Tasks run.
+    Running,
+    /// Completed for good.
+    Done,
+    /// Cancelled for good.
+    Cancelled,
+}
+
+impl JobStatus {
+    /// The status of a job in this state with so many running tasks.
+    pub fn new(state: JobState, running: u64) -> JobStatus {
+        match state {
+            JobState::Done => JobStatus::Done,
+            JobState::Cancelled => JobStatus::Cancelled,
+            JobState::Active if running > 0 => JobStatus::Running,
+            JobState::Active => JobStatus::Pending,
+        }
+    }
+
+    /// The word for it in messages.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            JobStatus::Pending => "pending",
+            JobStatus::Running => "running",
+            JobStatus::Done => "done",
+            JobStatus::Cancelled => "withdrawn",
+        }
+    }
+
+    /// Reads the word.
+    pub fn parse(word: &str) -> Option<JobStatus> {
+        let all = [
+            JobStatus::Pending,
+            JobStatus::Running,
+            JobStatus::Done,
+            JobStatus::Cancelled,
+        ];
+        all.into_iter().find(|status| status.as_str() == word)
+    }
+}
+
+impl From<HostStatus> for JobStatus {
+    fn from(status: HostStatus) -> JobStatus {
+        match status {
+            HostStatus::Pending => JobStatus::Pending,
+            HostStatus::Running => JobStatus::Running,
+            HostStatus::Done => JobStatus::Done,
+            HostStatus::Withdrawn => JobStatus::Cancelled,
+        }
+    }
+}
+
+/// A submission as it was sent, apart from its id. Unknown fields are passed over.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+struct RawSubmission {
+    berth: Field<String>,
+    crew: Field<String>,
+    rig: Field<String>,
+    precedence: Field<String>,
+    legs: Field<u64>,
+    cpus: Field<f64>,
+    accelerators: Field<f64>,
+    mem_gb: Field<f64>,
+    hull: Field<String>,
+    image_gb: Field<f64>,
+    hulls_list: Field<Vec<Field<String>>>,
+    basin: Field<String>,
+    together: Field<bool>,
+    spread: Field<bool>,
+    lay_by: Field<bool>,
+    passage_s: Field<f64>,
+    moor_every_s: Field<f64>,
+    tie_up_s: Field<f64>,
+    arrive_by_s: Field<f64>,
+    waits_on: Field<Vec<Field<String>>>,
+}
+
 /// Whether `id` has the form that job ids always have.
 pub fn is_job_id(id: &str) -> bool {
-    id.strip_prefix("job-")
-        .is_some_and(|d| (1..=40).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix(JOB_ID_PREFIX).is_some_and(|number| {
+        (1..=MAX_JOB_ID_DIGITS).contains(&number.len())
+            && number.bytes().all(|byte| byte.is_ascii_digit())
+    })
 }
 
-/// The id in a submission, wherever the rest of it stands.
-pub fn id_of(body: &Value) -> Result<&str, String> {
-    let obj = body.as_object().ok_or("the body is not a JSON object")?;
-    let id = text(obj, "ref")?;
+/// Reads the id in a submission, whose other fields may be wrong.
+pub fn decode_job_id(body: &Value) -> Result<&str, DecodeError> {
+    let object = body.as_object().ok_or(DecodeError::NotAnObject)?;
+    let id = object
+        .get("ref")
+        .and_then(Value::as_str)
+        .filter(|id| is_text(id))
+        .ok_or(DecodeError::field("ref", FieldError::NotText))?;
     if is_job_id(id) {
         Ok(id)
     } else {
-        Err("field `ref` is not a job id".to_owned())
+        Err(DecodeError::field("ref", FieldError::NotAJobId))
     }
 }
 
-/// Reads and checks a submission; the reason names the field.
-pub fn submission(body: &Value) -> Result<JobSpec, String> {
-    let o = body.as_object().ok_or("the body is not a JSON object")?;
-    let kind = match text(o, "rig")? {
-        "sweep" => JobKind::Array,
-        "ensemble" => JobKind::Gang,
-        "service" => JobKind::Service,
-        other => return Err(format!("field `rig` has no value {other:?}")),
-    };
-    let priority = match text(o, "precedence")? {
-        "production" => Priority::Production,
-        "urgent" => Priority::High,
-        "normal" => Priority::Normal,
-        "best_effort" => Priority::Low,
-        other => return Err(format!("field `precedence` has no value {other:?}")),
-    };
-    let tasks = o
-        .get("legs")
-        .and_then(Value::as_u64)
-        .filter(|n| (1..=u64::from(MAX_TASKS)).contains(n))
-        .ok_or("field `legs` must be an integer from 1 to 100000")?;
+/// Reads a submission. The fields are checked in a fixed order; the error names the first wrong one.
+pub fn decode_submission(body: &Value) -> Result<JobSpec, DecodeError> {
+    if !body.is_object() {
+        return Err(DecodeError::NotAnObject);
+    }
+    let raw = RawSubmission::deserialize(body)?;
+    let kind = parse_kind(raw.rig.text("rig")?)?;
+    let priority = parse_priority(raw.precedence.text("precedence")?)?;
+    let tasks = raw.legs.task_count("legs")?;
     let need = Resources {
-        cpu: amount(o, "cpus")?,
-        gpu: amount(o, "accelerators")?,
-        mem: amount(o, "mem_gb")?,
-    };
-    let types = match o.get("hulls_list") {
-        None | Some(Value::Null) => None,
-        Some(Value::Array(list)) if list.len() <= 100 => Some(
-            list.iter()
-                .map(|t| t.as_str().map(str::to_owned))
-                .collect::<Option<Vec<_>>>()
-                .ok_or("field `hulls_list` must hold names")?,
-        ),
-        Some(_) => return Err("field `hulls_list` must be a list or null".to_owned()),
-    };
-    let zone = match o.get("basin") {
-        None | Some(Value::Null) => None,
-        Some(Value::String(s)) => Some(s.clone()),
-        Some(_) => return Err("field `basin` must be a string or null".to_owned()),
-    };
-    let deadline = match o.get("arrive_by_s") {
-        None | Some(Value::Null) => None,
-        Some(_) => Some(seconds(o, "arrive_by_s")?),
-    };
-    let dependencies = match o.get("waits_on") {
-        None | Some(Value::Null) => Vec::new(),
-        Some(Value::Array(list)) if list.len() <= MAX_NEEDS => {
-            let mut names = list
-                .iter()
-                .map(|v| v.as_str().filter(|id| is_job_id(id)).map(str::to_owned))
-                .collect::<Option<Vec<_>>>()
-                .ok_or("field `waits_on` must hold job ids")?;
-            names.sort();
-            names.dedup();
-            names
-        }
-        Some(Value::Array(_)) => {
-            return Err(format!("field `waits_on` holds more than {MAX_NEEDS} ids"));
-        }
-        Some(_) => return Err("field `waits_on` must be a list or null".to_owned()),
+        cpu: raw.cpus.amount("cpus")?,
+        gpu: raw.accelerators.amount("accelerators")?,
+        mem: raw.mem_gb.amount("mem_gb")?,
     };
+    let types = raw.hulls_list.optional_names("hulls_list")?;
+    let zone = raw.basin.optional_string("basin")?;
+    let deadline = raw.arrive_by_s.optional_span("arrive_by_s")?;
+    let dependencies = raw.waits_on.job_ids("waits_on")?;
     Ok(JobSpec {
-        class: text(o, "berth")?.to_owned(),
-        team: text(o, "crew")?.to_owned(),
+        class: raw.berth.text("berth")?,
+        team: raw.crew.text("crew")?,
         kind,
         priority,
-        tasks: tasks as u32,
+        tasks,
         need,
         types,
         zone,
-        one_zone: flag(o, "together")?,
-        spread: flag(o, "spread")?,
-        spot: flag(o, "lay_by")?,
-        image: text(o, "hull")?.to_owned(),
-        image_mb: amount(o, "image_gb")?,
-        estimate: seconds(o, "passage_s")?,
-        checkpoint: seconds(o, "moor_every_s")?,
-        save: seconds(o, "tie_up_s")?,
+        one_zone: raw.together.flag("together")?,
+        spread: raw.spread.flag("spread")?,
+        spot: raw.lay_by.flag("lay_by")?,
+        image: raw.hull.text("hull")?,
+        image_mb: raw.image_gb.amount("image_gb")?,
+        estimate: raw.passage_s.span("passage_s")?,
+        checkpoint: raw.moor_every_s.span("moor_every_s")?,
+        save: raw.tie_up_s.span("tie_up_s")?,
         deadline,
         dependencies,
     })
 }
 
-fn text<'a>(o: &'a Map<String, Value>, name: &str) -> Result<&'a str, String> {
-    o.get(name)
-        .and_then(Value::as_str)
-        .filter(|s| !s.is_empty() && s.len() <= 200)
-        .ok_or_else(|| format!("field `{name}` must be a string of 1 to 200 bytes"))
-}
-
-fn flag(o: &Map<String, Value>, name: &str) -> Result<bool, String> {
-    o.get(name)
-        .and_then(Value::as_bool)
-        .ok_or_else(|| format!("field `{name}` must be true or false"))
+fn parse_kind(word: String) -> Result<JobKind, DecodeError> {
+    match word.as_str() {
+        "sweep" => Ok(JobKind::Array),
+        "ensemble" => Ok(JobKind::Gang),
+        "service" => Ok(JobKind::Service),
+        _ => Err(DecodeError::field("rig", FieldError::UnknownValue(word))),
+    }
 }
 
-fn number(o: &Map<String, Value>, name: &str) -> Result<f64, String> {
-    o.get(name)
-        .and_then(Value::as_f64)
-        .ok_or_else(|| format!("field `{name}` must be a number"))
+fn kind_word(kind: JobKind) -> &'static str {
+    match kind {
+        JobKind::Array => "sweep",
+        JobKind::Gang => "ensemble",
+        JobKind::Service => "service",
+    }
 }
 
-fn amount(o: &Map<String, Value>, name: &str) -> Result<u64, String> {
-    milli(number(o, name)?).ok_or_else(|| format!("field `{name}` is out of range"))
+fn parse_priority(word: String) -> Result<Priority, DecodeError> {
+    match word.as_str() {
+        "production" => Ok(Priority::Production),
+        "urgent" => Ok(Priority::High),
+        "normal" => Ok(Priority::Normal),
+        "best_effort" => Ok(Priority::Low),
+        _ => Err(DecodeError::field(
+            "precedence",
+            FieldError::UnknownValue(word),
+        )),
+    }
 }
 
-fn seconds(o: &Map<String, Value>, name: &str) -> Result<saltpitch_core::Micros, String> {
-    span(number(o, name)?).ok_or_else(|| format!("field `{name}` is out of range"))
+fn priority_word(priority: Priority) -> &'static str {
+    match priority {
+        Priority::Production => "production",
+        Priority::High => "urgent",
+        Priority::Normal => "normal",
+        Priority::Low => "best_effort",
+    }
 }
 
-/// A job's state as users read it.
-pub fn status_word(state: JobState, running: u64) -> &'static str {
-    match state {
-        JobState::Done => "done",
-        JobState::Cancelled => "withdrawn",
-        JobState::Active if running > 0 => "running",
-        JobState::Active => "pending",
-    }
+/// The answer that tells a job's status.
+pub fn encode_status(id: &str, status: JobStatus) -> Value {
+    json!({"ref": id, "status": status.as_str()})
 }
 
-pub fn short(id: &str, word: &str) -> Value {
-    json!({"ref": id, "status": word})
+/// The answer that tells a job's status and how many of its tasks are done and running.
+pub fn encode_progress(id: &str, status: JobStatus, done: u64, running: u64) -> Value {
+    json!({"ref": id, "status": status.as_str(), "done": done, "running": running})
 }
 
-pub fn full(id: &str, word: &str, done: u64, running: u64) -> Value {
-    json!({"ref": id, "status": word, "done": done, "running": running})
+/// The answer that tells why a request is refused.
+pub fn encode_error(reason: &str) -> Value {
+    json!({ "error": reason })
 }
 
-/// A submission to another cell, in the words of the users' protocol.
-pub fn submission_body(submission: &Submission) -> Value {
+/// A submission to another cell, which reads it with [`decode_submission`].
+pub fn encode_submission(submission: &Submission) -> Value {
     let spec = &submission.spec;
     let mut body = json!({
         "ref": submission.id,
@@ -193,44 +255,31 @@
 }
 
 /// Whether a submission only closes a delegation.
-pub fn is_closing(body: &Value) -> bool {
-    body.get(CLOSING).and_then(Value::as_bool).unwrap_or(false)
+pub fn decode_closing(body: &Value) -> bool {
+    is_set(body, CLOSING)
 }
 
-/// The body of an abort at another cell.
-pub fn abort_body(unless_begun: bool) -> Value {
-    match unless_begun {
-        true => json!({ UNLESS_BEGUN: true }),
-        false => json!({}),
+/// The request for a cancellation at another cell.
+pub fn encode_cancellation(unless_begun: bool) -> Value {
+    if unless_begun {
+        json!({ UNLESS_BEGUN: true })
+    } else {
+        json!({})
     }
 }
 
-/// Whether an abort is for a job of which nothing has begun only. A body that cannot be read asks for
-/// nothing special.
-pub fn unless_begun(body: &[u8]) -> bool {
-    let value: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-    let field = value.get(UNLESS_BEGUN);
-    field.and_then(Value::as_bool).unwrap_or(false)
-}
-
-fn kind_word(kind: JobKind) -> &'static str {
-    match kind {
-        JobKind::Array => "sweep",
-        JobKind::Gang => "ensemble",
-        JobKind::Service => "service",
-    }
+/// Whether a cancellation is only for a job of which nothing has begun. A body that cannot be read asks
+/// for nothing special.
+pub fn decode_unless_begun(body: &[u8]) -> bool {
+    let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
+    is_set(&body, UNLESS_BEGUN)
 }
 
-fn priority_word(priority: Priority) -> &'static str {
-    match priority {
-        Priority::Production => "production",
-        Priority::High => "urgent",
-        Priority::Normal => "normal",
-        Priority::Low => "best_effort",
-    }
+fn is_set(body: &Value, flag: &str) -> bool {
+    body.get(flag).and_then(Value::as_bool).unwrap_or(false)
 }
 
-/// Thousandths as the wire writes amounts.
+/// Thousandths as an amount in messages.
 fn units(thousandths: u64) -> f64 {
     thousandths as f64 / 1e3
 }
--- a/crates/saltpitch/src/wire/users/tests.rs
+++ b/crates/saltpitch/src/wire/users/tests.rs
@@ -14,14 +14,14 @@
 const MAY_BE_NULL: [&str; 3] = ["hulls_list", "basin", "arrive_by_s"];
 
 fn refused(body: &Value, field: &str) {
-    let end = id_of(body).and_then(|_| submission(body));
-    let reason = end.expect_err(field);
+    let end = decode_job_id(body).and_then(|_| decode_submission(body));
+    let reason = end.expect_err(field).to_string();
     assert!(reason.contains(field), "{field}: {reason}");
 }
 
 #[test]
 fn a_field_that_is_missing_or_null_is_named() {
-    assert!(submission(&good()).is_ok());
+    assert!(decode_submission(&good()).is_ok());
     let fields: Vec<String> = (good().as_object().expect("object").keys())
         .cloned()
         .collect();
@@ -32,8 +32,8 @@
         let mut null = good();
         null[&field] = Value::Null;
         if MAY_BE_NULL.contains(&&*field) {
-            assert!(submission(&without).is_ok(), "{field}");
-            assert!(submission(&null).is_ok(), "{field}");
+            assert!(decode_submission(&without).is_ok(), "{field}");
+            assert!(decode_submission(&null).is_ok(), "{field}");
         } else {
             refused(&without, &field);
             refused(&null, &field);
@@ -112,9 +112,9 @@
         json!(null),
         json!(true),
     ] {
-        assert!(id_of(&body).is_err() && submission(&body).is_err());
+        assert!(decode_job_id(&body).is_err() && decode_submission(&body).is_err());
     }
-    assert_eq!(id_of(&good()).ok(), Some("job-000412"));
+    assert_eq!(decode_job_id(&good()).ok(), Some("job-000412"));
 }
 
 #[test]
@@ -122,7 +122,7 @@
     let with = |dependencies: Value| {
         let mut body = good();
         body["waits_on"] = dependencies;
-        submission(&body)
+        decode_submission(&body)
     };
     for none in [json!(null), json!([])] {
         assert!(with(none).expect("accepted").dependencies.is_empty());
@@ -143,7 +143,7 @@
         json!([""]),
         json!(["job-000398/0"]),
     ] {
-        let reason = with(bad.clone()).expect_err("refused");
+        let reason = with(bad.clone()).expect_err("refused").to_string();
         assert!(reason.contains("waits_on"), "{bad}: {reason}");
     }
     let many = |n: usize| {
@@ -152,13 +152,13 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        with(json!(many(MAX_NEEDS))).map(|s| s.dependencies.len()),
-        Ok(MAX_NEEDS)
+        with(json!(many(MAX_DEPENDENCIES))).map(|s| s.dependencies.len()),
+        Ok(MAX_DEPENDENCIES)
     );
-    assert!(with(json!(many(MAX_NEEDS + 1))).is_err());
+    assert!(with(json!(many(MAX_DEPENDENCIES + 1))).is_err());
     // The bound lies within what a body may hold.
     let mut body = good();
-    body["waits_on"] = json!(many(MAX_NEEDS));
+    body["waits_on"] = json!(many(MAX_DEPENDENCIES));
     assert!(body.to_string().len() < crate::wire::MAX_BODY);
 }
 
@@ -170,20 +170,142 @@
         for precedence in ["production", "urgent", "normal", "best_effort"] {
             body["rig"] = json!(rig);
             body["precedence"] = json!(precedence);
-            let spec = submission(&body).expect("valid");
+            let spec = decode_submission(&body).expect("valid");
             let sent = Submission {
                 id: "job-000412000001".to_owned(),
                 deadline: spec.deadline,
                 spec: std::sync::Arc::new(spec.clone()),
                 closing: rig == "sweep",
             };
-            let encoded = submission_body(&sent);
-            assert_eq!(id_of(&encoded), Ok("job-000412000001"));
-            assert_eq!(submission(&encoded), Ok(spec));
-            assert_eq!(is_closing(&encoded), sent.closing);
+            let encoded = encode_submission(&sent);
+            assert_eq!(decode_job_id(&encoded), Ok("job-000412000001"));
+            assert_eq!(decode_submission(&encoded), Ok(spec));
+            assert_eq!(decode_closing(&encoded), sent.closing);
         }
     }
-    let abort = |wanted: bool| unless_begun(abort_body(wanted).to_string().as_bytes());
+    let abort =
+        |wanted: bool| decode_unless_begun(encode_cancellation(wanted).to_string().as_bytes());
     assert!(abort(true) && !abort(false));
-    assert!(!unless_begun(b"") && !unless_begun(b"[1]"));
+    assert!(!decode_unless_begun(b"") && !decode_unless_begun(b"[1]"));
+}
+
+/// Values that a field is tried with.
+fn tried_values() -> Vec<Value> {
+    let names = |count: usize| vec!["g8"; count];
+    let ids = |count: usize| -> Vec<String> { (0..count).map(|n| format!("job-{n}")).collect() };
+    let mut values = vec![
+        json!(null),
+        json!(true),
+        json!({"a": 1}),
+        json!([]),
+        json!([[1]]),
+        json!([null]),
+        json!(["g8", 1]),
+        json!(["job-1", "job-"]),
+        json!(names(100)),
+        json!(names(101)),
+        json!(vec![1; 101]),
+        json!(ids(MAX_DEPENDENCIES)),
+        json!(ids(MAX_DEPENDENCIES + 1)),
+        json!(vec![1; MAX_DEPENDENCIES + 1]),
+        json!(""),
+        json!("8"),
+        json!("ensemble"),
+        json!("Urgent"),
+        json!("job-"),
+        json!("job-12x"),
+        json!("job-7"),
+        json!(format!("job-{}", "1".repeat(41))),
+        json!("x".repeat(200)),
+        json!("x".repeat(201)),
+        json!("\u{0}\"quoted\""),
+    ];
+    let integers = [-1, 0, 1, 100_000, 100_001, 1_000_000_000, 1_000_000_001];
+    values.extend(integers.iter().map(|number| json!(number)));
+    let numbers = [-7.25, -0.0, 0.5, 1.0, 8.0, 1e9, 1.000_000_001e9, 1e300];
+    values.extend(numbers.iter().map(|number| json!(number)));
+    values.push(json!(u64::MAX));
+    values.push(json!(i64::MIN));
+    values
+}
+
+/// What becomes of a submission, as one line; of one that is taken, how `field` was read.
+fn outcome(body: &Value, field: Option<&str>) -> String {
+    let spec = match decode_job_id(body).and_then(|_| decode_submission(body)) {
+        Ok(spec) => spec,
+        Err(reason) => return reason.to_string(),
+    };
+    let dependencies = spec.dependencies.len();
+    let read = encode_submission(&Submission {
+        id: decode_job_id(body).expect("read above").to_owned(),
+        deadline: spec.deadline,
+        spec: std::sync::Arc::new(spec),
+        closing: false,
+    });
+    match field {
+        Some("waits_on") => format!("taken with {dependencies} ids"),
+        Some(field) => format!("taken as {}", abridged(&read[field])),
+        None => "taken".to_owned(),
+    }
+}
+
+/// The beginning of a value; the long ones differ in their length.
+fn abridged(value: &Value) -> String {
+    let text = value.to_string();
+    let start: String = text.chars().take(24).collect();
+    format!("{start} ({} bytes)", text.len())
+}
+
+/// What becomes of every field with every value, and of every two fields that are missing or wrong.
+fn outcomes() -> String {
+    let mut fields: Vec<String> = good()
+        .as_object()
+        .expect("object")
+        .keys()
+        .cloned()
+        .collect();
+    fields.push("waits_on".to_owned());
+    let mut lines = Vec::new();
+    for field in &fields {
+        for value in tried_values() {
+            let mut body = good();
+            body[field] = value.clone();
+            lines.push(format!(
+                "{field} = {}: {}",
+                abridged(&value),
+                outcome(&body, Some(field))
+            ));
+        }
+    }
+    for (index, first) in fields.iter().enumerate() {
+        for second in &fields[index + 1..] {
+            let mut without = good();
+            let object = without.as_object_mut().expect("object");
+            object.remove(first);
+            object.remove(second);
+            lines.push(format!(
+                "without {first}, {second}: {}",
+                outcome(&without, None)
+            ));
+            let mut wrong = good();
+            wrong[first] = json!({});
+            wrong[second] = json!({});
+            lines.push(format!(
+                "wrong {first}, {second}: {}",
+                outcome(&wrong, None)
+            ));
+        }
+    }
+    lines.join("\n") + "\n"
+}
+
+/// Users and other programs see these texts: which field is named first, and what is said about it.
+#[test]
+fn every_refusal_has_its_recorded_text() {
+    let recorded = include_str!("outcomes.txt");
+    let present = outcomes();
+    for (recorded, present) in recorded.lines().zip(present.lines()) {
+        assert_eq!(recorded, present);
+    }
+    assert_eq!(recorded.lines().count(), present.lines().count());
 }
