--- a/crates/saltpitch/src/wire/agents/tests.rs
+++ b/crates/saltpitch/src/wire/agents/tests.rs
@@ -28,3 +28,38 @@
         );
     }
 }
+
+#[test]
+fn commands_are_sent_byte_for_byte_as_before() {
+    let commands = [
+        Command::Start {
+            job: "job-1".into(),
+            task: 3,
+            attempt: 2,
+        },
+        Command::Stop {
+            job: "job-1".into(),
+            task: 4,
+            attempt: 1,
+            grace: saltpitch_core::Micros::from_millis(2_500),
+        },
+        Command::Forget {
+            job: "job-2".into(),
+            task: 0,
+            attempt: 1,
+        },
+    ];
+    let orders = r#""orders":[{"order_kind":"launch","leg":"job-1/3","launch_no":2},{"order_kind":"kill","leg":"job-1/4","launch_no":1,"slack_s":2.5},{"order_kind":"reap","leg":"job-2/0","launch_no":1}]"#;
+    let answer = encode_commands(7, None, &commands);
+    assert_eq!(
+        String::from_utf8_lossy(&answer),
+        format!(r#"{{"helm_mark":7,{orders}}}"#)
+    );
+    let request = encode_commands(7, Some(5), &commands);
+    assert_eq!(
+        String::from_utf8_lossy(&request),
+        format!(r#"{{"helm_mark":7,"watch":5,{orders}}}"#)
+    );
+    assert_eq!(encode_redirect(None), b"{}");
+    assert_eq!(encode_redirect(Some("n2")), br#"{"harbour_master":"n2"}"#);
+}
--- a/crates/saltpitch/src/wire/cloud.rs
+++ b/crates/saltpitch/src/wire/cloud.rs
@@ -160,3 +160,6 @@
         .to_string()
         .into_bytes()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/saltpitch/src/wire/store.rs
+++ b/crates/saltpitch/src/wire/store.rs
@@ -202,3 +202,6 @@
 fn quoted(text: &str) -> String {
     serde_json::Value::from(text).to_string()
 }
+
+#[cfg(test)]
+mod tests;
