--- a/crates/saltpitch-core/src/controller/agent_heartbeats.rs
+++ b/crates/saltpitch-core/src/controller/agent_heartbeats.rs
@@ -1,6 +1,6 @@
 //! Agents' heartbeats: answered by the leader, redirected by everybody else.
 
-use crate::cluster::{Command, Heartbeat};
+use crate::agent::{Command, Heartbeat};
 use crate::time::Micros;
 
 use super::{Controller, LossReason, Notice};
--- a/crates/saltpitch-core/src/job.rs
+++ b/crates/saltpitch-core/src/job.rs
@@ -9,6 +9,9 @@
 /// The most tasks one job may have.
 pub const MAX_TASKS: u32 = 100_000;
 
+/// A job's number within the memory of one leader; never stored or sent.
+pub type JobNumber = u32;
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
--- a/crates/saltpitch-core/src/lib.rs
+++ b/crates/saltpitch-core/src/lib.rs
@@ -10,7 +10,8 @@
 //! - [`leader`]: the scheduler: jobs, machines and the loops that compare what is wanted with what is.
 //! - [`records`]: what the state service holds, and a controller's copy of it.
 //! - [`leadership`]: bids for the leadership, and until when a leader may answer agents.
-//! - [`cluster`], [`fleet`]: machines, what they last said, and the index of their free room.
+//! - [`agent`]: heartbeats and commands. [`machine`], [`machine_index`]: machines, what is known of their
+//!   agents, and the index of their free capacity.
 //! - [`job`], [`gang`], [`quota`], [`placement`], [`preemption`], [`catalog`], [`images`], [`policy`]: the
 //!   parts that decisions are made of.
 //! - [`messages`]: what controllers say to each other. [`time`]: microseconds.
@@ -25,8 +26,9 @@
 //! clears its place; the outcome goes on record before the machine is told to forget it. When all tasks are
 //! done, so is the job, and its record shrinks to a few bytes.
 
+#[warn(missing_docs)]
+pub mod agent;
 pub mod catalog;
-pub mod cluster;
 #[warn(missing_docs)]
 pub mod controller;
 pub mod gang;
@@ -35,6 +37,7 @@
 pub mod job;
 #[warn(missing_docs)]
 pub mod leadership;
+pub mod machine;
 pub mod machine_index;
 #[warn(missing_docs)]
 pub mod messages;
--- a/crates/saltpitch-core/src/cluster.rs
+++ b/crates/saltpitch-core/src/machine/mod.rs
@@ -3,80 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+use crate::agent::{TaskState, TaskStatus};
 use crate::catalog::{MachineType, Resources};
+use crate::job::JobNumber;
 use crate::machine_index::{GroupNumber, IndexEntry};
 use crate::time::Micros;
 
-/// A job's number within one leader's memory.
-pub type JobNumber = u32;
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
-    Done,
-    Stopped,
-    /// Another task of the gang is gone.
-    Peers,
-    /// The gang was not complete in time.
-    Incomplete,
-    Error,
-    NoRoom,
-    Busy,
-    Unknown,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TaskState {
-    Fetching,
-    Waiting,
-    Running,
-    Saving,
-    Exited { cause: Cause, saved: bool },
-}
-
-/// One task in an agent's heartbeat.
-#[derive(Clone, Debug, PartialEq)]
-pub struct TaskStatus {
-    pub job: String,
-    pub task: u32,
-    pub attempt: u32,
-    pub state: TaskState,
-}
-
-/// What an agent says of itself, in a heartbeat or in answer to direct commands.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Heartbeat {
-    pub machine: String,
-    pub addr: String,
-    pub type_name: String,
-    pub zone: String,
-    pub spot: bool,
-    pub agent_epoch: u64,
-    pub sequence: u64,
-    pub fencing_token: u64,
-    pub spot_notice: Option<Micros>,
-    pub tasks: Vec<TaskStatus>,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum Command {
-    Start {
-        job: Arc<str>,
-        task: u32,
-        attempt: u32,
-    },
-    Stop {
-        job: Arc<str>,
-        task: u32,
-        attempt: u32,
-        grace: Micros,
-    },
-    Forget {
-        job: Arc<str>,
-        task: u32,
-        attempt: u32,
-    },
-}
-
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachinePhase {
     /// Rented or read from the records, not heard of by this leader.
--- a/crates/saltpitch-core/src/machine_index.rs
+++ b/crates/saltpitch-core/src/machine_index.rs
@@ -7,8 +7,8 @@
 use rustc_hash::FxHashMap;
 
 use crate::catalog::{MachineType, Resources};
-use crate::cluster::Machine;
 use crate::job::Priority;
+use crate::machine::Machine;
 use crate::time::Micros;
 
 pub type GroupNumber = usize;
--- a/crates/saltpitch-core/src/placement.rs
+++ b/crates/saltpitch-core/src/placement.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 
 use crate::catalog::Resources;
-use crate::cluster::Machine;
 use crate::job::JobSpec;
+use crate::machine::Machine;
 
 /// Lower is better. The unit is about a millisecond of delay, money counted alongside.
 pub fn score(spec: &JobSpec, machine: &Machine) -> u64 {
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -7,8 +7,8 @@
 
 use super::{ObservedState, Scheduler};
 use crate::catalog::Resources;
-use crate::cluster::{JobNumber, Machine};
-use crate::job::{JobKind, JobSpec};
+use crate::job::{JobKind, JobNumber, JobSpec};
+use crate::machine::Machine;
 use crate::placement;
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/agent_health.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_health.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::{Effect, ObservedState, Scheduler};
-use crate::cluster::MachinePhase;
+use crate::machine::MachinePhase;
 use crate::time::Micros;
 
 impl Scheduler {
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -4,9 +4,10 @@
 use std::sync::Arc;
 
 use super::{ObservedState, Scheduler};
-use crate::cluster::{Cause, Command, Heartbeat, JobNumber, Machine, MachinePhase, TaskState};
+use crate::agent::{Command, ExitCause, Heartbeat, TaskState};
 use crate::gang::Gang;
-use crate::job::JobKind;
+use crate::job::{JobKind, JobNumber};
+use crate::machine::{Machine, MachinePhase};
 use crate::time::Micros;
 
 /// Why a heartbeat gets no 200.
@@ -361,7 +362,7 @@
         number: JobNumber,
         task: u32,
         machine: &Arc<str>,
-        end: Option<(Cause, bool)>,
+        end: Option<(ExitCause, bool)>,
         now: Micros,
     ) {
         let Some(job) = self.job_table.jobs.get(&number) else {
@@ -374,7 +375,7 @@
         let cause = end.map(|e| e.0);
         let mut retry_after = Micros::ZERO;
         match cause {
-            Some(Cause::Done) => {
+            Some(ExitCause::Done) => {
                 if let Some(at) = started {
                     self.note_run_time(number, now.since(at));
                 }
@@ -388,10 +389,10 @@
                     }
                 }
             }
-            Some(Cause::Error) => {
+            Some(ExitCause::Error) => {
                 retry_after = self.task_failed(number, task, now);
             }
-            Some(Cause::NoRoom | Cause::Busy | Cause::Unknown) => {
+            Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
                 self.task_refused(number, machine, now);
             }
             _ => {}
--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use super::{Allocation, Job, ObservedState, Scheduler, StopRequest};
-use crate::cluster::{JobNumber, Machine};
-use crate::job::{JobKind, JobSpec, JobState};
+use crate::job::{JobKind, JobNumber, JobSpec, JobState};
+use crate::machine::Machine;
 use crate::time::Micros;
 
 /// Where a task goes.
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
@@ -4,9 +4,9 @@
 
 use super::capacity_pools::{find, CapacityPool, ScaleOutTerms, ZoneSpread};
 use crate::catalog::Resources;
-use crate::cluster::{JobNumber, Machine, MachinePhase};
 use crate::gang::Gang;
-use crate::job::{JobKind, Priority};
+use crate::job::{JobKind, JobNumber, Priority};
+use crate::machine::{Machine, MachinePhase};
 use crate::scheduler::Scheduler;
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::catalog::MachineType;
-use crate::cluster::{Machine, MachinePhase};
+use crate::machine::{Machine, MachinePhase};
 use crate::scheduler::Scheduler;
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::capacity_pools::CapacityPool;
-use crate::cluster::Machine;
+use crate::machine::Machine;
 use crate::scheduler::{Effect, Scheduler};
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/cloud_listing.rs
+++ b/crates/saltpitch-core/src/scheduler/cloud_listing.rs
@@ -4,7 +4,7 @@
 
 use super::Scheduler;
 use crate::catalog::MachineType;
-use crate::cluster::{Machine, MachinePhase};
+use crate::machine::{Machine, MachinePhase};
 use crate::time::Micros;
 
 /// One entry of the cloud's list of machines.
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{Effect, ObservedState, Scheduler};
-use crate::cluster::{Command, Heartbeat, TaskState, TaskStatus};
+use crate::agent::{Command, Heartbeat, TaskState, TaskStatus};
 use crate::gang::Gang;
 use crate::job::{JobKind, JobState};
 use crate::time::Micros;
--- a/crates/saltpitch-core/src/scheduler/consolidation.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -4,8 +4,8 @@
 
 use super::{ObservedState, Scheduler};
 use crate::catalog::Resources;
-use crate::cluster::Machine;
 use crate::job::{JobKind, Priority};
+use crate::machine::Machine;
 use crate::time::Micros;
 
 /// Machines of one group looked at in one go, and machines emptied in one go.
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use super::{Job, Scheduler};
-use crate::cluster::{JobNumber, Machine};
-use crate::job::{JobKind, JobSpec, JobState, Priority};
+use crate::job::{JobKind, JobNumber, JobSpec, JobState, Priority};
+use crate::machine::Machine;
 use crate::records::{JobRecord, RecordCache};
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/dependency_gate.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -8,8 +8,7 @@
 use std::sync::Arc;
 
 use super::{Job, Scheduler, FADE};
-use crate::cluster::JobNumber;
-use crate::job::{JobState, Priority};
+use crate::job::{JobNumber, JobState, Priority};
 use crate::records::RecordCache;
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -7,9 +7,8 @@
 use super::queue_order::QueuedJob;
 use super::{Job, Scheduler};
 use crate::catalog::Resources;
-use crate::cluster::JobNumber;
 use crate::gang::{permit, pre_enqueue, Gang, Permit};
-use crate::job::JobKind;
+use crate::job::{JobKind, JobNumber};
 use crate::time::Micros;
 
 /// How long a gang keeps the room that it found while jobs of its team are stuck.
--- a/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
+++ b/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
@@ -3,9 +3,8 @@
 use std::sync::Arc;
 
 use super::{ObservedState, Scheduler};
-use crate::cluster::JobNumber;
 use crate::gang::Gang;
-use crate::job::JobKind;
+use crate::job::{JobKind, JobNumber};
 use crate::time::Micros;
 
 impl Scheduler {
--- a/crates/saltpitch-core/src/scheduler/interface.rs
+++ b/crates/saltpitch-core/src/scheduler/interface.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use crate::cluster::Command;
+use crate::agent::Command;
 use crate::policy::Policy;
 use crate::quota::TeamLimits;
 use crate::time::Micros;
--- a/crates/saltpitch-core/src/scheduler/inventory.rs
+++ b/crates/saltpitch-core/src/scheduler/inventory.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::unreachable_machines::UnreachableMachines;
-use crate::cluster::Machine;
+use crate::machine::Machine;
 use crate::machine_index::MachineIndex;
 use crate::records::ReturnedMachines;
 use crate::time::Micros;
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -7,9 +7,8 @@
 use super::delegation::JobOwner;
 use super::failure_history::FailureHistory;
 use super::{Job, JobTimeline, Scheduler, Task};
-use crate::cluster::JobNumber;
 use crate::gang::Gang;
-use crate::job::{JobKind, JobSpec, JobState};
+use crate::job::{JobKind, JobNumber, JobSpec, JobState};
 use crate::records::{Checkpoint, JobEntry, RecordCache, CHUNK};
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/job_failures.rs
+++ b/crates/saltpitch-core/src/scheduler/job_failures.rs
@@ -9,7 +9,7 @@
 
 use super::failure_history::Failure;
 use super::{Job, Scheduler};
-use crate::cluster::JobNumber;
+use crate::job::JobNumber;
 use crate::time::Micros;
 
 /// Failures of this many jobs speak against the machine.
--- a/crates/saltpitch-core/src/scheduler/job_table/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-use crate::cluster::JobNumber;
+use crate::job::JobNumber;
 use crate::time::Micros;
 
 use classes::ClassTable;
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -37,7 +37,7 @@
 use std::sync::Arc;
 
 use crate::catalog::{Catalog, Resources};
-use crate::cluster::{Machine, MachinePhase};
+use crate::machine::{Machine, MachinePhase};
 use crate::quota::Quota;
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/persistence/commit.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/commit.rs
@@ -5,7 +5,7 @@
 
 use super::transaction::{TransactionBuilder, TransactionContents, TransactionOutcome};
 use super::{Jobs, Persistence, RecordSources};
-use crate::cluster::JobNumber;
+use crate::job::JobNumber;
 use crate::records::RecordCache;
 use crate::scheduler::{Effect, SchedulerConfig};
 use crate::time::Micros;
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
@@ -5,7 +5,7 @@
 
 use super::transaction::{CommittedMachine, WrittenBlock};
 use super::RecordSources;
-use crate::cluster::{Machine, MachinePhase};
+use crate::machine::{Machine, MachinePhase};
 use crate::records::{BlockRecord, MachineRecord, RecordCache, BLOCK};
 use crate::scheduler::SchedulerConfig;
 use crate::time::Micros;
--- a/crates/saltpitch-core/src/scheduler/persistence/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/mod.rs
@@ -26,8 +26,8 @@
 
 use super::leader_clock::LeaderClock;
 use super::{Job, SchedulerConfig};
-use crate::cluster::{JobNumber, Machine};
-use crate::job::JobSpec;
+use crate::job::{JobNumber, JobSpec};
+use crate::machine::Machine;
 use crate::records::{chunk_key, RecordCache};
 use crate::time::Micros;
 use crate::token_bucket::TokenBucket;
--- a/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
@@ -7,7 +7,7 @@
 use super::task_keys::{TaskKey, TaskRange};
 use super::unsaved_tasks::UnsavedTasks;
 use super::Jobs;
-use crate::cluster::JobNumber;
+use crate::job::JobNumber;
 use crate::records::{RecordCache, RecordedSegment};
 use crate::scheduler::SchedulerConfig;
 
--- a/crates/saltpitch-core/src/scheduler/persistence/segments.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/segments.rs
@@ -5,8 +5,8 @@
 use super::task_keys::TaskKey;
 use super::transaction::TransactionBuilder;
 use super::{to_json, Persistence, RecordSources};
-use crate::cluster::JobNumber;
 use crate::gang::Gang;
+use crate::job::JobNumber;
 use crate::records::{job_key, log_key, Entry, LogRecord};
 use crate::scheduler::{Allocation, Job, Task};
 
--- a/crates/saltpitch-core/src/scheduler/persistence/task_keys.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/task_keys.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use crate::cluster::JobNumber;
+use crate::job::JobNumber;
 use crate::records::CHUNK;
 
 /// One task of a job.
--- a/crates/saltpitch-core/src/scheduler/persistence/transaction.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/transaction.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::task_keys::{TaskKey, TaskRange};
-use crate::cluster::JobNumber;
+use crate::job::JobNumber;
 use crate::records::TERM_KEY;
 use crate::scheduler::{Precondition, SchedulerConfig, Transaction, Write};
 
--- a/crates/saltpitch-core/src/scheduler/persistence/unsaved_tasks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/unsaved_tasks.rs
@@ -5,8 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use super::task_keys::TaskKey;
-use crate::cluster::JobNumber;
-use crate::job::{JobKind, JobSpec, Priority};
+use crate::job::{JobKind, JobNumber, JobSpec, Priority};
 use crate::time::Micros;
 
 /// How long an outcome waits so that others of its range share the write. Users expect `done` within
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -4,8 +4,7 @@
 
 use super::allocations::Assignment;
 use super::{preemption::SEARCHES_PER_PASS, Job, Scheduler};
-use crate::cluster::JobNumber;
-use crate::job::{JobKind, Priority};
+use crate::job::{JobKind, JobNumber, Priority};
 use crate::placement;
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/preemption.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption.rs
@@ -4,8 +4,7 @@
 
 use super::queue_order::QueuedJob;
 use super::{Job, ObjectiveTarget, ObservedState, Scheduler};
-use crate::cluster::JobNumber;
-use crate::job::{JobKind, JobSpec, Priority};
+use crate::job::{JobKind, JobNumber, JobSpec, Priority};
 use crate::preemption::{choose, loss, Victim};
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/queue_order.rs
+++ b/crates/saltpitch-core/src/scheduler/queue_order.rs
@@ -7,8 +7,7 @@
 use super::job_table::classes::Class;
 use super::{Job, ObjectiveTarget, Scheduler};
 use crate::catalog::Resources;
-use crate::cluster::JobNumber;
-use crate::job::{JobKind, Priority};
+use crate::job::{JobKind, JobNumber, Priority};
 use crate::time::Micros;
 
 /// For each of these that a job has waited, it counts as half as large.
--- a/crates/saltpitch-core/src/scheduler/record_commits.rs
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -4,8 +4,8 @@
 
 use super::persistence::{CommittedMachine, RecordSources};
 use super::{Alert, Scheduler, TransactionOutcome};
-use crate::cluster::{JobNumber, MachinePhase};
-use crate::job::JobState;
+use crate::job::{JobNumber, JobState};
+use crate::machine::MachinePhase;
 use crate::records::RecordCache;
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/recovery.rs
+++ b/crates/saltpitch-core/src/scheduler/recovery.rs
@@ -15,7 +15,7 @@
 use super::placement_pass::PlacementPass;
 use super::{Scheduler, SchedulerConfig};
 use crate::catalog::{Catalog, MachineType};
-use crate::cluster::{Machine, MachinePhase};
+use crate::machine::{Machine, MachinePhase};
 use crate::quota::Quota;
 use crate::records::RecordCache;
 use crate::time::Micros;
--- a/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use super::Scheduler;
-use crate::cluster::{Machine, MachinePhase};
+use crate::machine::{Machine, MachinePhase};
 use crate::time::Micros;
 
 /// More than one in so many machines out of reach speaks against this leader's links, not the machines.
--- a/crates/saltpitch-core/tests/accelerator_sharing.rs
+++ b/crates/saltpitch-core/tests/accelerator_sharing.rs
@@ -32,9 +32,9 @@
 }
 
 /// Trains for ten seconds, simulates for an hour.
-fn behaviour(job: &str, _: u32, _: &str, ran: u64) -> Option<Cause> {
+fn behaviour(job: &str, _: u32, _: &str, ran: u64) -> Option<ExitCause> {
     let length = if job.starts_with("train") { 10 } else { 3_600 };
-    (ran >= length).then_some(Cause::Done)
+    (ran >= length).then_some(ExitCause::Done)
 }
 
 /// The incident's day: long simulations that can save move in beside a training job. Once that is over
--- a/crates/saltpitch-core/tests/delegation.rs
+++ b/crates/saltpitch-core/tests/delegation.rs
@@ -11,8 +11,8 @@
     Site::new(SchedulerHarness::new(|_| {}, secs(0)), machines)
 }
 
-fn runs_for_long(_: &str, _: u32, _: &str, ran: u64) -> Option<Cause> {
-    (ran >= 3_600).then_some(Cause::Done)
+fn runs_for_long(_: &str, _: u32, _: &str, ran: u64) -> Option<ExitCause> {
+    (ran >= 3_600).then_some(ExitCause::Done)
 }
 
 /// Writes a job's record as somebody else's transaction does.
--- a/crates/saltpitch-core/tests/guests.rs
+++ b/crates/saltpitch-core/tests/guests.rs
@@ -29,9 +29,9 @@
 }
 
 /// The guest's tasks take five minutes, all others ten seconds.
-fn behaviour(job: &str, _: u32, _: &str, ran: u64) -> Option<Cause> {
+fn behaviour(job: &str, _: u32, _: &str, ran: u64) -> Option<ExitCause> {
     let length = if job.starts_with("guest") { 300 } else { 10 };
-    (ran >= length).then_some(Cause::Done)
+    (ran >= length).then_some(ExitCause::Done)
 }
 
 /// A huge array of the guest's holds every machine. Work within a guarantee gets its room at once.
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -9,8 +9,8 @@
 pub use std::collections::BTreeSet;
 pub use std::sync::Arc;
 
+pub use saltpitch_core::agent::{Command, ExitCause, Heartbeat, TaskState, TaskStatus};
 pub use saltpitch_core::catalog::{Catalog, MachineType, Resources};
-pub use saltpitch_core::cluster::{Cause, Command, Heartbeat, TaskState, TaskStatus};
 pub use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 pub use saltpitch_core::policy::Policy;
 pub use saltpitch_core::quota::TeamLimits;
@@ -353,6 +353,6 @@
 }
 
 pub const DONE: TaskState = TaskState::Exited {
-    cause: Cause::Done,
+    cause: ExitCause::Done,
     saved: false,
 };
--- a/crates/saltpitch-core/tests/harness/site.rs
+++ b/crates/saltpitch-core/tests/harness/site.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 /// What a machine does with a task after it has run for so many seconds.
-pub type Behaviour = fn(job: &str, task: u32, machine: &str, ran: u64) -> Option<Cause>;
+pub type Behaviour = fn(job: &str, task: u32, machine: &str, ran: u64) -> Option<ExitCause>;
 
 /// A task on a machine, and for how many seconds it has run.
 struct OnMachine {
@@ -150,7 +150,7 @@
                     if t.seen.state == TaskState::Running {
                         *self.stopped.entry(job.to_string()).or_default() += 1;
                         t.seen.state = TaskState::Exited {
-                            cause: Cause::Stopped,
+                            cause: ExitCause::Stopped,
                             saved: true,
                         };
                     }
--- a/crates/saltpitch-core/tests/job_failures.rs
+++ b/crates/saltpitch-core/tests/job_failures.rs
@@ -23,10 +23,10 @@
 }
 
 /// Everything of `bad` fails after two seconds, everything else is done after ten.
-fn bad_job_fails(job: &str, _task: u32, _machine: &str, ran: u64) -> Option<Cause> {
+fn bad_job_fails(job: &str, _task: u32, _machine: &str, ran: u64) -> Option<ExitCause> {
     match job {
-        "bad" => (ran >= 2).then_some(Cause::Error),
-        _ => (ran >= 10).then_some(Cause::Done),
+        "bad" => (ran >= 2).then_some(ExitCause::Error),
+        _ => (ran >= 10).then_some(ExitCause::Done),
     }
 }
 
@@ -68,7 +68,7 @@
     site.harness.submit("bad", spec(JobKind::Array, 60, 2));
     site.steps(40, bad_job_fails);
     assert!(site.running("bad") <= 1);
-    site.steps(120, |_, _, _, ran| (ran >= 10).then_some(Cause::Done));
+    site.steps(120, |_, _, _, ran| (ran >= 10).then_some(ExitCause::Done));
     assert!(site.harness.scheduler.timeline("bad").is_some(), "it ended");
     assert_eq!(site.harness.scheduler.used_by("red").cpu, 0);
 }
@@ -79,8 +79,8 @@
     let mut site = site();
     site.harness.submit("job", spec(JobKind::Array, 200, 2));
     let index_3_fails = |_: &str, task: u32, _: &str, ran: u64| match task {
-        3 => Some(Cause::Error),
-        _ => (ran >= 10).then_some(Cause::Done),
+        3 => Some(ExitCause::Error),
+        _ => (ran >= 10).then_some(ExitCause::Done),
     };
     site.steps(90, index_3_fails);
     let tries = site.started("job") - 199;
@@ -88,7 +88,7 @@
     let rented = site.harness.rented;
     site.steps(60, index_3_fails);
     assert_eq!(site.harness.rented, rented, "nothing is rented for it");
-    site.steps(90, |_, _, _, ran| (ran >= 10).then_some(Cause::Done));
+    site.steps(90, |_, _, _, ran| (ran >= 10).then_some(ExitCause::Done));
     assert!(site.harness.scheduler.timeline("job").is_some(), "it ended");
 }
 
@@ -101,10 +101,10 @@
         site.steps(60, behaviour);
         site.started("job")
     };
-    let all_work = started(|_, _, _, ran| (ran >= 10).then_some(Cause::Done));
+    let all_work = started(|_, _, _, ran| (ran >= 10).then_some(ExitCause::Done));
     let one_fails = started(|_, task, _, ran| match task {
-        3 => Some(Cause::Error),
-        _ => (ran >= 10).then_some(Cause::Done),
+        3 => Some(ExitCause::Error),
+        _ => (ran >= 10).then_some(ExitCause::Done),
     });
     assert!(
         one_fails * 20 >= all_work * 19,
@@ -151,7 +151,8 @@
         ..spec(JobKind::Service, 6, 2)
     };
     site.harness.submit("bad", urgent);
-    let replicas_fail = |job: &str, _: u32, _: &str, _: u64| (job == "bad").then_some(Cause::Error);
+    let replicas_fail =
+        |job: &str, _: u32, _: &str, _: u64| (job == "bad").then_some(ExitCause::Error);
     site.steps(40, replicas_fail);
     let before = site.stopped.get("long").copied().unwrap_or(0);
     assert!(before > 0, "it had its room made at first");
@@ -165,8 +166,8 @@
 fn a_machine_on_which_several_jobs_fail_goes_back() {
     let mut site = site();
     let one_fails = |_: &str, _: u32, machine: &str, ran: u64| match machine {
-        "vm-00" => Some(Cause::Error),
-        _ => (ran >= 5).then_some(Cause::Done),
+        "vm-00" => Some(ExitCause::Error),
+        _ => (ran >= 5).then_some(ExitCause::Done),
     };
     for job in 0..4 {
         site.harness
@@ -204,6 +205,6 @@
         );
     }
     assert!(site.started("bad") >= 1, "it is tried");
-    site.steps(90, |_, _, _, ran| (ran >= 5).then_some(Cause::Done));
+    site.steps(90, |_, _, _, ran| (ran >= 5).then_some(ExitCause::Done));
     assert!(site.started("bad") > 60, "it goes on once a task completed");
 }
--- a/crates/saltpitch-core/tests/limits.rs
+++ b/crates/saltpitch-core/tests/limits.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use harness::secs;
+use saltpitch_core::agent::Heartbeat;
 use saltpitch_core::catalog::{Catalog, Resources};
-use saltpitch_core::cluster::Heartbeat;
 use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::records::{
     block_key, job_key, BlockRecord, JobRecord, MachineRecord, RecordCache, TermRecord, TERM_KEY,
--- a/crates/saltpitch-testkit/src/agents.rs
+++ b/crates/saltpitch-testkit/src/agents.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use saltpitch_core::cluster::{Cause, Command, Heartbeat, TaskState, TaskStatus};
+use saltpitch_core::agent::{Command, ExitCause, Heartbeat, TaskState, TaskStatus};
 use saltpitch_core::job::{JobKind, JobSpec};
 use saltpitch_core::Micros;
 
@@ -139,10 +139,10 @@
                     };
                     let other = self.tasks.iter().any(|((i, _), h)| *i == id && !h.exited());
                     let (state, run) = match spec_of(job) {
-                        None => (refused(Cause::Unknown), Micros::ZERO),
-                        Some(_) if other => (refused(Cause::Busy), Micros::ZERO),
+                        None => (refused(ExitCause::Unknown), Micros::ZERO),
+                        Some(_) if other => (refused(ExitCause::Busy), Micros::ZERO),
                         Some(s) if !s.need.plus(&self.used(spec_of)).fits(&self.size) => {
-                            (refused(Cause::NoRoom), Micros::ZERO)
+                            (refused(ExitCause::NoRoom), Micros::ZERO)
                         }
                         Some(s) => {
                             let run = match s.kind {
@@ -179,7 +179,7 @@
                         h.until = now.plus(save.unwrap_or_default());
                     } else if h.state != TaskState::Saving || *grace == Micros::ZERO {
                         h.state = TaskState::Exited {
-                            cause: Cause::Stopped,
+                            cause: ExitCause::Stopped,
                             saved: false,
                         };
                     }
--- a/crates/saltpitch-testkit/src/nodes.rs
+++ b/crates/saltpitch-testkit/src/nodes.rs
@@ -1,7 +1,7 @@
 //! A simulated process around one [`Controller`]: it carries the controller's messages to the other
 //! stand-ins. Decisions are the controller's, the same code as in the program.
 
-use saltpitch_core::cluster::Heartbeat;
+use saltpitch_core::agent::Heartbeat;
 use saltpitch_core::controller::{
     Controller, ControllerConfig, HeartbeatAnswer, PeerIdentity, StoreHealth,
 };
--- a/crates/saltpitch-testkit/src/simulation/agents.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -24,7 +24,7 @@
             };
             if job.mistaken && h.state == TaskState::Running {
                 h.state = TaskState::Exited {
-                    cause: Cause::Error,
+                    cause: ExitCause::Error,
                     saved: false,
                 };
                 m.changed = true;
@@ -186,7 +186,8 @@
                     TaskState::Waiting => c.0 += 1,
                     TaskState::Running => c.1 += 1,
                     TaskState::Exited {
-                        cause: Cause::Done, ..
+                        cause: ExitCause::Done,
+                        ..
                     } => c.2 += 1,
                     _ => {}
                 }
@@ -202,7 +203,7 @@
                     }
                     TaskState::Waiting if now.since(h.until) > gang_wait => {
                         h.state = TaskState::Exited {
-                            cause: Cause::Incomplete,
+                            cause: ExitCause::Incomplete,
                             saved: false,
                         };
                     }
@@ -211,7 +212,7 @@
                         if running + done < n && now.plus(h.run).since(h.until) > gang_peer =>
                     {
                         h.state = TaskState::Exited {
-                            cause: Cause::Peers,
+                            cause: ExitCause::Peers,
                             saved: false,
                         };
                     }
@@ -222,7 +223,7 @@
                 for h in self.members(&id) {
                     if h.state == TaskState::Running {
                         h.state = TaskState::Exited {
-                            cause: Cause::Done,
+                            cause: ExitCause::Done,
                             saved: false,
                         };
                     }
@@ -264,14 +265,14 @@
         }
         TaskState::Running if spec.kind == JobKind::Array => {
             h.state = TaskState::Exited {
-                cause: Cause::Done,
+                cause: ExitCause::Done,
                 saved: false,
             };
             true
         }
         TaskState::Saving => {
             h.state = TaskState::Exited {
-                cause: Cause::Stopped,
+                cause: ExitCause::Stopped,
                 saved: true,
             };
             false
--- a/crates/saltpitch-testkit/src/simulation/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -6,8 +6,8 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use saltpitch_core::agent::{Command, ExitCause, Heartbeat, TaskState};
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
-use saltpitch_core::cluster::{Cause, Command, Heartbeat, TaskState};
 use saltpitch_core::controller::{Candidacy, HeartbeatAnswer, LossReason};
 use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::leadership::{ElectionAttempt, LEADERSHIP_LEASE};
--- a/crates/saltpitch-testkit/src/trace.rs
+++ b/crates/saltpitch-testkit/src/trace.rs
@@ -6,7 +6,7 @@
 //! seed agree; so do two versions of the code that behave alike. `examples/trace_hashes.rs` prints the
 //! hashes of whole ranges of seeds.
 
-use saltpitch_core::cluster::Command;
+use saltpitch_core::agent::Command;
 use saltpitch_core::controller::HeartbeatAnswer;
 use saltpitch_core::messages::PeerStatus;
 use saltpitch_core::scheduler::{Effect, Precondition, TransactionOutcome, Write};
--- a/crates/saltpitch/src/leadership.rs
+++ b/crates/saltpitch/src/leadership.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hyper::Method;
-use saltpitch_core::cluster::{Command, Heartbeat};
+use saltpitch_core::agent::{Command, Heartbeat};
 use saltpitch_core::controller::{Candidacy, LossReason};
 use saltpitch_core::leadership::LEADERSHIP_LEASE;
 use saltpitch_core::records::{LEADER_KEY, TERM_KEY};
--- a/crates/saltpitch/src/wire/agents.rs
+++ b/crates/saltpitch/src/wire/agents.rs
@@ -1,6 +1,6 @@
 //! Reports and orders.
 
-use saltpitch_core::cluster::{Cause, Command, Heartbeat, TaskState, TaskStatus};
+use saltpitch_core::agent::{Command, ExitCause, Heartbeat, TaskState, TaskStatus};
 use serde::{Deserialize, Serialize};
 
 use super::span;
@@ -73,14 +73,14 @@
             RawState::Saving => TaskState::Saving,
             RawState::Exited => TaskState::Exited {
                 cause: match t.cause.ok_or("an exited task has no `cause`")? {
-                    RawCause::Done => Cause::Done,
-                    RawCause::Halted => Cause::Stopped,
-                    RawCause::Peers => Cause::Peers,
-                    RawCause::Incomplete => Cause::Incomplete,
-                    RawCause::Error => Cause::Error,
-                    RawCause::NoRoom => Cause::NoRoom,
-                    RawCause::Busy => Cause::Busy,
-                    RawCause::NoSuch => Cause::Unknown,
+                    RawCause::Done => ExitCause::Done,
+                    RawCause::Halted => ExitCause::Stopped,
+                    RawCause::Peers => ExitCause::Peers,
+                    RawCause::Incomplete => ExitCause::Incomplete,
+                    RawCause::Error => ExitCause::Error,
+                    RawCause::NoRoom => ExitCause::NoRoom,
+                    RawCause::Busy => ExitCause::Busy,
+                    RawCause::NoSuch => ExitCause::Unknown,
                 },
                 saved: t.kept.unwrap_or(false),
             },
--- a/crates/saltpitch/tests/end_to_end/site/agents.rs
+++ b/crates/saltpitch/tests/end_to_end/site/agents.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use poem::http::Method;
-use saltpitch_core::cluster::{Cause, Command, TaskState};
+use saltpitch_core::agent::{Command, ExitCause, TaskState};
 use saltpitch_core::job::JobKind;
 use saltpitch_core::Micros;
 use serde_json::{json, Value};
@@ -27,14 +27,14 @@
                 TaskState::Exited { cause, .. } => (
                     "exited",
                     Some(match cause {
-                        Cause::Done => "done",
-                        Cause::Stopped => "halted",
-                        Cause::Peers => "peers",
-                        Cause::Incomplete => "incomplete",
-                        Cause::Error => "error",
-                        Cause::NoRoom => "no_room",
-                        Cause::Busy => "busy",
-                        Cause::Unknown => "no_such",
+                        ExitCause::Done => "done",
+                        ExitCause::Stopped => "halted",
+                        ExitCause::Peers => "peers",
+                        ExitCause::Incomplete => "incomplete",
+                        ExitCause::Error => "error",
+                        ExitCause::NoRoom => "no_room",
+                        ExitCause::Busy => "busy",
+                        ExitCause::Unknown => "no_such",
                     }),
                 ),
             };
@@ -175,7 +175,7 @@
             TaskState::Running if now >= h.until && spec.kind != JobKind::Service => {
                 *completions.entry(id.clone()).or_default() += 1;
                 h.state = TaskState::Exited {
-                    cause: Cause::Done,
+                    cause: ExitCause::Done,
                     saved: false,
                 };
             }
