--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -7,8 +7,9 @@
 use super::preemption::SEARCHES_PER_PASS;
 use super::queue_order::QueuedJob;
 use super::{Job, Scheduler};
-use crate::cluster::{JobNumber, Machine};
+use crate::job::JobNumber;
 use crate::job::{JobKind, JobSpec, Priority};
+use crate::machine::Machine;
 use crate::placement;
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/preemption/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/mod.rs
@@ -5,7 +5,7 @@
 
 use super::queue_order::QueuedJob;
 use super::Scheduler;
-use crate::cluster::JobNumber;
+use crate::job::JobNumber;
 use crate::job::{JobKind, Priority};
 use crate::time::Micros;
 
--- a/crates/saltpitch-core/src/scheduler/preemption/options.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/options.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::VictimTask;
-use crate::cluster::Machine;
 use crate::job::{JobSpec, Priority};
+use crate::machine::Machine;
 use crate::preemption::{choose, loss, Victim};
 use crate::scheduler::queue_order::QueuedJob;
 use crate::scheduler::{Allocation, Job, ObservedState, Scheduler};
--- a/crates/saltpitch/src/effects.rs
+++ b/crates/saltpitch/src/effects.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hyper::Method;
-use saltpitch_core::cluster::{Command, Heartbeat};
+use saltpitch_core::agent::{Command, Heartbeat};
 use saltpitch_core::records::TERM_KEY;
 use saltpitch_core::scheduler::{
     CommandOutcome, Effect, Scheduler, Transaction, TransactionOutcome,
--- a/crates/saltpitch/src/wire/agents.rs
+++ b/crates/saltpitch/src/wire/agents.rs
@@ -1,6 +1,6 @@
 //! Messages of the agents: heartbeats and commands.
 
-use saltpitch_core::cluster::{Cause, Command, Heartbeat, TaskState, TaskStatus};
+use saltpitch_core::agent::{Command, ExitCause, Heartbeat, TaskState, TaskStatus};
 use serde::{Deserialize, Serialize};
 
 use super::{span, DecodeError, FieldError};
@@ -60,17 +60,17 @@
     NoSuch,
 }
 
-impl From<RawCause> for Cause {
-    fn from(raw: RawCause) -> Cause {
+impl From<RawCause> for ExitCause {
+    fn from(raw: RawCause) -> ExitCause {
         match raw {
-            RawCause::Done => Cause::Done,
-            RawCause::Halted => Cause::Stopped,
-            RawCause::Peers => Cause::Peers,
-            RawCause::Incomplete => Cause::Incomplete,
-            RawCause::Error => Cause::Error,
-            RawCause::NoRoom => Cause::NoRoom,
-            RawCause::Busy => Cause::Busy,
-            RawCause::NoSuch => Cause::Unknown,
+            RawCause::Done => ExitCause::Done,
+            RawCause::Halted => ExitCause::Stopped,
+            RawCause::Peers => ExitCause::Peers,
+            RawCause::Incomplete => ExitCause::Incomplete,
+            RawCause::Error => ExitCause::Error,
+            RawCause::NoRoom => ExitCause::NoRoom,
+            RawCause::Busy => ExitCause::Busy,
+            RawCause::NoSuch => ExitCause::Unknown,
         }
     }
 }
