--- a/crates/saltpitch-core/src/scheduler/autoscaler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/mod.rs
@@ -18,6 +18,9 @@
 /// Until the policy has said otherwise.
 const DEFAULT_BATCH_COMPLETION_TARGET: Micros = Micros::from_secs(90);
 
+/// Scale-out requests that may be made at once, in seconds' worth of their rate.
+const SCALE_OUT_BURST_SECONDS: f64 = 2.0;
+
 /// The state of scaling.
 pub(in crate::scheduler) struct Autoscaler {
     pub(in crate::scheduler) requests: Vec<ScaleOutRequest>,
@@ -44,7 +47,11 @@
     pub(in crate::scheduler) fn new(config: &SchedulerConfig, now: Micros) -> Autoscaler {
         Autoscaler {
             requests: Vec::new(),
-            budget: TokenBucket::new(config.scale_out_rate, now),
+            budget: TokenBucket::for_leader(
+                config.scale_out_rate,
+                config.scale_out_rate * SCALE_OUT_BURST_SECONDS,
+                now,
+            ),
             recent_scale_outs: HashMap::new(),
             next_request: 1,
             provisioning_times: ProvisioningTimes::default(),
--- a/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
@@ -91,10 +91,7 @@
 
     /// Asks for what was planned, as far as the cloud's rate goes.
     pub(in crate::scheduler) fn send_scale_outs(&mut self, now: Micros) {
-        let mut calls = self
-            .autoscaler
-            .budget
-            .level(self.config.scale_out_rate * 2.0, now);
+        let mut calls = self.autoscaler.budget.available(now);
         for r in &mut self.autoscaler.requests {
             if r.out || now < r.after {
                 continue;
--- a/crates/saltpitch-core/src/scheduler/persistence/commit.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/commit.rs
@@ -72,13 +72,13 @@
             return Some(Effect::ReloadRecords);
         }
         let config = sources.config;
-        let allowed_writes = self.allowed_writes(config, sources.now)?;
+        let allowed_writes = self.allowed_writes(sources.now)?;
         let max_writes = config.max_transaction_writes.min(allowed_writes as usize);
         let mut builder = TransactionBuilder::new(term_revision, max_writes, config);
         self.compose(&mut builder, sources);
         if builder.write_count() == 0 {
             // Nothing that is due fits: more writes are needed at once than are allowed now.
-            self.next_transaction_at = self.write_budget.ready(allowed_writes + 1.0);
+            self.next_transaction_at = self.write_budget.ready_at(allowed_writes + 1.0);
             return None;
         }
         self.write_budget.spend(builder.write_count() as f64);
@@ -89,9 +89,8 @@
 
     /// How many writes the budget allows. Changes gather while writes are scarce, but what is urgent does
     /// not wait for others: `None` if the transaction has to wait.
-    fn allowed_writes(&mut self, config: &SchedulerConfig, now: Micros) -> Option<f64> {
-        let burst = config.max_transaction_writes as f64;
-        let allowed = self.write_budget.level(burst, now);
+    fn allowed_writes(&mut self, now: Micros) -> Option<f64> {
+        let allowed = self.write_budget.available(now);
         let required = if self.unsaved_tasks.has_urgent(now) {
             URGENT_WRITES
         } else {
@@ -100,7 +99,7 @@
         if allowed >= required {
             return Some(allowed);
         }
-        let ready = self.write_budget.ready(required);
+        let ready = self.write_budget.ready_at(required);
         self.next_transaction_at = ready.max(now.plus(MIN_BUDGET_WAIT));
         None
     }
@@ -183,7 +182,7 @@
         self.rate_limit_refusals.push_back(now);
         self.rate_limit_refusals.retain(|at| *at >= window_start);
         if self.rate_limit_refusals.len() >= REFUSALS_OF_LOWER_LIMIT {
-            self.write_budget.lower(config.next_write_rate);
+            self.write_budget.lower_rate(config.next_write_rate);
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/persistence/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/mod.rs
@@ -111,7 +111,11 @@
             outcome_unknown: false,
             reload_in_flight: false,
             next_transaction_at: Micros::ZERO,
-            write_budget: TokenBucket::new(config.write_rate, now),
+            write_budget: TokenBucket::for_leader(
+                config.write_rate,
+                config.max_transaction_writes as f64,
+                now,
+            ),
             reduced_limits: false,
             rate_limit_refusals: VecDeque::new(),
             log_alerts: PlacementLogAlerts::default(),
--- a/crates/saltpitch/src/cloud.rs
+++ b/crates/saltpitch/src/cloud.rs
@@ -7,8 +7,8 @@
 use hyper::Method;
 use saltpitch_core::catalog::Catalog;
 use saltpitch_core::scheduler::{ListedMachine, ScaleOutOutcome};
+use saltpitch_core::token_bucket::TokenBucket;
 
-use crate::budget::Budget;
 use crate::clock::Clock;
 use crate::http::{CallError, Client, Reply};
 use crate::mutex::lock;
@@ -36,7 +36,7 @@
     http: Arc<Client>,
     addr: SocketAddr,
     clock: Clock,
-    budget: Mutex<Budget>,
+    budget: Mutex<TokenBucket>,
     /// The pause between two pages of the list.
     page_pause: Duration,
 }
@@ -48,14 +48,17 @@
             http,
             addr,
             clock,
-            budget: Mutex::new(Budget::with_burst(rps * CALLS_SHARE, rps * BURST_SECONDS)),
+            budget: Mutex::new(TokenBucket::with_burst(
+                rps * CALLS_SHARE,
+                rps * BURST_SECONDS,
+            )),
             page_pause: Duration::from_secs_f64(1.0 / (rps * LIST_SHARE)),
         }
     }
 
     /// Takes one call from the budget.
     fn try_call(&self) -> bool {
-        lock(&self.budget).take(1.0, self.clock.now())
+        lock(&self.budget).try_spend(1.0, self.clock.now())
     }
 
     async fn get(&self, path: &str, limit: Duration) -> Result<Reply, CallError> {
--- a/crates/saltpitch/src/main.rs
+++ b/crates/saltpitch/src/main.rs
@@ -2,7 +2,6 @@
 
 mod agents;
 mod api;
-mod budget;
 mod cells;
 mod clock;
 mod cloud;
--- a/crates/saltpitch/src/store.rs
+++ b/crates/saltpitch/src/store.rs
@@ -9,9 +9,9 @@
 use hyper::Method;
 use saltpitch_core::records::{RecordChange, PREFIX};
 use saltpitch_core::scheduler::{Precondition, Transaction, TransactionOutcome, Write};
+use saltpitch_core::token_bucket::TokenBucket;
 use saltpitch_core::Micros;
 
-use crate::budget::Budget;
 use crate::clock::Clock;
 use crate::http::{CallError, Client, Reply};
 use crate::mutex::lock;
@@ -73,8 +73,8 @@
 
 /// What this controller may still send.
 struct Budgets {
-    requests: Budget,
-    changes: Budget,
+    requests: TokenBucket,
+    changes: TokenBucket,
 }
 
 /// Refusals of changes for their rate.
@@ -134,8 +134,8 @@
         size: usize,
     ) -> StoreClient {
         let budgets = Budgets {
-            requests: Budget::new(limits.rps),
-            changes: Budget::new(limits.write_rps),
+            requests: TokenBucket::per_second(limits.rps),
+            changes: TokenBucket::per_second(limits.write_rps),
         };
         let client = StoreClient {
             http,
@@ -218,15 +218,17 @@
 
     /// Takes one request from the budget.
     fn try_request(&self) -> bool {
-        lock(&self.budgets).requests.take(1.0, self.clock.now())
+        lock(&self.budgets)
+            .requests
+            .try_spend(1.0, self.clock.now())
     }
 
     /// Takes one request with so many changes from the budgets.
     fn try_changes(&self, changes: usize) -> bool {
         let now = self.clock.now();
         let mut budgets = lock(&self.budgets);
-        budgets.requests.take(1.0, now)
-            && (changes == 0 || budgets.changes.take(changes as f64, now))
+        budgets.requests.try_spend(1.0, now)
+            && (changes == 0 || budgets.changes.try_spend(changes as f64, now))
     }
 
     fn record_health(&self, served: bool) {
