--- a/crates/saltpitch-core/src/placement.rs
+++ b/crates/saltpitch-core/src/placement.rs
@@ -1,8 +1,5 @@
 //! Filter and score: where one task of a job goes on the present snapshot.
 
-use std::collections::HashSet;
-
-use crate::catalog::Resources;
 use crate::cluster::Machine;
 use crate::job::JobSpec;
 
@@ -26,9 +23,3 @@
     };
     fetch + kind + room + gpu
 }
-
-/// Whether a machine type with accelerators is one that waiting or running work with accelerators
-/// fits on: other work may use it meanwhile, but nothing is rented for that.
-pub fn contested(size: &Resources, wanted: &HashSet<Resources>) -> bool {
-    size.gpu > 0 && wanted.iter().any(|w| w.fits(size))
-}
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -9,7 +9,6 @@
 use crate::catalog::Resources;
 use crate::cluster::{JobNumber, Machine};
 use crate::job::{JobKind, JobSpec};
-use crate::placement;
 use crate::time::Micros;
 
 /// Machines of one group looked at in one pass.
@@ -22,7 +21,9 @@
 impl Scheduler {
     /// Whether accelerators that other work needs make this machine type a last resort for `spec`.
     pub(super) fn contested_for(&self, spec: &JobSpec, size: &Resources) -> bool {
-        spec.need.gpu == 0 && placement::contested(size, &self.autoscaler.accelerator_demands)
+        self.autoscaler
+            .accelerator_demand()
+            .is_contested_for(spec, size)
     }
 
     /// Machines whose accelerators others need lend their processors only to tasks that can save
@@ -34,7 +35,7 @@
         now: Micros,
     ) -> bool {
         !self.contested_for(spec, &machine.kind.size)
-            || now.since(machine.wanted_at) < self.keep(machine, now)
+            || now.since(machine.wanted_at) < self.idle_time_limit(machine, now)
     }
 
     /// Whether machines of this size may have a place for such tasks at all: room on them is not even
@@ -70,8 +71,11 @@
     fn sharing_is_over(&self, machine: &Machine, now: Micros) -> bool {
         machine.takes_tasks()
             && !machine.allocations.is_empty()
-            && placement::contested(&machine.kind.size, &self.autoscaler.accelerator_demands)
-            && now.since(machine.wanted_at) > self.keep(machine, now)
+            && self
+                .autoscaler
+                .accelerator_demand()
+                .is_contested(&machine.kind.size)
+            && now.since(machine.wanted_at) > self.idle_time_limit(machine, now)
             && machine
                 .allocations
                 .iter()
--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -5,7 +5,7 @@
 
 use super::{Allocation, Job, ObservedState, Scheduler, StopRequest};
 use crate::cluster::{JobNumber, Machine};
-use crate::job::{JobKind, JobSpec, JobState};
+use crate::job::{JobKind, JobState};
 use crate::time::Micros;
 
 /// Where a task goes.
@@ -59,9 +59,8 @@
             machine.agent_epoch = machine.agent_epoch.max(agent_epoch);
             self.dispatch.awaiting_effect.insert(name.clone());
         }
-        if job.spec.kind == JobKind::Array {
-            self.autoscaler.batch_placed += batch_seconds(&job.spec);
-        } else {
+        self.autoscaler.task_placed(&job.spec);
+        if job.spec.kind != JobKind::Array {
             machine.steady_cpu += job.spec.need.cpu;
         }
         self.quota.add(job.team, &job.spec.need);
@@ -87,9 +86,7 @@
             return;
         };
         self.quota.remove(job.team, &job.spec.need);
-        if job.spec.kind == JobKind::Array {
-            self.autoscaler.batch_placed -= batch_seconds(&job.spec);
-        }
+        self.autoscaler.task_released(&job.spec);
         if let Some(machine) = machine {
             remove_from_machine(machine, number, task, job, now);
             if machine.allocations.is_empty() {
@@ -185,8 +182,3 @@
         machine.wanted_at = now;
     }
 }
-
-/// Processor-seconds of one task by its owner's estimate.
-fn batch_seconds(spec: &JobSpec) -> f64 {
-    spec.need.cpu as f64 / 1e3 * spec.estimate.as_secs_f64()
-}
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
@@ -1,362 +1,187 @@
-//! Machines against need: what to rent and what to return.
+//! The plan of one pass: which pending capacity the waiting jobs take, and which machines are to be rented
+//! beside it.
 
+use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::capacity_pools::{find, CapacityPool, ScaleOutTerms, ZoneSpread};
-use crate::catalog::Resources;
-use crate::cluster::{JobNumber, Machine, MachinePhase};
-use crate::gang::Gang;
-use crate::job::{JobKind, Priority};
-use crate::scheduler::Scheduler;
+use super::accelerator_demand::AcceleratorDemand;
+use super::capacity_pools::{CapacityPool, ZoneSpread};
+use super::pool_key::MachinePoolKey;
+use super::Autoscaler;
+use crate::catalog::{Catalog, Resources};
+use crate::cluster::Machine;
+use crate::job::JobSpec;
+use crate::scheduler::Job;
 use crate::time::Micros;
 
-/// The most tasks of one job that are planned for at a time, beyond one for each machine of the site: a
-/// job of 100,000 tasks must not hold up everything else. So one job can make a site grow to any size, by
-/// this much in each pass.
-const RESERVED_BEYOND_MACHINES: u64 = 400;
+/// Machines of one pool that may be on their way in a zone where nothing boots, to see whether it does
+/// again.
+const STALLED_ZONE_PROBES: u32 = 2;
+/// A machine is urgent for a job only if at least this many boot times are left: later it is too late.
+const MIN_URGENT_BOOTS: f64 = 0.5;
+/// Beyond the boot time, a machine becomes urgent for a job with this much time left: sooner, there is
+/// still hope for cheaper capacity.
+const URGENT_MARGIN: Micros = Micros::from_secs(25);
+/// Prices are compared in this fraction of their unit.
+const PRICE_PRECISION: u64 = 1_000;
 
-/// Until the next pass has placed tasks on a machine that has come up.
-const JUST_UP: Micros = Micros::from_secs(1);
-/// Room kept warm, as a part of what is expected: arrivals come in clusters.
-const WARM: f64 = 1.5;
+/// On what terms machines are rented for a job.
+pub(in crate::scheduler) struct ScaleOutTerms {
+    /// Spot machines may be rented.
+    pub(in crate::scheduler) may_use_spot: bool,
+    /// Machines that cost more than this many times the cheapest are rented for urgent work only.
+    pub(in crate::scheduler) max_price_ratio: f64,
+    /// Time left until the job has to start; `None` if that is late already or was never said.
+    pub(in crate::scheduler) slack: Option<Micros>,
+    /// The job's place in the order of service.
+    pub(in crate::scheduler) position: usize,
+}
 
-impl Scheduler {
-    /// Rents what the waiting tasks need beyond what is on its way; returns what stands idle.
-    pub(in crate::scheduler) fn plan_capacity(&mut self, now: Micros) {
-        // What was planned and not asked for yet is planned anew.
-        self.autoscaler.requests.retain(|r| r.sent);
-        if self.too_many_unreachable(now) {
-            self.scale_in_idle(now);
-            return self.send_scale_outs(now);
-        }
-        let mut pools = self.pools(now);
-        let room: u64 = (self.inventory.index.groups.iter())
-            .filter(|g| {
-                !crate::placement::contested(&g.kind.size, &self.autoscaler.accelerator_demands)
-            })
-            .map(|g| g.batch)
-            .sum();
-        // What is running has half of its time left on average.
-        let mut work = (self.autoscaler.batch_placed.max(0.0) / 2.0) as u64 * 1_000;
-        let mut claimed: Vec<Resources> =
-            (0..self.quota.len()).map(|t| self.quota.used(t)).collect();
-        for (at, w) in self.queued_jobs(now).into_iter().enumerate() {
-            let Some(job) = self.job_table.jobs.get(&w.number) else {
-                continue;
-            };
-            if matches!(job.gang, Gang::Committing | Gang::Allowed) {
-                continue;
-            }
-            if job.guest.as_ref().is_some_and(|guest| !guest.may_rent) {
-                continue;
-            }
-            let spec = job.spec.clone();
-            let job_team = job.team;
-            let (Some(team), Some(used)) = (self.quota.team(job_team), claimed.get(job_team))
-            else {
-                continue;
-            };
-            let idle = job.idle_in_good_standing();
-            if spec.kind == JobKind::Gang && idle < job.idle.len() as u64 {
-                continue;
-            }
-            let mut want = team.more(used, &spec.need).min(idle);
-            // A gang at the barrier found the team's limit free for all of it. What is served before it
-            // and finds no machine must not keep the machines for its last tasks from being rented.
-            let gangs_at_barrier = matches!(job.gang, Gang::Holding { .. }) && job.placed > 0;
-            if gangs_at_barrier && self.quota.more(job_team, &spec.need) >= idle {
-                want = idle;
-            }
-            if want == 0 || (spec.kind == JobKind::Gang && want < idle) {
-                continue;
-            }
-            if spec.kind == JobKind::Array {
-                // All that is left of it, though no more at a time than its team's limit allows.
-                want = want.min(self.unserved(w.number, idle, w.slack, room, &mut work));
-            }
-            if want == 0 {
-                continue;
-            }
-            // Only what is to run at a time counts against the team's limit.
-            if let Some(claimed) = claimed.get_mut(job_team) {
-                *claimed = claimed.plus(&spec.need.times(want));
-            }
-            let terms = ScaleOutTerms {
-                spot: self.spot_wanted(&spec),
-                dear: if spec.kind == JobKind::Array {
-                    self.dear_ratio(&spec)
-                } else {
-                    f64::INFINITY
-                },
-                slack: w.slack,
-                at,
-            };
-            let most = self.inventory.machines.len() as u64 + RESERVED_BEYOND_MACHINES;
-            self.reserve_capacity(w.number, &terms, want.min(most), &mut pools);
-        }
-        self.plan_scale_out(&pools, now);
-        self.scale_in_idle(now);
-        self.send_scale_outs(now);
+impl ScaleOutTerms {
+    /// Whether a machine that is rented now comes just in time.
+    fn is_urgent(&self, boot: Micros) -> bool {
+        self.slack.is_some_and(|slack| {
+            slack > boot.times(MIN_URGENT_BOOTS) && slack < boot.plus(URGENT_MARGIN)
+        })
     }
+}
+
+/// The pending capacity of all pools, and the machines to be rented.
+pub(in crate::scheduler) struct CapacityPlan {
+    pools: Vec<CapacityPool>,
+}
 
-    /// Every type, zone and kind on offer, with the machines that are booting or being rented as
-    /// empty room.
-    fn pools(&mut self, now: Micros) -> Vec<CapacityPool> {
-        let waiting = self
-            .job_table
-            .unplaced()
-            .iter()
-            .filter_map(|number| self.job_table.jobs.get(number));
-        let smallest_need = waiting.map(|job| job.spec.need.cpu).min().unwrap_or(0);
-        self.steps += self.job_table.unplaced().len() as u64;
+impl CapacityPlan {
+    /// Every pool on offer, without pending machines.
+    fn new(catalog: &Catalog, smallest_need_cpu: u64) -> CapacityPlan {
         let mut pools = Vec::new();
-        for t in &self.catalog.types {
-            let kind = Arc::new(t.clone());
-            for zone in &t.zones {
+        for kind in &catalog.types {
+            let kind = Arc::new(kind.clone());
+            for zone in &kind.zones {
                 for spot in [true, false] {
-                    let key = (t.name.clone(), zone.clone(), spot);
-                    pools.push(CapacityPool {
-                        kind: kind.clone(),
-                        zone: zone.as_str().into(),
-                        spot,
-                        bins: Vec::new(),
-                        first: 0,
-                        smallest_need,
-                        new: 0,
-                        wanted_by: usize::MAX,
-                        production: false,
-                        refused: self
-                            .autoscaler
-                            .refusals
-                            .get(&key)
-                            .is_some_and(|r| r.until > now),
-                        stalled: false,
-                        max_new: u32::MAX,
-                    });
-                }
-            }
-        }
-        self.steps += (self.inventory.provisioning.len() + self.inventory.idle.len()) as u64;
-        let coming = self
-            .inventory
-            .provisioning
-            .iter()
-            .filter_map(|n| self.inventory.machines.get(n));
-        let empty = self
-            .inventory
-            .idle
-            .iter()
-            .filter_map(|n| self.inventory.machines.get(n));
-        // Found by a test: what had just come up was neither on its way nor in use yet, and was ordered
-        // once more.
-        let fresh =
-            empty.filter(|machine| machine.takes_tasks() && now.since(machine.up_since) < JUST_UP);
-        for machine in coming.chain(fresh) {
-            let boots =
-                machine.phase == MachinePhase::Unregistered && !self.is_overdue(machine, now);
-            if machine.allocations.is_empty() && (boots || machine.phase == MachinePhase::Up) {
-                if let Some(p) = find(&mut pools, &machine.kind.name, &machine.zone, machine.spot) {
-                    p.bins.push(machine.free());
+                    let pool = CapacityPool::new(kind.clone(), zone, spot, smallest_need_cpu);
+                    pools.push(pool);
                 }
             }
         }
-        for r in &self.autoscaler.requests {
-            if let Some(p) = find(&mut pools, &r.type_name, &r.zone, r.spot) {
-                let size = p.kind.size;
-                p.bins.extend(std::iter::repeat_n(size, r.count as usize));
-            }
-        }
-        let stalled = self.stalled_zones(now);
-        for p in &mut pools {
-            p.stalled = stalled.contains(&p.zone);
-            p.max_new = Scheduler::order_limit(p.stalled, p.bins.len());
-            if p.stalled {
-                p.bins.clear();
-            }
-        }
-        pools
+        CapacityPlan { pools }
     }
 
-    /// How many of `want` tasks the machines already there won't get to in time, with `work` to be
-    /// done before them on `room` processors.
-    fn unserved(
-        &self,
-        number: JobNumber,
-        want: u64,
-        slack: Option<Micros>,
-        room: u64,
-        work: &mut u64,
-    ) -> u64 {
-        let Some(job) = self.job_table.jobs.get(&number) else {
-            return 0;
-        };
-        let drain = self.autoscaler.batch_completion_target;
-        let time = slack.map_or(drain.times(3.0), |s| {
-            s.max(drain.times(0.5)).min(drain.times(3.0))
+    /// The pools with their new machines.
+    pub(super) fn pools(&self) -> &[CapacityPool] {
+        &self.pools
+    }
+
+    fn add_pending(&mut self, key: &MachinePoolKey, free: Resources, count: usize) {
+        let pool = self.pools.iter_mut().find(|pool| {
+            pool.kind.name == key.type_name && *pool.zone == *key.zone && pool.spot == key.spot
         });
-        let each = (job.spec.need.cpu * self.estimate(job).0 / 1_000_000).max(1);
-        let can = (room * time.0 / 1_000_000).saturating_sub(*work);
-        *work += want * each;
-        let left = want - (can / each).min(want);
-        // A machine that comes takes one task after the other until then.
-        let boot = self.catalog.types.iter().map(|t| t.boot).min();
-        let turns = time.since(boot.unwrap_or_default()).0 / self.estimate(job).times(1.2).0;
-        left.div_ceil(turns.max(1))
+        if let Some(pool) = pool {
+            pool.add_pending(free, count);
+        }
     }
 
-    /// Puts `want` tasks into the room to come, adding machines to rent where that is short.
-    fn reserve_capacity(
-        &self,
-        number: JobNumber,
+    /// Gives `want` tasks of a job pending capacity, and adds machines to be rented where that is short.
+    /// `machines_by_zone` are the machines that there are already.
+    pub(in crate::scheduler) fn reserve(
+        &mut self,
+        job: &Job,
         terms: &ScaleOutTerms,
         want: u64,
-        pools: &mut [CapacityPool],
+        accelerators: &AcceleratorDemand,
+        machines_by_zone: &HashMap<Arc<str>, usize>,
     ) {
-        let Some(job) = self.job_table.jobs.get(&number) else {
-            return;
-        };
         let spec = &job.spec;
-        let one = spec.one_zone;
-        let mut zones = ZoneSpread {
-            counts: (job.zones.iter())
-                .map(|(z, n)| (z.clone(), u64::from(*n)))
-                .collect(),
-            fixed: job.zones.keys().next().filter(|_| one).cloned(),
-            one,
-            cap: u64::from(spec.per_zone()),
-        };
-        let mut left = want;
-        let suits = |p: &CapacityPool| {
-            spec.need.fits(&p.kind.size)
-                && (terms.spot || !p.spot)
-                && spec.allows(&p.kind.name, &p.zone, p.spot)
-                && !self.contested_for(spec, &p.kind.size)
-        };
-        for p in pools.iter_mut().filter(|p| suits(p)) {
-            let n = left.min(zones.room(&p.zone));
-            if n > 0 {
-                let taken = p.take(&spec.need, n);
-                if taken > 0 {
-                    zones.add(&p.zone, taken);
-                    left -= taken;
-                }
-            }
-        }
-        let price = |p: &CapacityPool| {
-            let per = spec.need.count_in(&p.kind.size).max(1);
-            p.kind.price_of(p.spot) as f64 / per as f64
-        };
-        let cheapest = (pools.iter().filter(|p| suits(p)).map(price)).fold(f64::INFINITY, f64::min);
-        // The machine that holds a task of this job for the least money, of those that the cloud has
-        // not just refused; between equals, the zone with less of it.
+        let mut suitable: Vec<&mut CapacityPool> = self
+            .pools
+            .iter_mut()
+            .filter(|pool| {
+                pool.suits(spec, terms.may_use_spot)
+                    && !accelerators.is_contested_for(spec, &pool.kind.size)
+            })
+            .collect();
+        let mut zones = ZoneSpread::new(spec, &job.zones);
+        let mut left = want - reserve_pending(&mut suitable, spec, want, &mut zones);
+        let prices = suitable.iter().map(|pool| pool.price_per_task(&spec.need));
+        let cheapest = prices.fold(f64::INFINITY, f64::min);
+        let max_price = cheapest * terms.max_price_ratio;
         while left > 0 {
-            let there = |p: &CapacityPool| {
-                self.inventory
-                    .index
-                    .by_zone
-                    .get(&p.zone)
-                    .copied()
-                    .unwrap_or(0)
-                    + p.new as usize
+            let is_allowed = |pool: &CapacityPool| {
+                pool.may_grow()
+                    && zones.allowance(&pool.zone) > 0
+                    && (pool.price_per_task(&spec.need) <= max_price
+                        || terms.is_urgent(pool.kind.boot))
             };
-            let best = (pools.iter_mut())
-                .filter(|p| suits(p) && !p.refused && p.new < p.max_new && zones.room(&p.zone) > 0)
-                .filter(|p| price(p) <= cheapest * terms.dear || terms.pressing(p.kind.boot))
-                .min_by_key(|p| {
-                    let per = spec.need.count_in(&p.kind.size).min(left).max(1);
-                    (p.kind.price_of(p.spot) * 1_000 / per, there(p))
-                });
-            let Some(p) = best else { return };
-            p.wanted_by = p.wanted_by.min(terms.at);
-            p.production |= spec.priority == Priority::Production;
-            p.new += 1;
-            if p.stalled {
+            let candidates = suitable.iter_mut().filter(|pool| is_allowed(pool));
+            // The machine that holds a task of this job for the least money; between equals, the zone
+            // with fewer machines.
+            let best = candidates.min_by_key(|pool| {
+                let tasks = spec.need.count_in(&pool.kind.size).min(left).max(1);
+                let price = pool.price() * PRICE_PRECISION / tasks;
+                let in_zone = machines_by_zone.get(&pool.zone).copied().unwrap_or(0);
+                (price, in_zone + pool.new_machines() as usize)
+            });
+            let Some(pool) = best else { return };
+            pool.want_machine(terms.position, spec.priority);
+            if pool.is_stalled() {
                 continue;
             }
-            let n = spec
-                .need
-                .count_in(&p.kind.size)
-                .min(left)
-                .min(zones.room(&p.zone));
-            p.bins.push(p.kind.size.minus(&spec.need.times(n)));
-            zones.add(&p.zone, n);
-            left -= n;
+            let tasks = spec.need.count_in(&pool.kind.size);
+            let tasks = tasks.min(left).min(zones.allowance(&pool.zone));
+            pool.add_new_machine(&spec.need, tasks);
+            zones.add(&pool.zone, tasks);
+            left -= tasks;
         }
     }
+}
 
-    /// Processors of ordinary machines beyond what production is expected to ask for before a
-    /// machine could boot. Batch work there makes way for it.
-    pub(in crate::scheduler) fn spare_above_warm_pool(&self, now: Micros) -> u64 {
-        let boot = self.catalog.types.iter().map(|t| t.boot).max();
-        let rate = self.faded_demand(now) / crate::scheduler::FADE.as_secs_f64();
-        let keep = rate * boot.unwrap_or_default().as_secs_f64() * WARM;
-        let there: u64 = (self.inventory.index.groups.iter())
-            .filter(|g| {
-                !g.spot
-                    && !crate::placement::contested(
-                        &g.kind.size,
-                        &self.autoscaler.accelerator_demands,
-                    )
-            })
-            .map(|g| g.batch)
-            .sum();
-        there.saturating_sub(keep as u64)
-    }
-
-    /// How long an empty machine is kept: what the policy says; and while work with accelerators
-    /// keeps coming, a machine for it as long again as its images would take to have elsewhere.
-    pub(in crate::scheduler) fn keep(&self, machine: &Machine, now: Micros) -> Micros {
-        let keep = self.inventory.index.groups[machine.group].keep;
-        let comes = machine.kind.size.gpu > 0
-            && now.since(self.autoscaler.accelerators_requested_at) < keep;
-        keep.plus(if comes {
-            machine.image_worth()
-        } else {
-            Micros::ZERO
-        })
+/// Takes pending capacity for up to `want` tasks; returns for how many.
+fn reserve_pending(
+    pools: &mut [&mut CapacityPool],
+    spec: &JobSpec,
+    want: u64,
+    zones: &mut ZoneSpread,
+) -> u64 {
+    let mut left = want;
+    for pool in pools {
+        let allowed = left.min(zones.allowance(&pool.zone));
+        let taken = pool.take(&spec.need, allowed);
+        if taken > 0 {
+            zones.add(&pool.zone, taken);
+            left -= taken;
+        }
     }
+    want - left
+}
 
-    fn scale_in_idle(&mut self, now: Micros) {
-        let mut back = Vec::new();
-        let mut spare = self.spare_above_warm_pool(now);
-        self.steps += self.inventory.idle.len() as u64;
-        for machine in self
-            .inventory
-            .idle
-            .iter()
-            .filter_map(|n| self.inventory.machines.get(n))
-        {
-            if !machine.allocations.is_empty() || machine.has_running_unowned_tasks() {
-                continue;
+impl Autoscaler {
+    /// A plan with what is pending: these machines, which hold no tasks yet, and what has been asked of
+    /// the cloud.
+    pub(in crate::scheduler) fn new_plan<'a>(
+        &self,
+        catalog: &Catalog,
+        smallest_need_cpu: u64,
+        pending: impl Iterator<Item = &'a Machine>,
+        stalled_zones: &[Arc<str>],
+        now: Micros,
+    ) -> CapacityPlan {
+        let mut plan = CapacityPlan::new(catalog, smallest_need_cpu);
+        for machine in pending {
+            plan.add_pending(&MachinePoolKey::of(machine), machine.free(), 1);
+        }
+        for request in &self.requests {
+            if let Some(kind) = catalog.get(&request.pool.type_name) {
+                plan.add_pending(&request.pool, kind.size, request.count as usize);
             }
-            let idle = now.since(machine.idle_since);
-            let keep = self.keep(machine, now);
-            let stale = match machine.phase {
-                MachinePhase::Up => {
-                    machine.cordoned || idle > keep || now.since(machine.wanted_at) > keep
-                }
-                MachinePhase::Unregistered => self.is_given_up(machine, now),
-                MachinePhase::Returning(_) => false,
-            };
-            let warm = machine.phase == MachinePhase::Up
-                && !machine.cordoned
-                && !machine.spot
-                && !crate::placement::contested(
-                    &machine.kind.size,
-                    &self.autoscaler.accelerator_demands,
-                );
-            if stale && warm {
-                if spare < machine.kind.size.cpu {
-                    continue;
-                }
-                spare -= machine.kind.size.cpu;
+        }
+        for pool in &mut plan.pools {
+            if self.refusals.is_refused(&pool.key(), now) {
+                pool.refuse();
             }
-            if stale {
-                back.push(machine.name.clone());
+            if stalled_zones.contains(&pool.zone) {
+                pool.stall(STALLED_ZONE_PROBES);
             }
         }
-        for name in back {
-            self.scale_in(&name, now);
-        }
+        plan
     }
 }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_pools.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_pools.rs
@@ -1,46 +1,153 @@
-//! Room to come: machines that boot, are being rented, or are to be rented, and the terms on which jobs get
-//! them.
+//! Pending capacity by machine pool: machines that boot, are being rented, or are to be rented.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use super::pool_key::MachinePoolKey;
 use crate::catalog::{MachineType, Resources};
-use crate::time::Micros;
-
-/// Bins of one pool that are tried for one job before another machine is thought of.
-const TRIES: usize = 64;
-
-/// Room to come in one type, zone and kind: machines that boot, are being rented, or are to be
-/// rented.
-pub(in crate::scheduler) struct CapacityPool {
-    pub kind: Arc<MachineType>,
-    pub zone: Arc<str>,
-    pub spot: bool,
-    /// What is still free on each; those before `first` are full.
-    pub bins: Vec<Resources>,
-    pub first: usize,
+use crate::job::{JobSpec, Priority};
+
+/// Machines of one pool that are tried for one job before another machine is rented.
+const MAX_TRIED_MACHINES: usize = 64;
+/// The service position of a pool that no job wants machines of.
+const NOT_WANTED: usize = usize::MAX;
+
+/// The pending capacity of one machine pool.
+pub(super) struct CapacityPool {
+    /// The machine type.
+    pub(super) kind: Arc<MachineType>,
+    /// The zone.
+    pub(super) zone: Arc<str>,
+    /// Whether these are spot machines.
+    pub(super) spot: bool,
+    /// What is still free on each pending machine; those before `first_open` are full.
+    free: Vec<Resources>,
+    first_open: usize,
     /// The fewest processors that a task of a waiting job takes.
-    pub smallest_need: u64,
-    /// How many of the bins are to be rented now, and the place in the order of service of the first
-    /// job that wants one.
-    pub new: u32,
-    pub wanted_by: usize,
+    smallest_need_cpu: u64,
+    /// How many machines are to be rented.
+    new_machines: u32,
+    /// The place in the order of service of the first job that wants one of them.
+    wanted_at: usize,
     /// Production wants some of them.
-    pub production: bool,
-    pub refused: bool,
+    for_production: bool,
+    /// The cloud refused such machines lately.
+    is_refused: bool,
     /// Nothing boots in its zone: a few machines are ordered to see when it does again, and nobody counts
     /// on them.
-    pub stalled: bool,
-    /// How many may be ordered now.
-    pub max_new: u32,
+    is_stalled: bool,
+    /// How many machines may be ordered now.
+    max_new_machines: u32,
 }
 
 impl CapacityPool {
-    /// Takes room for up to `want` tasks; says for how many.
-    pub fn take(&mut self, need: &Resources, want: u64) -> u64 {
+    /// A pool without pending machines.
+    pub(super) fn new(
+        kind: Arc<MachineType>,
+        zone: &str,
+        spot: bool,
+        smallest_need_cpu: u64,
+    ) -> CapacityPool {
+        CapacityPool {
+            kind,
+            zone: zone.into(),
+            spot,
+            free: Vec::new(),
+            first_open: 0,
+            smallest_need_cpu,
+            new_machines: 0,
+            wanted_at: NOT_WANTED,
+            for_production: false,
+            is_refused: false,
+            is_stalled: false,
+            max_new_machines: u32::MAX,
+        }
+    }
+
+    /// The pool's key.
+    pub(super) fn key(&self) -> MachinePoolKey {
+        MachinePoolKey::new(&self.kind.name, &self.zone, self.spot)
+    }
+
+    /// Whether a job's tasks may run on the pool's machines.
+    pub(super) fn suits(&self, spec: &JobSpec, may_use_spot: bool) -> bool {
+        spec.need.fits(&self.kind.size)
+            && (may_use_spot || !self.spot)
+            && spec.allows(&self.kind.name, &self.zone, self.spot)
+    }
+
+    /// The price of the pool's machines.
+    pub(super) fn price(&self) -> u64 {
+        self.kind.price_of(self.spot)
+    }
+
+    /// The price of the room for one task.
+    pub(super) fn price_per_task(&self, need: &Resources) -> f64 {
+        let tasks = need.count_in(&self.kind.size).max(1);
+        self.price() as f64 / tasks as f64
+    }
+
+    /// How many machines are to be rented.
+    pub(super) fn new_machines(&self) -> u32 {
+        self.new_machines
+    }
+
+    /// The place in the order of service of the first job that wants one of them.
+    pub(super) fn wanted_at(&self) -> usize {
+        self.wanted_at
+    }
+
+    /// Whether production wants some of them.
+    pub(super) fn is_for_production(&self) -> bool {
+        self.for_production
+    }
+
+    /// Whether nothing boots in the pool's zone.
+    pub(super) fn is_stalled(&self) -> bool {
+        self.is_stalled
+    }
+
+    /// Whether another machine may be rented.
+    pub(super) fn may_grow(&self) -> bool {
+        !self.is_refused && self.new_machines < self.max_new_machines
+    }
+
+    /// Adds pending machines with this much free capacity each.
+    pub(super) fn add_pending(&mut self, free: Resources, count: usize) {
+        self.free.extend(std::iter::repeat_n(free, count));
+    }
+
+    /// The cloud refused such machines lately.
+    pub(super) fn refuse(&mut self) {
+        self.is_refused = true;
+    }
+
+    /// Nothing boots in the zone: at most `max_pending` machines may be on their way, and nobody counts
+    /// on them.
+    pub(super) fn stall(&mut self, max_pending: u32) {
+        self.is_stalled = true;
+        self.max_new_machines = max_pending.saturating_sub(self.free.len() as u32);
+        self.free.clear();
+    }
+
+    /// One more machine is to be rented, for a job at this place in the order of service.
+    pub(super) fn want_machine(&mut self, position: usize, priority: Priority) {
+        self.wanted_at = self.wanted_at.min(position);
+        self.for_production |= priority == Priority::Production;
+        self.new_machines += 1;
+    }
+
+    /// Adds the machine that is to be rented, with `tasks` tasks of this need on it.
+    pub(super) fn add_new_machine(&mut self, need: &Resources, tasks: u64) {
+        let free = self.kind.size.minus(&need.times(tasks));
+        self.free.push(free);
+    }
+
+    /// Takes capacity for up to `want` tasks; returns for how many.
+    pub(super) fn take(&mut self, need: &Resources, want: u64) -> u64 {
         let mut left = want;
         while left > 0 {
-            self.pass_full_bins();
+            self.skip_full_machines();
             let taken = self.take_from_window(need, left);
             if taken == 0 {
                 break;
@@ -50,86 +157,67 @@
         want - left
     }
 
-    /// Bins that have no room for anything that waits are not tried any more.
-    fn pass_full_bins(&mut self) {
-        let smallest = self.smallest_need.max(1);
-        while self
-            .bins
-            .get(self.first)
-            .is_some_and(|bin| bin.cpu < smallest)
-        {
-            self.first += 1;
+    /// Machines without room for anything that waits are not tried any more.
+    fn skip_full_machines(&mut self) {
+        let smallest = self.smallest_need_cpu.max(1);
+        let is_full = |free: &Resources| free.cpu < smallest;
+        while self.free.get(self.first_open).is_some_and(is_full) {
+            self.first_open += 1;
         }
     }
 
     fn take_from_window(&mut self, need: &Resources, want: u64) -> u64 {
         let mut left = want;
-        for bin in self.bins.iter_mut().skip(self.first).take(TRIES) {
-            let n = need.count_in(bin).min(left);
-            if n > 0 {
-                *bin = bin.minus(&need.times(n));
-                left -= n;
-                if left == 0 {
-                    break;
-                }
+        let window = self.free.iter_mut().skip(self.first_open);
+        for free in window.take(MAX_TRIED_MACHINES) {
+            let tasks = need.count_in(free).min(left);
+            *free = free.minus(&need.times(tasks));
+            left -= tasks;
+            if left == 0 {
+                break;
             }
         }
         want - left
     }
 }
 
-pub(in crate::scheduler) fn find<'a>(
-    pools: &'a mut [CapacityPool],
-    type_name: &str,
-    zone: &str,
-    spot: bool,
-) -> Option<&'a mut CapacityPool> {
-    pools
-        .iter_mut()
-        .find(|p| p.kind.name == type_name && &*p.zone == zone && p.spot == spot)
-}
-
-/// On what terms machines are rented for a job.
-pub(in crate::scheduler) struct ScaleOutTerms {
-    pub spot: bool,
-    /// Machines that cost more than this many times the cheapest are for pressing work only.
-    pub dear: f64,
-    pub slack: Option<Micros>,
-    /// The job's place in the order of service.
-    pub at: usize,
-}
-
-impl ScaleOutTerms {
-    /// A machine rented now comes just in time: later it would be too late, and sooner there is
-    /// still hope for cheaper room.
-    pub fn pressing(&self, boot: Micros) -> bool {
-        self.slack
-            .is_some_and(|s| s > boot.times(0.5) && s < boot.plus(Micros::from_secs(25)))
-    }
-}
-
 /// How a job's tasks may be spread over zones, and how many it has in each.
-pub(in crate::scheduler) struct ZoneSpread {
-    pub counts: BTreeMap<Arc<str>, u64>,
-    pub fixed: Option<Arc<str>>,
-    pub one: bool,
-    pub cap: u64,
+pub(super) struct ZoneSpread {
+    counts: BTreeMap<Arc<str>, u64>,
+    /// The zone that all tasks go to, once that is settled.
+    only: Option<Arc<str>>,
+    is_one_zone: bool,
+    max_per_zone: u64,
 }
 
 impl ZoneSpread {
-    /// How many more tasks may go there.
-    pub fn room(&self, zone: &Arc<str>) -> u64 {
-        if self.fixed.as_ref().is_some_and(|z| z != zone) {
+    /// The spread of a job that has these tasks placed, by zone.
+    pub(super) fn new(spec: &JobSpec, placed: &BTreeMap<Arc<str>, u32>) -> ZoneSpread {
+        let counts = placed.iter();
+        ZoneSpread {
+            counts: counts
+                .map(|(zone, tasks)| (zone.clone(), u64::from(*tasks)))
+                .collect(),
+            only: placed.keys().next().filter(|_| spec.one_zone).cloned(),
+            is_one_zone: spec.one_zone,
+            max_per_zone: u64::from(spec.per_zone()),
+        }
+    }
+
+    /// How many more tasks may go to a zone.
+    pub(super) fn allowance(&self, zone: &Arc<str>) -> u64 {
+        if self.only.as_ref().is_some_and(|only| only != zone) {
             return 0;
         }
-        self.cap
-            .saturating_sub(self.counts.get(zone).copied().unwrap_or(0))
+        let tasks = self.counts.get(zone).copied().unwrap_or(0);
+        self.max_per_zone.saturating_sub(tasks)
     }
 
-    pub fn add(&mut self, zone: &Arc<str>, n: u64) {
-        *self.counts.entry(zone.clone()).or_default() += n;
-        if self.one {
-            self.fixed = Some(zone.clone());
+    /// Tasks go to a zone.
+    pub(super) fn add(&mut self, zone: &Arc<str>, tasks: u64) {
+        *self.counts.entry(zone.clone()).or_default() += tasks;
+        if self.is_one_zone {
+            self.only = Some(zone.clone());
         }
     }
 }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
@@ -4,29 +4,33 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
+use super::Autoscaler;
 use crate::catalog::MachineType;
 use crate::cluster::{Machine, MachinePhase};
-use crate::scheduler::Scheduler;
+use crate::scheduler::SchedulerConfig;
 use crate::time::Micros;
 
 /// A machine is overdue after this many times its type's boot time, unless others took longer.
-const USUAL_RATIO: f64 = 1.5;
+const USUAL_BOOT_RATIO: f64 = 1.5;
 /// However long others took, a machine is overdue after this many times its type's boot time.
-const MAX_RATIO: f64 = 4.0;
-/// Beyond the longest boot seen.
-const RATIO_MARGIN: f64 = 1.1;
-/// Until a machine that is up is heard, beyond the heartbeat interval.
-const FIRST_REPORT_MARGIN: Micros = Micros::from_secs(2);
-/// After this many times its boot time, and a while, a machine is given up whatever the others do.
-const GIVEN_UP_RATIO: f64 = 4.0;
-const GIVEN_UP_MARGIN: Micros = Micros::from_secs(30);
-/// Boots remembered for each type and zone, and for how long.
-const REMEMBERED: usize = 16;
-const REMEMBERED_FOR: Micros = Micros::from_secs(600);
-/// So many overdue machines in a zone, and none of it up since, make the zone one where nothing boots.
+const MAX_BOOT_RATIO: f64 = 4.0;
+/// Added to the longest boot seen.
+const BOOT_RATIO_MARGIN: f64 = 1.1;
+/// Until the first heartbeat of a machine that is up, beyond the heartbeat interval.
+const FIRST_HEARTBEAT_MARGIN: Micros = Micros::from_secs(2);
+/// After this many times its boot time and [`ABANDON_MARGIN`], a machine is abandoned whatever the others do.
+const ABANDON_BOOT_RATIO: f64 = 4.0;
+const ABANDON_MARGIN: Micros = Micros::from_secs(30);
+/// A machine of an earlier leader has a lease and this many heartbeat intervals to find this one.
+const DISCOVERY_HEARTBEATS: f64 = 2.0;
+/// Boots remembered for each type and zone.
+const MAX_REMEMBERED_BOOTS: usize = 16;
+/// How long a boot is remembered.
+const BOOT_MEMORY: Micros = Micros::from_secs(600);
+/// A zone is stalled if so many machines are overdue there and none that was ordered later is up.
 const OVERDUE_IN_STALLED_ZONE: usize = 3;
-/// Machines of one type and kind that may be on their way in such a zone, to see whether it boots again.
-const ZONE_PROBES: u32 = 2;
+/// The shortest boot time that ratios are taken of, in seconds.
+const MIN_BOOT_SECONDS: f64 = 0.001;
 
 /// A machine that came up.
 #[derive(Clone, Copy, Debug)]
@@ -34,12 +38,12 @@
     ordered_at: Micros,
     up_at: Micros,
     /// How long it took, in boot times of its type.
-    ratio: f64,
+    boot_ratio: f64,
 }
 
-/// The machines that came up lately.
+/// The machines that came up within [`BOOT_MEMORY`].
 #[derive(Debug, Default)]
-pub(in crate::scheduler) struct ProvisioningTimes {
+pub(super) struct ProvisioningTimes {
     /// By type and zone.
     observed: HashMap<(String, Arc<str>), VecDeque<Provisioned>>,
 }
@@ -53,19 +57,19 @@
 }
 
 impl ProvisioningTimes {
-    /// A machine was heard for the first time.
-    fn joined(&mut self, kind: &MachineType, zone: &Arc<str>, ordered_at: Micros, now: Micros) {
+    /// A machine sent its first heartbeat.
+    fn add(&mut self, kind: &MachineType, zone: &Arc<str>, ordered_at: Micros, now: Micros) {
         let took = now.since(ordered_at);
-        let ratio = took.as_secs_f64() / kind.boot.as_secs_f64().max(0.001);
+        let boot_ratio = took.as_secs_f64() / kind.boot.as_secs_f64().max(MIN_BOOT_SECONDS);
         let boots = self.observed.entry((kind.name.clone(), zone.clone()));
         let boots = boots.or_default();
-        if boots.len() >= REMEMBERED {
+        if boots.len() >= MAX_REMEMBERED_BOOTS {
             boots.pop_front();
         }
         boots.push_back(Provisioned {
             ordered_at,
             up_at: now,
-            ratio,
+            boot_ratio,
         });
     }
 
@@ -76,15 +80,15 @@
         now: Micros,
     ) -> impl Iterator<Item = &Provisioned> {
         let boots = self.observed.get(&(kind.name.clone(), zone.clone()));
-        let is_recent = move |boot: &&Provisioned| now.since(boot.up_at) < REMEMBERED_FOR;
+        let is_recent = move |boot: &&Provisioned| now.since(boot.up_at) < BOOT_MEMORY;
         boots.into_iter().flatten().filter(is_recent)
     }
 
     /// The time by which a machine of this kind is up.
     fn expected(&self, kind: &MachineType, zone: &Arc<str>, now: Micros) -> Micros {
-        let ratios = self.recent(kind, zone, now).map(|boot| boot.ratio);
-        let longest = ratios.fold(USUAL_RATIO, f64::max).min(MAX_RATIO);
-        kind.boot.times(longest * RATIO_MARGIN)
+        let ratios = self.recent(kind, zone, now).map(|boot| boot.boot_ratio);
+        let longest = ratios.fold(USUAL_BOOT_RATIO, f64::max).min(MAX_BOOT_RATIO);
+        kind.boot.times(longest * BOOT_RATIO_MARGIN)
     }
 
     /// Whether a machine of this kind that was ordered later is up.
@@ -95,87 +99,113 @@
 
     /// When the last of a zone's machines that came up had been ordered.
     fn last_ordered(&self, zone: &Arc<str>) -> Micros {
-        let of_zone = self.observed.iter().filter(|((_, z), _)| z == zone);
+        let of_zone = self.observed.iter().filter(|((_, other), _)| other == zone);
         let boots = of_zone.flat_map(|(_, boots)| boots);
         boots.map(|boot| boot.ordered_at).max().unwrap_or_default()
     }
 }
 
-impl Scheduler {
-    /// A machine that this leader ordered is heard for the first time.
-    pub(in crate::scheduler) fn note_provisioned(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(machine) = self.inventory.machines.get(name) else {
-            return;
-        };
-        // Others may have been up for long, unheard by this leader.
-        if machine.created_at > self.leader_term.elected_at && machine.created_at < now {
-            self.autoscaler.provisioning_times.joined(
+/// What decides whether a machine has come up in time.
+#[derive(Clone, Copy)]
+pub(in crate::scheduler) struct ProvisioningClock {
+    heartbeat_interval: Micros,
+    lease: Micros,
+    /// When this leader was elected.
+    elected_at: Micros,
+    now: Micros,
+}
+
+impl ProvisioningClock {
+    /// The clock at the present time.
+    pub(in crate::scheduler) fn new(
+        config: &SchedulerConfig,
+        elected_at: Micros,
+        now: Micros,
+    ) -> ProvisioningClock {
+        ProvisioningClock {
+            heartbeat_interval: config.heartbeat_interval,
+            lease: config.lease,
+            elected_at,
+            now,
+        }
+    }
+
+    /// Whether this leader ordered the machine. Others may have been up for long, unknown to it.
+    fn is_own(&self, machine: &Machine) -> bool {
+        machine.created_at > self.elected_at
+    }
+
+    /// Whether a machine of an earlier leader may be up and still be looking for this one.
+    fn may_be_unknown(&self, machine: &Machine) -> bool {
+        let discovery = self.heartbeat_interval.times(DISCOVERY_HEARTBEATS);
+        !self.is_own(machine) && self.now.since(self.elected_at) < self.lease.plus(discovery)
+    }
+}
+
+impl Autoscaler {
+    /// A machine sent its first heartbeat.
+    pub(in crate::scheduler) fn machine_joined(
+        &mut self,
+        machine: &Machine,
+        clock: ProvisioningClock,
+    ) {
+        if clock.is_own(machine) && machine.created_at < clock.now {
+            self.provisioning_times.add(
                 &machine.kind,
                 &machine.zone,
                 machine.created_at,
-                now,
+                clock.now,
             );
         }
     }
 
-    /// Whether a machine that has not been heard should have been by now: it is no longer counted as room
-    /// to come, and what it was ordered for is ordered elsewhere.
-    pub(in crate::scheduler) fn is_overdue(&self, machine: &Machine, now: Micros) -> bool {
-        let age = now.since(machine.created_at);
-        // Most are not, and need no look at the others.
+    /// Whether a machine that has sent no heartbeat should have done so by now: it no longer counts as
+    /// pending capacity, and what it was ordered for is ordered elsewhere.
+    pub(in crate::scheduler) fn is_overdue(
+        &self,
+        machine: &Machine,
+        clock: ProvisioningClock,
+    ) -> bool {
+        let age = clock.now.since(machine.created_at);
+        // Most are not, and need no comparison with the others.
         if machine.phase != MachinePhase::Unregistered
-            || age <= machine.kind.boot.times(USUAL_RATIO)
+            || age <= machine.kind.boot.times(USUAL_BOOT_RATIO)
         {
             return false;
         }
-        let expected =
-            self.autoscaler
-                .provisioning_times
-                .expected(&machine.kind, &machine.zone, now);
-        let first_report = self.config.heartbeat_interval.plus(FIRST_REPORT_MARGIN);
-        age > expected.plus(first_report)
+        let times = &self.provisioning_times;
+        let expected = times.expected(&machine.kind, &machine.zone, clock.now);
+        let first_heartbeat = clock.heartbeat_interval.plus(FIRST_HEARTBEAT_MARGIN);
+        age > expected.plus(first_heartbeat)
     }
 
-    /// Whether to give up a machine that has not been heard. As long as no later one of its kind is up,
-    /// all of them may be late, and giving them up would only begin the wait anew.
-    pub(in crate::scheduler) fn is_given_up(&self, machine: &Machine, now: Micros) -> bool {
-        // It may be up, and known to an earlier leader alone: it has to find this one first.
-        let settled = self
-            .config
-            .lease
-            .plus(self.config.heartbeat_interval.times(2.0));
-        let known_for = now.since(self.leader_term.elected_at);
-        if machine.phase != MachinePhase::Unregistered
-            || (machine.created_at <= self.leader_term.elected_at && known_for < settled)
-        {
+    /// Whether to abandon a machine that has sent no heartbeat. As long as no later one of its kind is
+    /// up, all of them may be late, and abandoning them would only begin the wait anew.
+    pub(in crate::scheduler) fn is_abandoned(
+        &self,
+        machine: &Machine,
+        clock: ProvisioningClock,
+    ) -> bool {
+        if machine.phase != MachinePhase::Unregistered || clock.may_be_unknown(machine) {
             return false;
         }
-        let limit = machine
-            .kind
-            .boot
-            .times(GIVEN_UP_RATIO)
-            .plus(GIVEN_UP_MARGIN);
-        let never = now.since(machine.created_at) > limit;
-        never
-            || (self.is_overdue(machine, now)
-                && self
-                    .autoscaler
-                    .provisioning_times
-                    .is_overtaken(machine, now))
+        let longest_boot = machine.kind.boot.times(ABANDON_BOOT_RATIO);
+        let limit = longest_boot.plus(ABANDON_MARGIN);
+        clock.now.since(machine.created_at) > limit
+            || (self.is_overdue(machine, clock)
+                && self.provisioning_times.is_overtaken(machine, clock.now))
     }
 
     /// Zones in which machines are overdue and none that was ordered later has come up: a few are ordered
     /// there at a time, to see whether it boots again, and the others elsewhere.
-    pub(in crate::scheduler) fn stalled_zones(&self, now: Micros) -> Vec<Arc<str>> {
+    pub(in crate::scheduler) fn stalled_zones<'a>(
+        &self,
+        provisioning: impl Iterator<Item = &'a Machine>,
+        clock: ProvisioningClock,
+    ) -> Vec<Arc<str>> {
         let mut zones: BTreeMap<&Arc<str>, OverdueInZone> = BTreeMap::new();
-        let coming = self
-            .inventory
-            .provisioning
-            .iter()
-            .filter_map(|n| self.inventory.machines.get(n));
-        // Machines of an earlier leader may be up.
-        let own = coming.filter(|machine| machine.created_at > self.leader_term.elected_at);
-        for machine in own.filter(|machine| self.is_overdue(machine, now)) {
+        let own = provisioning.filter(|machine| clock.is_own(machine));
+        for machine in own.filter(|machine| self.is_overdue(machine, clock)) {
             let zone = zones.entry(&machine.zone).or_insert(OverdueInZone {
                 overdue: 0,
                 first_overdue: machine.created_at,
@@ -183,19 +213,10 @@
             zone.overdue += 1;
             zone.first_overdue = zone.first_overdue.min(machine.created_at);
         }
-        let stalled = zones.into_iter().filter(|(zone, boots)| {
-            boots.overdue >= OVERDUE_IN_STALLED_ZONE
-                && self.autoscaler.provisioning_times.last_ordered(zone) < boots.first_overdue
+        let stalled = zones.into_iter().filter(|(zone, in_zone)| {
+            in_zone.overdue >= OVERDUE_IN_STALLED_ZONE
+                && self.provisioning_times.last_ordered(zone) < in_zone.first_overdue
         });
         stalled.map(|(zone, _)| zone.clone()).collect()
     }
-
-    /// How many machines may be ordered of one type and kind, `coming` of which are on their way.
-    pub(in crate::scheduler) fn order_limit(stalled: bool, coming: usize) -> u32 {
-        if stalled {
-            ZONE_PROBES.saturating_sub(coming as u32)
-        } else {
-            u32::MAX
-        }
-    }
 }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
@@ -1,192 +1,216 @@
-//! Requests to the cloud for machines: planned by turns, repeated until answered, refusals remembered.
-
-use std::sync::Arc;
+//! Scale-out requests to the cloud: planned by turns, repeated until answered, refusals remembered.
 
+use super::capacity_plan::CapacityPlan;
 use super::capacity_pools::CapacityPool;
-use crate::cluster::Machine;
-use crate::scheduler::{Effect, Scheduler};
+use super::pool_key::MachinePoolKey;
+use super::Autoscaler;
+use crate::scheduler::Effect;
 use crate::time::Micros;
 
-/// Rentals of one type, zone and kind that are asked for at a time.
-const MAX_RENTS: u32 = 4;
-/// A type, zone and kind that was asked for within this time waits for others' turns.
+/// Requests for one pool that are planned at a time.
+const MAX_REQUESTS_PER_POOL: u32 = 4;
+/// Requests of this age no longer count when pools take turns.
 const RUSH: Micros = Micros::from_secs(10);
-/// Calls that production's machines get in one turn, where others get one.
-const PRODUCTION_CALLS: u32 = 3;
-/// The most machines of one scale-out request.
-const RENTAL: u32 = 50;
-
-/// What the cloud refused, and until when not to ask again.
-#[derive(Clone, Copy, Debug)]
-pub struct Refusal {
-    pub until: Micros,
-    pub times: u32,
-}
+/// Requests that a pool wanted by production gets in one turn, where others get one.
+const PRODUCTION_REQUESTS_PER_TURN: u32 = 3;
+/// The most machines of one request.
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
+/// When a request without an answer is repeated.
+const REPEAT_AFTER: Micros = Micros::from_secs(2);
 
-/// A scale-out request under way.
+/// A scale-out request.
 #[derive(Clone, Debug)]
-pub(in crate::scheduler) struct ScaleOutRequest {
-    pub request: String,
-    pub type_name: String,
-    pub zone: String,
-    pub spot: bool,
-    pub count: u32,
-    pub out: bool,
+pub(super) struct ScaleOutRequest {
+    id: String,
+    /// The pool that machines are asked of.
+    pub(super) pool: MachinePoolKey,
+    /// How many machines.
+    pub(super) count: u32,
+    in_flight: bool,
     /// The cloud may have had it: from then on it is repeated as it is until it is answered.
-    pub sent: bool,
-    pub after: Micros,
+    was_sent: bool,
+    not_before: Micros,
+}
+
+/// How often a pool was asked for in this rush, and when last.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct RecentRequests {
+    count: u32,
+    last_at: Micros,
 }
 
-/// How a scale-out request request ended.
+impl RecentRequests {
+    /// How many requests still count.
+    fn count(&self, now: Micros) -> u32 {
+        if now.since(self.last_at) < RUSH {
+            self.count
+        } else {
+            0
+        }
+    }
+
+    fn note(&mut self, now: Micros) {
+        *self = RecentRequests {
+            count: self.count(now) + 1,
+            last_at: now,
+        };
+    }
+}
+
+/// When a request is made: by rounds, and within a round in the order of service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Turn {
+    round: u32,
+    position: usize,
+}
+
+/// A request that is not numbered yet.
+struct PlannedRequest {
+    turn: Turn,
+    pool: MachinePoolKey,
+    count: u32,
+}
+
+/// How a scale-out request ended.
 #[derive(Clone, Debug)]
 pub enum ScaleOutOutcome {
+    /// These machines were rented, perhaps fewer than asked for.
     Machines(Vec<String>),
+    /// The cloud has no such machines now.
     NoCapacity,
-    /// Refused without effect for another reason: throttled, outage, not sent.
+    /// Refused without effect for another reason: rate limit, outage, not sent.
     Later,
     /// No answer: the same request is repeated, since it may have been carried out.
     Unknown,
 }
 
-impl Scheduler {
-    /// Plans the requests for the pools' new machines, by turns: calls are scarce, and a rush that
-    /// takes dozens of them for one type must not keep others waiting for theirs. Production gets
-    /// more calls than others in a turn.
-    pub(in crate::scheduler) fn plan_scale_out(&mut self, pools: &[CapacityPool], now: Micros) {
-        let mut planned = Vec::new();
-        for p in pools.iter().filter(|p| p.new > 0) {
-            let key = (p.kind.name.clone(), p.zone.to_string(), p.spot);
-            let recent = self
-                .autoscaler
-                .recent_scale_outs
-                .get(&key)
-                .filter(|a| now.since(a.1) < RUSH);
-            let before = recent.map_or(0, |a| a.0);
-            let weight = if p.production { PRODUCTION_CALLS } else { 1 };
-            for call in 0..p.new.div_ceil(RENTAL).min(MAX_RENTS) {
-                let count = (p.new - call * RENTAL).min(RENTAL);
-                planned.push((((before + call) / weight, p.wanted_by), count, p));
-            }
-        }
-        planned.sort_by_key(|x| x.0);
-        for (_, count, p) in planned {
-            // A request's name is never used again: the term is this leader's alone.
-            let request = format!(
-                "t{}-{}",
-                self.leader_term.term, self.autoscaler.next_request
-            );
-            self.autoscaler.next_request += 1;
-            self.autoscaler.requests.push(ScaleOutRequest {
-                request,
-                type_name: p.kind.name.clone(),
-                zone: p.zone.to_string(),
-                spot: p.spot,
+/// Machines that were rented.
+pub(in crate::scheduler) struct RentedMachines {
+    /// Their pool.
+    pub(in crate::scheduler) pool: MachinePoolKey,
+    /// Their names.
+    pub(in crate::scheduler) names: Vec<String>,
+}
+
+impl Autoscaler {
+    /// Drops the requests that were planned and not sent: they are planned anew.
+    pub(in crate::scheduler) fn discard_unsent_requests(&mut self) {
+        self.requests.retain(|request| request.was_sent);
+    }
+
+    /// Plans the requests for the plan's new machines, by turns: requests are scarce, and a rush that
+    /// takes dozens of them for one type must not keep others waiting for theirs. Production gets more
+    /// requests than others in a turn.
+    pub(in crate::scheduler) fn plan_requests(
+        &mut self,
+        plan: &CapacityPlan,
+        term: u64,
+        now: Micros,
+    ) {
+        let pools = plan.pools().iter();
+        let mut planned: Vec<PlannedRequest> = pools
+            .flat_map(|pool| self.planned_requests(pool, now))
+            .collect();
+        planned.sort_by_key(|request| request.turn);
+        for PlannedRequest { pool, count, .. } in planned {
+            // A request's id is never used again: the term is this leader's alone.
+            let id = format!("t{term}-{}", self.next_request);
+            self.next_request += 1;
+            self.requests.push(ScaleOutRequest {
+                id,
+                pool,
                 count,
-                out: false,
-                sent: false,
-                after: now,
+                in_flight: false,
+                was_sent: false,
+                not_before: now,
             });
         }
     }
 
-    /// Asks for what was planned, as far as the cloud's rate goes.
-    pub(in crate::scheduler) fn send_scale_outs(&mut self, now: Micros) {
-        let mut calls = self.autoscaler.budget.available(now);
-        for r in &mut self.autoscaler.requests {
-            if r.out || now < r.after {
+    /// The requests for one pool's new machines.
+    fn planned_requests(&self, pool: &CapacityPool, now: Micros) -> Vec<PlannedRequest> {
+        let new_machines = pool.new_machines();
+        if new_machines == 0 {
+            return Vec::new();
+        }
+        let key = pool.key();
+        let recent = self.recent_requests.get(&key);
+        let already_sent = recent.map_or(0, |recent| recent.count(now));
+        let per_turn = if pool.is_for_production() {
+            PRODUCTION_REQUESTS_PER_TURN
+        } else {
+            1
+        };
+        let requests = new_machines.div_ceil(MAX_MACHINES_PER_REQUEST);
+        (0..requests.min(MAX_REQUESTS_PER_POOL))
+            .map(|index| PlannedRequest {
+                turn: Turn {
+                    round: (already_sent + index) / per_turn,
+                    position: pool.wanted_at(),
+                },
+                pool: key.clone(),
+                count: (new_machines - index * MAX_MACHINES_PER_REQUEST)
+                    .min(MAX_MACHINES_PER_REQUEST),
+            })
+            .collect()
+    }
+
+    /// Sends what was planned, as far as the cloud's rate limit allows.
+    pub(in crate::scheduler) fn send_requests(&mut self, now: Micros) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        let mut allowed = self.request_budget.available(now);
+        for request in &mut self.requests {
+            if request.in_flight || now < request.not_before {
                 continue;
             }
-            if calls < 1.0 {
-                return;
+            if allowed < 1.0 {
+                break;
             }
-            calls -= 1.0;
-            self.autoscaler.budget.spend(1.0);
-            r.out = true;
-            r.sent = true;
-            let key = (r.type_name.clone(), r.zone.clone(), r.spot);
-            let asked = self.autoscaler.recent_scale_outs.entry(key).or_default();
-            let before = if now.since(asked.1) < RUSH {
-                asked.0
-            } else {
-                0
-            };
-            *asked = (before + 1, now);
-            self.effects.push(Effect::ScaleOut {
-                request: r.request.clone(),
-                type_name: r.type_name.clone(),
-                zone: r.zone.clone(),
-                spot: r.spot,
-                count: r.count,
+            allowed -= 1.0;
+            self.request_budget.spend(1.0);
+            request.in_flight = true;
+            request.was_sent = true;
+            let recent = self.recent_requests.entry(request.pool.clone());
+            recent.or_default().note(now);
+            effects.push(Effect::ScaleOut {
+                request: request.id.clone(),
+                type_name: request.pool.type_name.clone(),
+                zone: request.pool.zone.clone(),
+                spot: request.pool.spot,
+                count: request.count,
             });
         }
+        effects
     }
 
-    /// The answer to [`Effect::ScaleOut`].
-    pub fn rented(&mut self, request: &str, end: ScaleOutOutcome, now: Micros) {
-        let Some(at) = self
-            .autoscaler
-            .requests
-            .iter()
-            .position(|r| r.request == request)
-        else {
-            return;
-        };
-        let r = self.autoscaler.requests[at].clone();
-        let key = (r.type_name.clone(), r.zone.clone(), r.spot);
-        match end {
+    /// A request ended. Returns the machines that were rented.
+    pub(in crate::scheduler) fn request_ended(
+        &mut self,
+        id: &str,
+        outcome: ScaleOutOutcome,
+        now: Micros,
+    ) -> Option<RentedMachines> {
+        let index = self.requests.iter().position(|request| request.id == id)?;
+        if matches!(outcome, ScaleOutOutcome::Unknown) {
+            let request = &mut self.requests[index];
+            request.in_flight = false;
+            request.not_before = now.plus(REPEAT_AFTER);
+            return None;
+        }
+        let ScaleOutRequest { pool, count, .. } = self.requests.remove(index);
+        match outcome {
             ScaleOutOutcome::Machines(names) => {
-                self.autoscaler.requests.remove(at);
-                if (names.len() as u32) < r.count {
-                    self.refuse(key, now);
+                if (names.len() as u32) < count {
+                    self.refusals.no_capacity(pool.clone(), now);
                 } else {
-                    self.autoscaler.refusals.remove(&key);
-                }
-                let Some(kind) = self.catalog.get(&r.type_name).cloned() else {
-                    return;
-                };
-                let kind = Arc::new(kind);
-                let zone: Arc<str> = r.zone.as_str().into();
-                for n in names {
-                    if self.inventory.machines.contains_key(n.as_str()) {
-                        continue;
-                    }
-                    let mut machine = Machine::new(&n, kind.clone(), zone.clone(), r.spot, "", now);
-                    self.persistence
-                        .machine_changed(&mut machine, now.plus(Micros::from_millis(300)));
-                    self.add_machine(machine);
-                }
-            }
-            ScaleOutOutcome::NoCapacity => {
-                self.autoscaler.requests.remove(at);
-                self.refuse(key, now);
-            }
-            ScaleOutOutcome::Later => {
-                self.autoscaler.requests.remove(at);
-                self.autoscaler.refusals.insert(
-                    key,
-                    Refusal {
-                        until: now.plus(Micros::from_secs(2)),
-                        times: 0,
-                    },
-                );
-            }
-            ScaleOutOutcome::Unknown => {
-                if let Some(r) = self.autoscaler.requests.get_mut(at) {
-                    r.out = false;
-                    r.after = now.plus(Micros::from_secs(2));
+                    self.refusals.clear(&pool);
                 }
+                return Some(RentedMachines { pool, names });
             }
+            ScaleOutOutcome::NoCapacity => self.refusals.no_capacity(pool, now),
+            ScaleOutOutcome::Later => self.refusals.unrelated(pool, now),
+            ScaleOutOutcome::Unknown => {}
         }
-    }
-
-    /// The cloud has no such machines now.
-    fn refuse(&mut self, key: (String, String, bool), now: Micros) {
-        let r = self.autoscaler.refusals.entry(key).or_insert(Refusal {
-            until: now,
-            times: 0,
-        });
-        // Others may give machines back at any time: not left alone for long.
-        r.times = (r.times + 1).min(3);
-        r.until = now.plus(Micros::from_secs(5 << r.times));
+        None
     }
 }
--- a/crates/saltpitch-core/src/scheduler/cloud_listing.rs
+++ b/crates/saltpitch-core/src/scheduler/cloud_listing.rs
@@ -2,6 +2,7 @@
 
 use std::sync::Arc;
 
+use super::autoscaler::MachinePoolKey;
 use super::Scheduler;
 use crate::catalog::MachineType;
 use crate::cluster::{Machine, MachinePhase};
@@ -44,12 +45,8 @@
             self.release_all(name, now);
             if let Some(machine) = self.inventory.machines.get(name) {
                 // What was given back can be had again.
-                let key = (
-                    machine.kind.name.clone(),
-                    machine.zone.to_string(),
-                    machine.spot,
-                );
-                self.autoscaler.refusals.remove(&key);
+                self.autoscaler
+                    .machine_returned(&MachinePoolKey::of(machine));
                 self.drop_machine(name, now);
             }
         }
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -6,6 +6,7 @@
 
 use std::sync::Arc;
 
+use super::autoscaler::MachinePoolKey;
 use super::{Job, Scheduler};
 use crate::cluster::{JobNumber, Machine};
 use crate::job::{JobKind, JobSpec, JobState, Priority};
@@ -173,9 +174,8 @@
 
     fn cloud_may_have_room(&self, spec: &JobSpec, now: Micros) -> bool {
         let refused = |name: &str, zone: &str, spot: bool| {
-            let key = (name.to_owned(), zone.to_owned(), spot);
-            let refusal = self.autoscaler.refusals.get(&key);
-            refusal.is_some_and(|refusal| refusal.until > now)
+            let pool = MachinePoolKey::new(name, zone, spot);
+            self.autoscaler.is_refused(&pool, now)
         };
         let mut types = self.catalog.types.iter();
         types.any(|kind| {
--- a/crates/saltpitch-core/src/scheduler/dependency_gate.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-use super::{Job, Scheduler, FADE};
+use super::{Job, Scheduler};
 use crate::cluster::JobNumber;
 use crate::job::{JobState, Priority};
 use crate::records::RecordCache;
@@ -49,14 +49,7 @@
             return;
         };
         let (spec, queued) = (job.spec.clone(), job.queued);
-        if spec.need.gpu > 0 {
-            self.autoscaler.accelerator_demands.insert(spec.need);
-            self.autoscaler.accelerators_requested_at =
-                self.autoscaler.accelerators_requested_at.max(queued);
-        }
-        if now.since(queued) < FADE {
-            self.note_demand(&spec, now);
-        }
+        self.autoscaler.job_queued(&spec, queued, now);
         self.job_table.enqueue(number);
         self.placement_pass.requested = true;
     }
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -6,6 +6,7 @@
 mod agent_reconciliation;
 mod allocations;
 mod autoscaler;
+mod capacity_planning;
 mod cloud_listing;
 mod commands;
 mod consolidation;
@@ -26,10 +27,10 @@
 mod placement_pass;
 mod policy_bindings;
 mod preemption;
-mod production_demand;
 mod queue_order;
 mod record_commits;
 mod recovery;
+mod scale_in;
 mod summary;
 mod unreachable_machines;
 
@@ -55,7 +56,7 @@
 use placement_pass::PlacementPass;
 
 pub use agent_reconciliation::HeartbeatRejection;
-pub use autoscaler::scale_out::{Refusal, ScaleOutOutcome};
+pub use autoscaler::ScaleOutOutcome;
 pub use cloud_listing::ListedMachine;
 pub use commands::CommandOutcome;
 pub use delegation::DelegationCandidate;
@@ -70,9 +71,6 @@
 /// The shortest time between two passes over the jobs that wait.
 const SCHEDULE_INTERVAL: Micros = Micros::from_millis(100);
 
-/// How fast production's past demand fades from the estimate of what is to come.
-const FADE: Micros = Micros::from_secs(60);
-
 /// The agents of machines that are up as far as known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AgentCounts {
--- a/crates/saltpitch-core/src/scheduler/policy_bindings.rs
+++ b/crates/saltpitch-core/src/scheduler/policy_bindings.rs
@@ -65,8 +65,8 @@
     pub(super) fn apply_policy(&mut self) {
         let cluster = self.cluster();
         let policy = &mut self.config.policy;
-        self.autoscaler.batch_completion_target =
-            Micros::from_secs_f64(policy.number("drain_s", &cluster));
+        let batch_target = Micros::from_secs_f64(policy.number("drain_s", &cluster));
+        self.autoscaler.set_batch_completion_target(batch_target);
         for g in &mut self.inventory.index.groups {
             let scope = |n: &str| type_value(&g.kind, g.spot, n).or_else(|| cluster(n));
             g.keep = Micros::from_secs_f64(policy.number("idle_keep_s", &scope));
--- /dev/null
+++ b/crates/saltpitch-core/src/scheduler/scale_in.rs
@@ -0,0 +1,83 @@
+//! Which idle machines go back to the cloud.
+
+use super::Scheduler;
+use crate::cluster::{Machine, MachinePhase};
+use crate::time::Micros;
+
+impl Scheduler {
+    /// Thousandths of a processor of ordinary machines beyond what production is expected to ask for
+    /// before a machine could boot. Batch work there makes way for it.
+    pub(super) fn spare_above_warm_pool(&self, now: Micros) -> u64 {
+        let accelerators = self.autoscaler.accelerator_demand();
+        let groups = self.inventory.index.groups.iter();
+        let ordinary =
+            groups.filter(|group| !group.spot && !accelerators.is_contested(&group.kind.size));
+        let available: u64 = ordinary.map(|group| group.batch).sum();
+        available.saturating_sub(self.autoscaler.warm_pool_cpu(&self.catalog, now))
+    }
+
+    /// How long an idle machine is kept: what the policy says; and while work with accelerators keeps
+    /// coming, a machine for it as long again as its images would take to fetch elsewhere.
+    pub(super) fn idle_time_limit(&self, machine: &Machine, now: Micros) -> Micros {
+        let limit = self.inventory.index.groups[machine.group].keep;
+        let requested_at = self.autoscaler.accelerators_requested_at();
+        if machine.kind.size.gpu > 0 && now.since(requested_at) < limit {
+            limit.plus(machine.image_worth())
+        } else {
+            limit
+        }
+    }
+
+    /// Returns machines that have been idle for too long, down to the warm pool, and those that have not
+    /// come up.
+    pub(super) fn scale_in_idle(&mut self, now: Micros) {
+        let mut spare = self.spare_above_warm_pool(now);
+        self.steps += self.inventory.idle.len() as u64;
+        let mut returned = Vec::new();
+        let idle = self.inventory.idle.iter();
+        for machine in idle.filter_map(|name| self.inventory.machines.get(name)) {
+            if !self.is_dispensable(machine, now) {
+                continue;
+            }
+            if self.is_in_warm_pool(machine) {
+                if spare < machine.kind.size.cpu {
+                    continue;
+                }
+                spare -= machine.kind.size.cpu;
+            }
+            returned.push(machine.name.clone());
+        }
+        for name in returned {
+            self.scale_in(&name, now);
+        }
+    }
+
+    /// Whether nothing is on the machine and it has been idle, or not come up, for too long.
+    fn is_dispensable(&self, machine: &Machine, now: Micros) -> bool {
+        if !machine.allocations.is_empty() || machine.has_running_unowned_tasks() {
+            return false;
+        }
+        match machine.phase {
+            MachinePhase::Up => {
+                let limit = self.idle_time_limit(machine, now);
+                machine.cordoned
+                    || now.since(machine.idle_since) > limit
+                    || now.since(machine.wanted_at) > limit
+            }
+            MachinePhase::Unregistered => {
+                let clock = self.provisioning_clock(now);
+                self.autoscaler.is_abandoned(machine, clock)
+            }
+            MachinePhase::Returning(_) => false,
+        }
+    }
+
+    /// Whether the machine's processors count as warm for production.
+    fn is_in_warm_pool(&self, machine: &Machine) -> bool {
+        let accelerators = self.autoscaler.accelerator_demand();
+        machine.phase == MachinePhase::Up
+            && !machine.cordoned
+            && !machine.spot
+            && !accelerators.is_contested(&machine.kind.size)
+    }
+}
