--- a/crates/saltpitch/src/cells/listener.rs
+++ b/crates/saltpitch/src/cells/listener.rs
@@ -13,7 +13,7 @@
 use saltpitch_core::Micros;
 use serde_json::Value;
 
-use crate::connection_limit::{Bounded, Connections};
+use crate::connection_limit::{Connections, LimitedAcceptor};
 use crate::node::Node;
 use crate::responses::{
     healthy, json, not_ready, read_body, refusal, refusal_with_retry, unavailable,
@@ -47,7 +47,7 @@
     let cannot_listen = || format!("cells: cannot listen on {address} for cell {cell}");
     let acceptor = listen(address, MAX_CONNECTIONS).with_context(cannot_listen)?;
     let connections = Arc::new(Connections::new(MAX_CONNECTIONS));
-    let acceptor = Bounded::new(acceptor, node.clock, connections);
+    let acceptor = LimitedAcceptor::new(acceptor, node.clock, connections);
     tracing::info!("listening on {address} for cell {cell}");
     let api = PeerCellApi { node, admission };
     tokio::spawn(async move {
--- a/crates/saltpitch/src/clock.rs
+++ b/crates/saltpitch/src/clock.rs
@@ -4,31 +4,35 @@
 
 use saltpitch_core::Micros;
 
-/// Steady time since the process started. It begins at one minute, so that "never" (zero) is long
-/// ago.
-#[derive(Clone, Copy, Debug)]
-pub struct Clock(Instant);
+/// The time of the monotonic clock at which the process starts: not zero, which stands for "never".
+const START: Micros = Micros::from_secs(60);
 
-const OFFSET: Micros = Micros::from_secs(60);
+/// A monotonic clock that starts with the process, and the time of day.
+#[derive(Clone, Copy, Debug)]
+pub struct Clock {
+    started_at: Instant,
+}
 
 impl Clock {
+    /// Starts the monotonic clock.
     pub fn start() -> Clock {
-        Clock(Instant::now())
+        Clock {
+            started_at: Instant::now(),
+        }
     }
 
+    /// The time on the monotonic clock.
     pub fn now(&self) -> Micros {
-        Micros(self.0.elapsed().as_micros() as u64).plus(OFFSET)
+        Micros(self.started_at.elapsed().as_micros() as u64).plus(START)
     }
 
-    /// Time of day.
+    /// The time of day.
     pub fn wall(&self) -> Micros {
-        Micros(
-            SystemTime::now()
-                .duration_since(UNIX_EPOCH)
-                .map_or(0, |d| d.as_micros() as u64),
-        )
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        Micros(since_epoch.map_or(0, |elapsed| elapsed.as_micros() as u64))
     }
 
+    /// How long it is until a time on the monotonic clock; zero if that has passed.
     pub fn until(&self, at: Micros) -> Duration {
         Duration::from_micros(at.since(self.now()).0)
     }
--- a/crates/saltpitch/src/connection_limit.rs
+++ b/crates/saltpitch/src/connection_limit.rs
@@ -1,58 +1,120 @@
 //! The open connections of users and agents, kept within this node's share of sockets: the rest are
-//! for the store, the cloud, the machines and the peers. A site may have more machines than a node
-//! has sockets, so the connections of agents that have been quiet for longest give way to new ones.
-//! Machines that died or were returned leave theirs half open: these go first.
+//! for the store, the cloud, the machines and the peers.
+//!
+//! A site may have more machines than a node has sockets, so the agents' connections that have been idle
+//! for longest are closed in favour of new ones. Machines that failed or were returned leave theirs half
+//! open; since nothing arrives on these any more, they are the first to be closed.
+
+mod acceptor;
 
 use std::collections::HashMap;
-use std::io;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard};
-use std::task::{Context, Poll, Waker};
+use std::sync::{Arc, Mutex};
+use std::task::Waker;
 
-use poem::http::uri::Scheme;
-use poem::listener::Acceptor;
-use poem::web::{LocalAddr, RemoteAddr};
 use saltpitch_core::Micros;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use crate::clock::Clock;
 use crate::mutex::lock;
 
-/// An agent's connection gives way when it has been quiet for this long: heartbeats are answered at
-/// once, so that nothing is under way on it.
-const QUIET_WORKER: Micros = Micros::from_secs(1);
+pub use acceptor::LimitedAcceptor;
+
+/// An agent's connection may be closed when it has been idle for this long: heartbeats are answered at
+/// once, so that no request is in flight on it.
+const AGENT_IDLE: Micros = Micros::from_secs(1);
 /// Any other connection: users ask every few seconds.
-const QUIET: Micros = Micros::from_secs(60);
-/// How many make room at a time, as a part of the limit.
-const BATCH: usize = 16;
-/// When nobody can make room, nobody is asked again for this long.
-const FRUITLESS: Micros = Micros::from_millis(100);
+const USER_IDLE: Micros = Micros::from_secs(60);
+/// One connection in so many, counted from the limit, is closed at a time.
+const EVICTION_DIVISOR: usize = 16;
+/// When no connection was idle, none is looked for again for this long.
+const EVICTION_RETRY: Micros = Micros::from_millis(100);
 
+/// One accepted connection.
 struct Connection {
-    used: AtomicU64,
-    worker: AtomicBool,
-    /// To be closed by its own task.
-    over: AtomicBool,
+    /// When something last arrived on it, in microseconds.
+    last_read_at: AtomicU64,
+    /// Whether heartbeats come by it.
+    is_agent: AtomicBool,
+    /// Whether it is to be closed, which its own task does.
+    closing: AtomicBool,
+    /// Wakes that task.
     waker: Mutex<Option<Waker>>,
 }
 
+impl Connection {
+    fn new(now: Micros) -> Connection {
+        Connection {
+            last_read_at: AtomicU64::new(now.0),
+            is_agent: AtomicBool::new(false),
+            closing: AtomicBool::new(false),
+            waker: Mutex::new(None),
+        }
+    }
+
+    fn is_closing(&self) -> bool {
+        self.closing.load(Ordering::Relaxed)
+    }
+
+    fn last_read_at(&self) -> Micros {
+        Micros(self.last_read_at.load(Ordering::Relaxed))
+    }
+
+    fn record_read(&self, now: Micros) {
+        self.last_read_at.store(now.0, Ordering::Relaxed);
+    }
+
+    /// Whether it has been idle for long enough to be closed.
+    fn is_evictable(&self, now: Micros) -> bool {
+        let min_idle = if self.is_agent.load(Ordering::Relaxed) {
+            AGENT_IDLE
+        } else {
+            USER_IDLE
+        };
+        now.since(self.last_read_at()) >= min_idle && !self.is_closing()
+    }
+
+    /// Has its task close it.
+    fn close(&self) {
+        self.closing.store(true, Ordering::Relaxed);
+        let waker = lock(&self.waker).take();
+        if let Some(waker) = waker {
+            waker.wake();
+        }
+    }
+
+    /// Remembers the task that reads from it.
+    fn set_waker(&self, waker: &Waker) {
+        let mut known = lock(&self.waker);
+        if !known.as_ref().is_some_and(|known| known.will_wake(waker)) {
+            *known = Some(waker.clone());
+        }
+    }
+}
+
 #[derive(Default)]
-struct Table {
+struct ConnectionTable {
     open: HashMap<SocketAddr, Arc<Connection>>,
-    /// Of these, told to close.
-    leaving: usize,
-    search_after: Micros,
+    /// How many of these are closing.
+    closing: usize,
+    /// No idle connections are looked for before this time.
+    next_eviction_at: Micros,
+}
+
+impl ConnectionTable {
+    /// Connections that will stay open.
+    fn remaining(&self) -> usize {
+        self.open.len() - self.closing
+    }
 }
 
 /// All connections accepted from users and agents.
 pub struct Connections {
     limit: usize,
-    table: Mutex<Table>,
+    table: Mutex<ConnectionTable>,
 }
 
 impl Connections {
+    /// No connections yet, and at most `limit`.
     pub fn new(limit: usize) -> Connections {
         Connections {
             limit: limit.max(1),
@@ -60,272 +122,74 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Table> {
-        lock(&self.table)
-    }
-
-    /// A connection was accepted. None: it is one too many, and to be closed at once.
+    /// Enters a new connection. `None`: it is one too many, and to be closed at once.
     fn admit(&self, from: SocketAddr, now: Micros) -> Option<Arc<Connection>> {
-        let mut t = self.lock();
-        if t.open.len() - t.leaving >= self.limit && !self.make_room(&mut t, now) {
+        let mut table = lock(&self.table);
+        if table.remaining() >= self.limit && !self.evict_idle(&mut table, now) {
             return None;
         }
-        let c = Arc::new(Connection {
-            used: AtomicU64::new(now.0),
-            worker: AtomicBool::new(false),
-            over: AtomicBool::new(false),
-            waker: Mutex::new(None),
-        });
-        let old = t.open.insert(from, c.clone());
-        if old.is_some_and(|old| old.over.load(Ordering::Relaxed)) {
-            t.leaving -= 1;
+        let connection = Arc::new(Connection::new(now));
+        let replaced = table.open.insert(from, connection.clone());
+        if replaced.is_some_and(|replaced| replaced.is_closing()) {
+            table.closing -= 1;
         }
-        Some(c)
+        Some(connection)
     }
 
-    /// Tells those that have been quiet for longest to close.
-    fn make_room(&self, t: &mut Table, now: Micros) -> bool {
-        if now < t.search_after {
+    /// Closes some of those that have been idle for longest; whether there were any.
+    fn evict_idle(&self, table: &mut ConnectionTable, now: Micros) -> bool {
+        if now < table.next_eviction_at {
             return false;
         }
-        let mut quiet: Vec<(u64, &Arc<Connection>)> = Vec::new();
-        for c in t.open.values() {
-            let used = c.used.load(Ordering::Relaxed);
-            let least = match c.worker.load(Ordering::Relaxed) {
-                true => QUIET_WORKER,
-                false => QUIET,
-            };
-            if now.since(Micros(used)) >= least && !c.over.load(Ordering::Relaxed) {
-                quiet.push((used, c));
-            }
+        let mut idle: Vec<(Micros, &Arc<Connection>)> = table
+            .open
+            .values()
+            .filter(|connection| connection.is_evictable(now))
+            .map(|connection| (connection.last_read_at(), connection))
+            .collect();
+        idle.sort_unstable_by_key(|(last_read_at, _)| *last_read_at);
+        idle.truncate((self.limit / EVICTION_DIVISOR).max(1));
+        let evicted = idle.len();
+        for (_, connection) in idle {
+            connection.close();
         }
-        quiet.sort_unstable_by_key(|q| q.0);
-        quiet.truncate((self.limit / BATCH).max(1));
-        let found = quiet.len();
-        for (_, c) in quiet {
-            c.over.store(true, Ordering::Relaxed);
-            let waker = lock(&c.waker).take();
-            if let Some(w) = waker {
-                w.wake();
-            }
+        table.closing += evicted;
+        if evicted == 0 {
+            table.next_eviction_at = now.plus(EVICTION_RETRY);
         }
-        t.leaving += found;
-        if found == 0 {
-            t.search_after = now.plus(FRUITLESS);
+        evicted > 0
+    }
+
+    /// Removes a connection that has been closed.
+    fn release(&self, from: SocketAddr, connection: &Arc<Connection>) {
+        let mut table = lock(&self.table);
+        // Another connection from the same address may have taken its place.
+        let is_current = table
+            .open
+            .get(&from)
+            .is_some_and(|current| Arc::ptr_eq(current, connection));
+        if !is_current {
+            return;
         }
-        found > 0
-    }
-
-    fn closed(&self, from: SocketAddr, c: &Arc<Connection>) {
-        let mut t = self.lock();
-        if t.open.get(&from).is_some_and(|here| Arc::ptr_eq(here, c)) {
-            t.open.remove(&from);
-            if c.over.load(Ordering::Relaxed) {
-                t.leaving -= 1;
-            }
+        table.open.remove(&from);
+        if connection.is_closing() {
+            table.closing -= 1;
         }
     }
 
-    /// A heartbeat came by this connection.
+    /// Notes that a heartbeat came by the connection from this address.
     pub fn mark_agent(&self, from: &SocketAddr) {
-        if let Some(c) = self.lock().open.get(from) {
-            c.worker.store(true, Ordering::Relaxed);
+        if let Some(connection) = lock(&self.table).open.get(from) {
+            connection.is_agent.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Whether an agent is to open a new connection for its next heartbeat.
+    /// Whether more than two thirds of the limit are taken, so that agents are to open a new connection
+    /// for their next heartbeat.
     pub fn is_crowded(&self) -> bool {
-        let t = self.lock();
-        (t.open.len() - t.leaving) * 3 > self.limit * 2
-    }
-}
-
-/// Accepts whoever comes, so that nobody waits where the kernel counts sockets, and closes at once
-/// what is too much: an agent then asks another node.
-pub struct Bounded<A> {
-    inner: A,
-    clock: Clock,
-    all: Arc<Connections>,
-}
-
-impl<A> Bounded<A> {
-    pub fn new(inner: A, clock: Clock, all: Arc<Connections>) -> Bounded<A> {
-        Bounded { inner, clock, all }
-    }
-}
-
-impl<A: Acceptor> Acceptor for Bounded<A> {
-    type Io = Counted<A::Io>;
-
-    fn local_addr(&self) -> Vec<LocalAddr> {
-        self.inner.local_addr()
-    }
-
-    async fn accept(&mut self) -> io::Result<(Self::Io, LocalAddr, RemoteAddr, Scheme)> {
-        loop {
-            let (io, local, remote, scheme) = match self.inner.accept().await {
-                Ok(accepted) => accepted,
-                Err(e) => {
-                    // Out of sockets after all: not to be asked again at once.
-                    tokio::time::sleep(std::time::Duration::from_millis(50)).await;
-                    return Err(e);
-                }
-            };
-            let Some(&from) = remote.as_socket_addr() else {
-                continue;
-            };
-            if let Some(this) = self.all.admit(from, self.clock.now()) {
-                let io = Counted {
-                    io,
-                    from,
-                    this,
-                    clock: self.clock,
-                    all: self.all.clone(),
-                };
-                return Ok((io, local, remote, scheme));
-            }
-        }
-    }
-}
-
-/// A connection that gives its place back when it is dropped, and closes when it is told to.
-pub struct Counted<I> {
-    io: I,
-    from: SocketAddr,
-    this: Arc<Connection>,
-    clock: Clock,
-    all: Arc<Connections>,
-}
-
-impl<I> Drop for Counted<I> {
-    fn drop(&mut self) {
-        self.all.closed(self.from, &self.this);
-    }
-}
-
-impl<I: AsyncRead + Unpin> AsyncRead for Counted<I> {
-    fn poll_read(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        if self.this.over.load(Ordering::Relaxed) {
-            // The end of the stream: nothing more is read from it.
-            return Poll::Ready(Ok(()));
-        }
-        let read = Pin::new(&mut self.io).poll_read(cx, buf);
-        if read.is_ready() {
-            self.this.used.store(self.clock.now().0, Ordering::Relaxed);
-        } else {
-            let mut waker = lock(&self.this.waker);
-            if !waker.as_ref().is_some_and(|w| w.will_wake(cx.waker())) {
-                *waker = Some(cx.waker().clone());
-            }
-        }
-        read
-    }
-}
-
-impl<I: AsyncWrite + Unpin> AsyncWrite for Counted<I> {
-    fn poll_write(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.io).poll_write(cx, buf)
-    }
-
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.io).poll_flush(cx)
-    }
-
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.io).poll_shutdown(cx)
-    }
-
-    fn poll_write_vectored(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.io).poll_write_vectored(cx, bufs)
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        self.io.is_write_vectored()
+        lock(&self.table).remaining() * 3 > self.limit * 2
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::collections::hash_map::Entry;
-
-    fn addr(n: u32) -> SocketAddr {
-        SocketAddr::from((n.to_be_bytes(), 9))
-    }
-
-    /// What a leader with `limit` places sees in a minute of `agents` machines reporting every 8 s,
-    /// each on a connection of its own that it never closes: how many were turned away.
-    fn turned_away(limit: usize, workers: u32) -> usize {
-        let all = Connections::new(limit);
-        let mut open: HashMap<SocketAddr, Arc<Connection>> = HashMap::new();
-        let mut away = 0;
-        for step in 0..workers * 8 {
-            let now = Micros(u64::from(step) * 8_000_000 / u64::from(workers)).plus(QUIET);
-            let from = addr(step % workers);
-            // Whoever was told to close has closed by then.
-            let gone = |c: &Arc<Connection>| c.over.load(Ordering::Relaxed);
-            for (a, c) in open.extract_if(|_, c| gone(c)) {
-                all.closed(a, &c);
-            }
-            if let Entry::Vacant(place) = open.entry(from) {
-                match all.admit(from, now) {
-                    Some(c) => drop(place.insert(c)),
-                    None => away += 1,
-                }
-            }
-            if let Some(c) = open.get(&from) {
-                c.used.store(now.0, Ordering::Relaxed);
-                all.mark_agent(&from);
-            }
-            // Those told to close are still there for a moment.
-            assert!(open.len() <= limit + limit / BATCH, "{} open", open.len());
-        }
-        away
-    }
-
-    /// Quiet agents give way in time whether there are more of them than places or not.
-    #[test]
-    fn more_workers_than_sockets_are_all_heard() {
-        assert_eq!(turned_away(1_750, 500), 0);
-        assert_eq!(turned_away(1_750, 3_000), 0);
-    }
-
-    /// Connections of dead machines, and of users who went away, don't keep others out; those of
-    /// users who ask do not give way to agents.
-    #[test]
-    fn the_dead_go_and_users_stay() {
-        let all = Connections::new(100);
-        let at = |s: u64| Micros::from_secs(1_000 + s);
-        let users: Vec<_> = (0..40).map(|n| all.admit(addr(n), at(0))).collect();
-        let _workers: Vec<_> = (40..100)
-            .map(|n| {
-                let c = all.admit(addr(n), at(0));
-                all.mark_agent(&addr(n));
-                c
-            })
-            .collect();
-        assert!(all.is_crowded());
-        assert!(all.admit(addr(200), at(0)).is_none(), "nobody is quiet");
-        for n in 200..260 {
-            assert!(all.admit(addr(n), at(2)).is_some(), "dead workers go");
-        }
-        let over =
-            |c: &Option<Arc<Connection>>| c.as_ref().is_none_or(|c| c.over.load(Ordering::Relaxed));
-        assert!(!users.iter().any(over), "users stay");
-        assert!(all.admit(addr(300), at(30)).is_none());
-        assert!(all.admit(addr(301), at(61)).is_some());
-        assert!(users.iter().any(over), "silent for a minute");
-    }
-}
+mod tests;
--- a/crates/saltpitch/src/server.rs
+++ b/crates/saltpitch/src/server.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 
 use crate::api::Api;
-use crate::connection_limit::Bounded;
+use crate::connection_limit::LimitedAcceptor;
 use crate::node::Node;
 use crate::settings::Settings;
 use crate::{cells, cloud_sync, effects, leadership, peer, record_sync};
@@ -36,7 +36,7 @@
     cells::start(&node).await?;
     let cannot_serve = || format!("cannot serve on api_addr {api}");
     let acceptor = listen(api, backlog).with_context(cannot_serve)?;
-    let acceptor = Bounded::new(acceptor, node.clock, node.connections.clone());
+    let acceptor = LimitedAcceptor::new(acceptor, node.clock, node.connections.clone());
     Server::new_with_acceptor(acceptor)
         .idle_timeout(IDLE_TIMEOUT)
         .run(Api(node))
