--- a/crates/saltpitch/src/settings.rs
+++ b/crates/saltpitch/src/settings.rs
@@ -337,3 +337,6 @@
     }
     Ok(teams)
 }
+
+#[cfg(test)]
+mod tests;
