--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -69,15 +69,16 @@
 
 /// Carries the command out.
 pub async fn run(config: &Path, command: &CellsCommand) -> Result<(), CommandError> {
-    let settings = Settings::load(config, None, None).map_err(CommandError::Settings)?;
+    let settings =
+        Settings::load(config, None, None).map_err(|error| CommandError::Settings(error.into()))?;
     let client = Arc::new(Client::new(KEPT_ADDRESSES));
     let limits = settings.store.clone();
     let store = StoreClient::new(
         client,
-        settings.state,
+        settings.store_addr,
         Clock::start(),
         limits,
-        settings.size,
+        settings.controllers,
     );
     let records = read(&store).await?;
     match command {
--- a/crates/saltpitch/src/cloud.rs
+++ b/crates/saltpitch/src/cloud.rs
@@ -21,9 +21,6 @@
 /// other controllers, which read the catalogue when they start.
 const LIST_SHARE: f64 = 0.15;
 const CALLS_SHARE: f64 = 0.8;
-/// The fraction of the cloud's rate up to which the scheduler asks for machines; returns have the rest
-/// of [`CALLS_SHARE`].
-pub const SCALE_OUT_SHARE: f64 = 0.65;
 /// Calls that may come at once, in seconds of the cloud's rate: it allows two.
 const BURST_SECONDS: f64 = 1.5;
 
--- a/crates/saltpitch/src/main.rs
+++ b/crates/saltpitch/src/main.rs
@@ -16,6 +16,7 @@
 mod node;
 mod peer;
 mod peer_link;
+mod rate_shares;
 mod record_sync;
 mod responses;
 mod server;
--- a/crates/saltpitch/src/node.rs
+++ b/crates/saltpitch/src/node.rs
@@ -102,15 +102,15 @@
         let http = Arc::new(Client::new(settings.sockets * KEPT_PERCENT / 100));
         let store = StoreClient::new(
             http.clone(),
-            settings.state,
+            settings.store_addr,
             clock,
             settings.store.clone(),
-            settings.size,
+            settings.controllers,
         );
-        let cloud = Cloud::new(http.clone(), settings.cloud, clock, settings.cloud_rps);
+        let cloud = Cloud::new(http.clone(), settings.cloud_addr, clock, settings.cloud_rps);
         let mut rng = SmallRng::from_os_rng();
         let process = rng.random();
-        let controller = Controller::new(settings.controller(), process, clock.wall().0);
+        let controller = Controller::new(settings.controller_config(), process, clock.wall().0);
         let cells = settings.cells.clone().map(Cells::new);
         let accepted = settings.sockets * ACCEPTED_PERCENT / 100;
         Node {
--- a/crates/saltpitch/src/server.rs
+++ b/crates/saltpitch/src/server.rs
@@ -25,7 +25,7 @@
 
 /// Runs a controller until the process is killed.
 pub async fn serve(settings: Settings) -> Result<()> {
-    let (api, peer_bind) = (settings.api, settings.peer_bind);
+    let (api_addr, peer_bind) = (settings.api_addr, settings.peer_bind);
     let backlog = settings.sockets * BACKLOG_PERCENT / 100;
     let node = Arc::new(Node::new(settings));
     let peer_listener = TcpListener::bind(peer_bind)
@@ -34,8 +34,8 @@
     tracing::info!("node {} starts", node.settings.node);
     spawn_tasks(&node, peer_listener);
     cells::start(&node).await?;
-    let cannot_serve = || format!("cannot serve on api_addr {api}");
-    let acceptor = listen(api, backlog).with_context(cannot_serve)?;
+    let cannot_serve = || format!("cannot serve on api_addr {api_addr}");
+    let acceptor = listen(api_addr, backlog).with_context(cannot_serve)?;
     let acceptor = LimitedAcceptor::new(acceptor, node.clock, node.connections.clone());
     Server::new_with_acceptor(acceptor)
         .idle_timeout(IDLE_TIMEOUT)
--- a/crates/saltpitch/src/settings.rs
+++ b/crates/saltpitch/src/settings.rs
@@ -1,86 +1,128 @@
-//! The platform's settings file: read once at start, checked field by field.
+//! The settings of a controller: the platform's file, the operators' policy and their file on cells, read
+//! once at start and checked field by field.
 
+pub mod contradictions;
+mod error;
+mod fields;
+mod sections;
+
+use std::fmt;
 use std::net::SocketAddr;
 use std::path::Path;
 
-use anyhow::{bail, Context, Result};
 use saltpitch_cells::settings::{CellsSettings, Site};
 use saltpitch_core::controller::{ControllerConfig, PeerIdentity};
 use saltpitch_core::policy::Policy;
 use saltpitch_core::quota::TeamLimits;
-use saltpitch_core::scheduler::{Objective, ObjectiveTarget, SchedulerConfig};
+use saltpitch_core::scheduler::{Objective, SchedulerConfig};
 use saltpitch_core::Micros;
-use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::Value;
 
-pub mod contradictions;
+use self::fields::Fields;
+use crate::rate_shares::{leader_change_share, SCALE_OUT_SHARE};
+
+pub use error::SettingsError;
 
-/// Keys of the log: about three minutes of it, a few megabytes in the store. All nodes of a site
-/// must agree on it.
-const LOG_RING: u64 = 2_048;
+/// Segments of the placement log: about three minutes of it, a few megabytes in the store. All
+/// controllers of a site must agree on it.
+const LOG_SEGMENTS: u64 = 2_048;
+/// The most bytes of one transaction.
+const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
 
-/// Direct calls to machines that may be under way at a time: one for so many sockets, so that a site with
-/// more machines, and hence more sockets, reaches all of them in the same time; and at least.
-const SOCKETS_PER_CALL: usize = 40;
-const MIN_CALLS: usize = 24;
+/// Commands to machines that may be in flight at a time: one for so many sockets, so that a site with more
+/// machines, and hence more sockets, reaches all of them in the same time; and at least.
+const SOCKETS_PER_COMMAND: usize = 40;
+const MIN_COMMANDS_IN_FLIGHT: usize = 24;
 
+/// The settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// This controller's name.
     pub node: String,
+    /// Its zone.
     pub zone: String,
-    pub api: SocketAddr,
+    /// Where it listens for users and agents.
+    pub api_addr: SocketAddr,
+    /// Where it listens for the other controllers.
     pub peer_bind: SocketAddr,
+    /// The other controllers.
     pub peers: Vec<Peer>,
-    pub cloud: SocketAddr,
-    pub state: SocketAddr,
+    /// The cloud's address.
+    pub cloud_addr: SocketAddr,
+    /// The state service's address.
+    pub store_addr: SocketAddr,
+    /// The site's zones.
     pub zones: Vec<String>,
-    pub size: usize,
+    /// The number of controllers.
+    pub controllers: usize,
+    /// The teams' guarantees and quotas.
     pub teams: Vec<TeamLimits>,
-    pub workers: Workers,
+    /// What the agents keep to.
+    pub agents: AgentTimings,
+    /// The state service's limits.
     pub store: StoreLimits,
+    /// Requests a second that the cloud takes from the site.
     pub cloud_rps: f64,
+    /// How long after a change the cloud's list of machines shows it at the latest.
     pub list_lag: Micros,
+    /// Sockets that this process may have open.
     pub sockets: usize,
+    /// The service-level objectives of classes.
     pub objectives: Vec<Objective>,
+    /// How soon work within a team's guarantee is to start.
     pub guarantee_within: Micros,
     /// The operators' own rules, on top of the built-in ones.
     pub policy: Policy,
-    /// The operators' file on other cells.
+    /// The operators' file on cells.
     pub cells: Option<CellsSettings>,
 }
 
+/// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
+    /// Its name.
     pub node: String,
+    /// Its zone.
     #[serde(default, rename = "location")]
     pub zone: String,
+    /// Where it listens for other controllers.
     pub addr: SocketAddr,
 }
 
+/// What the agents keep to.
 #[derive(Clone, Debug)]
-pub struct Workers {
-    pub report: Micros,
+pub struct AgentTimings {
+    /// The time between two heartbeats of an agent.
+    pub heartbeat_interval: Micros,
+    /// How long after its last answer an agent stops its tasks.
     pub lease: Micros,
+    /// How long a gang's tasks run on without one of them.
     pub gang_peer: Micros,
+    /// The time within which the tasks of a cancelled job must have ended.
     pub cancel: Micros,
 }
 
+/// The state service's limits.
 #[derive(Clone, Debug)]
 pub struct StoreLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// Changes a second.
     pub write_rps: f64,
-    /// The most that is written: the smaller of the present and the next limits, since the latter come
-    /// into force without notice.
+    /// The longest value that is written: the smaller one of the present and the next limits, since the
+    /// latter come into force without notice.
     pub max_value_bytes: usize,
+    /// The most writes of a transaction, in the same way.
     pub max_transaction_writes: usize,
-    /// The rates of the next limits, or the present ones if there are none.
+    /// Requests a second of the next limits, or of the present ones if there are none.
     pub next_rps: f64,
+    /// Changes a second of the next limits, or of the present ones if there are none.
     pub next_write_rps: f64,
 }
 
-impl std::fmt::Display for StoreLimits {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for StoreLimits {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "{} requests and {} changes a second, next {} and {}; nothing above {} bytes a value and {} changes a transaction is written",
@@ -94,57 +136,16 @@
     }
 }
 
-/// Looks up fields by their path, so that every complaint names one.
-struct Fields<'a>(&'a Value);
-
-impl Fields<'_> {
-    fn value(&self, path: &str) -> Result<&Value> {
-        let mut v = self.0;
-        for part in path.split('.') {
-            v = v
-                .get(part)
-                .with_context(|| format!("settings: field `{path}` is missing"))?;
-        }
-        Ok(v)
-    }
-
-    fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
-        T::deserialize(self.value(path)?)
-            .map_err(|e| anyhow::anyhow!("settings: field `{path}` is invalid: {e}"))
-    }
-
-    fn number(&self, path: &str, min: f64, max: f64) -> Result<f64> {
-        let n: f64 = self.get(path)?;
-        if !n.is_finite() || n < min || n > max {
-            bail!("settings: field `{path}` must lie between {min} and {max}, not {n}");
-        }
-        Ok(n)
-    }
-
-    fn span(&self, path: &str) -> Result<Micros> {
-        Ok(Micros::from_secs_f64(self.number(path, 0.001, 1e6)?))
-    }
-
-    fn text(&self, path: &str) -> Result<String> {
-        let s: String = self.get(path)?;
-        if s.is_empty() || s.len() > 200 {
-            bail!("settings: field `{path}` must have 1 to 200 characters");
-        }
-        Ok(s)
-    }
-}
-
 impl Settings {
-    /// Reads the platform's file and, if there are any, the operators' policy and their file on other cells.
-    pub fn load(path: &Path, policy: Option<&Path>, cells: Option<&Path>) -> Result<Settings> {
-        let text = std::fs::read_to_string(path)
-            .with_context(|| format!("settings: cannot read {}", path.display()))?;
-        let mut settings = Settings::parse(&text)?;
+    /// Reads the platform's file and, if there are any, the operators' policy and their file on cells.
+    pub fn load(
+        path: &Path,
+        policy: Option<&Path>,
+        cells: Option<&Path>,
+    ) -> Result<Settings, SettingsError> {
+        let mut settings = Settings::parse(&read("settings", path)?)?;
         if let Some(path) = policy {
-            let text = std::fs::read_to_string(path)
-                .with_context(|| format!("policy: cannot read {}", path.display()))?;
-            settings.policy = Policy::parse(&text)
-                .map_err(|e| anyhow::anyhow!("policy: {}:{e}", path.display()))?;
+            settings.policy = load_policy(path)?;
         }
         if let Some(path) = cells {
             settings.cells = Some(settings.load_cells(path)?);
@@ -152,64 +153,60 @@
         Ok(settings)
     }
 
-    fn load_cells(&self, path: &Path) -> Result<CellsSettings> {
-        let text = std::fs::read_to_string(path)
-            .with_context(|| format!("cells: cannot read {}", path.display()))?;
+    fn load_cells(&self, path: &Path) -> Result<CellsSettings, SettingsError> {
+        let text = read("cells", path)?;
         let site = Site {
             node: &self.node,
-            listens: &[("api_addr", self.api), ("peer_bind", self.peer_bind)],
+            listens: &[("api_addr", self.api_addr), ("peer_bind", self.peer_bind)],
             teams: &self.teams,
-            controllers: self.size,
+            controllers: self.controllers,
             max_transaction_writes: self.store.max_transaction_writes,
         };
         Ok(CellsSettings::parse(&text, &site)?)
     }
 
-    pub fn parse(text: &str) -> Result<Settings> {
-        let root: Value = serde_json::from_str(text).context("settings: not valid JSON")?;
+    /// Reads the platform's settings. Fields are checked in a fixed order; the error names the first
+    /// wrong one.
+    pub fn parse(text: &str) -> Result<Settings, SettingsError> {
+        let root: Value = serde_json::from_str(text).map_err(SettingsError::NotJson)?;
         if !root.is_object() {
-            bail!("settings: not a JSON object");
+            return Err(SettingsError::NotAnObject);
         }
-        let f = Fields(&root);
-        let s = Settings {
-            node: f.text("node")?,
-            zone: f.text("location")?,
-            api: f.get("api_addr")?,
-            peer_bind: f.get("peer_bind")?,
-            peers: f.get("seeds")?,
-            cloud: f.get("external.cloud")?,
-            state: f.get("external.state")?,
-            zones: f.get("cluster.zones")?,
-            size: f.number("cluster.size", 1.0, 100.0)? as usize,
-            teams: teams(&f)?,
-            workers: Workers {
-                report: f.span("cluster.workers.report_s")?,
-                lease: f.span("cluster.workers.lease_s")?,
-                gang_peer: f.span("cluster.workers.gang_peer_s")?,
-                cancel: f.span("cluster.workers.cancel_s")?,
-            },
-            store: store_limits(&f)?,
-            cloud_rps: f.number("cluster.cloud.rps", 0.1, 1e5)?,
-            list_lag: f.span("cluster.cloud.list_lag_s")?,
-            objectives: objectives(&f)?,
-            sockets: f.number("cluster.limits.sockets", 32.0, 1e7)? as usize,
-            guarantee_within: guarantee(&f),
+        let fields = Fields(&root);
+        let settings = Settings {
+            node: fields.text("node")?,
+            zone: fields.text("location")?,
+            api_addr: fields.get("api_addr")?,
+            peer_bind: fields.get("peer_bind")?,
+            peers: fields.get("seeds")?,
+            cloud_addr: fields.get("external.cloud")?,
+            store_addr: fields.get("external.state")?,
+            zones: fields.get("cluster.zones")?,
+            controllers: fields.number("cluster.size", 1.0, 100.0)? as usize,
+            teams: sections::teams(&fields)?,
+            agents: sections::agent_timings(&fields)?,
+            store: sections::store_limits(&fields)?,
+            cloud_rps: fields.number("cluster.cloud.rps", 0.1, 1e5)?,
+            list_lag: fields.span("cluster.cloud.list_lag_s")?,
+            objectives: sections::objectives(&fields)?,
+            sockets: fields.number("cluster.limits.sockets", 32.0, 1e7)? as usize,
+            guarantee_within: sections::guarantee_within(&fields),
             policy: Policy::default(),
             cells: None,
         };
-        // Nothing that is promised rests on the time of day; what the file says is checked all the same.
-        f.number("cluster.clock_error_ms", 0.0, 1e6)?;
-        contradictions::check(&s)?;
-        Ok(s)
+        // No guarantee depends on the time of day, so the value is not used; it is checked all the same.
+        fields.number("cluster.clock_error_ms", 0.0, 1e6)?;
+        contradictions::check(&settings)?;
+        Ok(settings)
     }
 
-    /// What still works but is worth a look.
+    /// Everything in these settings that works but is worth a look.
     pub fn warnings(&self) -> Vec<contradictions::Warning> {
         contradictions::warnings(self)
     }
 
-    /// What a controller has to know about itself and the site.
-    pub fn controller(&self) -> ControllerConfig {
+    /// What the state machine of a controller has to know about itself and the site.
+    pub fn controller_config(&self) -> ControllerConfig {
         let identity = |peer: &Peer| PeerIdentity {
             name: peer.node.clone(),
             zone: peer.zone.clone(),
@@ -218,27 +215,27 @@
             name: self.node.clone(),
             zone: self.zone.clone(),
             peers: self.peers.iter().map(identity).collect(),
-            scheduler: self.scheduler(),
+            scheduler: self.scheduler_config(),
             knows_delegations: self.cells.is_some(),
         }
     }
 
-    /// The scheduler's part of the settings.
-    fn scheduler(&self) -> SchedulerConfig {
+    fn scheduler_config(&self) -> SchedulerConfig {
+        let change_share = leader_change_share(self.controllers);
         SchedulerConfig {
-            heartbeat_interval: self.workers.report,
-            lease: self.workers.lease,
-            gang_peer: self.workers.gang_peer,
-            cancel: self.workers.cancel,
-            nodes: self.size,
-            calls: (self.sockets / SOCKETS_PER_CALL).max(MIN_CALLS),
+            heartbeat_interval: self.agents.heartbeat_interval,
+            lease: self.agents.lease,
+            gang_peer: self.agents.gang_peer,
+            cancel: self.agents.cancel,
+            nodes: self.controllers,
+            calls: (self.sockets / SOCKETS_PER_COMMAND).max(MIN_COMMANDS_IN_FLIGHT),
             max_transaction_writes: self.store.max_transaction_writes,
-            max_transaction_bytes: 56 * 1024,
-            write_rate: self.store.write_rps * crate::store::leader_share(self.size),
-            next_write_rate: self.store.next_write_rps * crate::store::leader_share(self.size),
+            max_transaction_bytes: MAX_TRANSACTION_BYTES,
+            write_rate: self.store.write_rps * change_share,
+            next_write_rate: self.store.next_write_rps * change_share,
             max_value_bytes: self.store.max_value_bytes,
-            scale_out_rate: self.cloud_rps * crate::cloud::SCALE_OUT_SHARE,
-            log_segments: LOG_RING,
+            scale_out_rate: self.cloud_rps * SCALE_OUT_SHARE,
+            log_segments: LOG_SEGMENTS,
             teams: self.teams.clone(),
             objectives: self.objectives.clone(),
             guarantee_within: self.guarantee_within,
@@ -247,95 +244,21 @@
     }
 }
 
-/// The store's limits, present and next. A settings file without `next` has only the former.
-fn store_limits(f: &Fields) -> Result<StoreLimits> {
-    let rps = f.number("cluster.state.rps", 1.0, 1e6)?;
-    let write_rps = f.number("cluster.state.write_rps", 1.0, 1e6)?;
-    let value_kb = f.number("cluster.state.value_kb", 4.0, 1e5)?;
-    let max_transaction_writes = f.number("cluster.state.txn_ops", 2.0, 1e4)?;
-    let there = |path: &str| f.value(path).is_ok_and(|v| !v.is_null());
-    if there("cluster.state.next") && !f.value("cluster.state.next")?.is_object() {
-        bail!("settings: field `cluster.state.next` must be an object");
-    }
-    // A limit that the next ones don't name stays as it is.
-    let next = |name: &str, min: f64, max: f64, present: f64| -> Result<f64> {
-        let path = format!("cluster.state.next.{name}");
-        if there(&path) {
-            f.number(&path, min, max)
-        } else {
-            Ok(present)
-        }
-    };
-    Ok(StoreLimits {
-        rps,
-        write_rps,
-        max_value_bytes: (next("value_kb", 1.0, 1e5, value_kb)?.min(value_kb) * 1024.0) as usize,
-        max_transaction_writes: next("txn_ops", 2.0, 1e4, max_transaction_writes)?
-            .min(max_transaction_writes) as usize,
-        next_rps: next("rps", 1.0, 1e6, rps)?.min(rps),
-        next_write_rps: next("write_rps", 1.0, 1e6, write_rps)?.min(write_rps),
+/// Reads a file; `file` says in errors which one it is.
+fn read(file: &'static str, path: &Path) -> Result<String, SettingsError> {
+    std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
+        file,
+        path: path.to_owned(),
+        source,
     })
 }
 
-/// The aims on classes; kinds that say nothing of when to start or finish are passed over.
-fn objectives(f: &Fields) -> Result<Vec<Objective>> {
-    if f.value("cluster.objectives").is_err() {
-        return Ok(Vec::new());
-    }
-    let list: Vec<Value> = f.get("cluster.objectives")?;
-    let mut all = Vec::new();
-    for (i, o) in list.iter().enumerate() {
-        let o = Fields(o);
-        let place = || format!("settings: field `cluster.objectives[{i}]`");
-        let target = match o.text("kind").with_context(place)?.as_str() {
-            "wait" => ObjectiveTarget::Started(o.span("within_s").with_context(place)?),
-            "finished" => ObjectiveTarget::Finished(o.span("within_s").with_context(place)?),
-            "deadline" => {
-                ObjectiveTarget::Deadline(o.number("times", 0.01, 1e3).with_context(place)?)
-            }
-            _ => continue,
-        };
-        let class = o.text("class").with_context(place)?;
-        all.push(Objective { class, target });
-    }
-    Ok(all)
-}
-
-/// How soon work within a team's guarantee is to start, if the aims say so.
-fn guarantee(f: &Fields) -> Micros {
-    let list: Vec<Value> = f.get("cluster.objectives").unwrap_or_default();
-    list.iter()
-        .filter(|o| o.get("kind").and_then(Value::as_str) == Some("guarantee"))
-        .filter_map(|o| Fields(o).span("within_s").ok())
-        .min()
-        .unwrap_or(Micros::from_secs(30))
-}
-
-fn teams(f: &Fields) -> Result<Vec<TeamLimits>> {
-    let list: Vec<Value> = f.get("cluster.teams")?;
-    let mut teams = Vec::new();
-    for (i, t) in list.iter().enumerate() {
-        let t = Fields(t);
-        let amount = |name: &str| -> Result<u64> {
-            if t.0.get(name).is_none_or(Value::is_null) {
-                return Ok(0);
-            }
-            let n = t
-                .number(name, 0.0, 1e9)
-                .with_context(|| format!("settings: field `cluster.teams[{i}]`"))?;
-            Ok((n * 1e3).round() as u64)
-        };
-        teams.push(TeamLimits {
-            name: t
-                .text("name")
-                .with_context(|| format!("settings: field `cluster.teams[{i}]`"))?,
-            cpu: amount("cpus")?,
-            gpu: amount("gpus")?,
-            cpu_max: amount("cpus_max")?,
-            gpu_max: amount("gpus_max")?,
-        });
-    }
-    Ok(teams)
+fn load_policy(path: &Path) -> Result<Policy, SettingsError> {
+    let text = read("policy", path)?;
+    Policy::parse(&text).map_err(|error| SettingsError::Policy {
+        path: path.to_owned(),
+        reason: error.to_string(),
+    })
 }
 
 #[cfg(test)]
--- a/crates/saltpitch/src/settings/contradictions.rs
+++ b/crates/saltpitch/src/settings/contradictions.rs
@@ -68,20 +68,20 @@
 
 /// The first contradiction in these settings.
 pub fn check(settings: &Settings) -> Result<(), Contradiction> {
-    check_workers(settings)?;
+    check_agents(settings)?;
     check_peers(settings)?;
     check_rates(settings)
 }
 
-fn check_workers(settings: &Settings) -> Result<(), Contradiction> {
-    let workers = &settings.workers;
-    if workers.cancel <= workers.lease {
+fn check_agents(settings: &Settings) -> Result<(), Contradiction> {
+    let agents = &settings.agents;
+    if agents.cancel <= agents.lease {
         return Err(Contradiction::CancelWithinLease);
     }
-    if workers.report.times(REPORT_JITTER) >= workers.lease {
+    if agents.heartbeat_interval.times(REPORT_JITTER) >= agents.lease {
         return Err(Contradiction::ReportsOutlastLease {
-            report_s: workers.report.as_secs_f64(),
-            lease_s: workers.lease.as_secs_f64(),
+            report_s: agents.heartbeat_interval.as_secs_f64(),
+            lease_s: agents.lease.as_secs_f64(),
         });
     }
     Ok(())
@@ -101,7 +101,7 @@
 
 fn check_rates(settings: &Settings) -> Result<(), Contradiction> {
     let store = &settings.store;
-    let controllers = settings.size;
+    let controllers = settings.controllers;
     let needed = REQUESTS_OF_LEADER + REQUESTS_PER_CONTROLLER * controllers as f64;
     let requests = [
         ("cluster.state.rps", store.rps),
@@ -172,12 +172,12 @@
 
 /// Everything in these settings that is worth a look.
 pub fn warnings(settings: &Settings) -> Vec<Warning> {
-    let (workers, store) = (&settings.workers, &settings.store);
-    let bound = answer_bound(workers.cancel, workers.lease);
+    let (agents, store) = (&settings.agents, &settings.store);
+    let bound = answer_bound(agents.cancel, agents.lease);
     let found = [
-        (workers.report.times(REPORTS_PER_LEASE) > workers.lease)
+        (agents.heartbeat_interval.times(REPORTS_PER_LEASE) > agents.lease)
             .then_some(Warning::FewReportsPerLease),
-        (bound < workers.report.times(2.0)).then_some(Warning::ShortAnswerBound(bound)),
+        (bound < agents.heartbeat_interval.times(2.0)).then_some(Warning::ShortAnswerBound(bound)),
         (store.next_write_rps < FEW_CHANGES).then_some(Warning::FewChanges(store.next_write_rps)),
         (store.max_value_bytes < SMALL_VALUE)
             .then_some(Warning::SmallValues(store.max_value_bytes)),
--- a/crates/saltpitch/src/store.rs
+++ b/crates/saltpitch/src/store.rs
@@ -15,6 +15,7 @@
 use crate::clock::Clock;
 use crate::http::{CallError, Client, Reply};
 use crate::mutex::lock;
+use crate::rate_shares::leader_change_share;
 use crate::settings::StoreLimits;
 use crate::wire::store as wire;
 pub use crate::wire::store::{Changes, LeaseAttachment};
@@ -40,16 +41,6 @@
 const MAX_PACE_S: f64 = 2.0;
 const MIN_PACED_RATE: f64 = 0.5;
 
-/// The part of the service's rate of changes that the leader's scheduler paces by itself. The rest is
-/// for what users ask of all controllers.
-pub fn leader_share(size: usize) -> f64 {
-    if size == 1 {
-        0.9
-    } else {
-        0.7
-    }
-}
-
 /// The outcome of a watch.
 pub enum WatchOutcome {
     /// What has changed, possibly nothing.
@@ -118,20 +109,20 @@
     budgets: Mutex<Budgets>,
     limits: StoreLimits,
     /// The number of controllers that share the service.
-    size: usize,
+    controllers: usize,
     rate_limiting: Mutex<RateLimiting>,
     leads: AtomicBool,
     health: Mutex<Health>,
 }
 
 impl StoreClient {
-    /// A client for one of `size` controllers, with a follower's share of the rates.
+    /// A client for one of so many controllers, with a follower's share of the rates.
     pub fn new(
         http: Arc<Client>,
         addr: SocketAddr,
         clock: Clock,
         limits: StoreLimits,
-        size: usize,
+        controllers: usize,
     ) -> StoreClient {
         let budgets = Budgets {
             requests: Budget::new(limits.rps),
@@ -143,7 +134,7 @@
             clock,
             budgets: Mutex::new(budgets),
             limits,
-            size: size.max(1),
+            controllers: controllers.max(1),
             rate_limiting: Mutex::default(),
             leads: AtomicBool::new(false),
             health: Mutex::default(),
@@ -157,17 +148,17 @@
     /// itself refuses what is too much in all.
     pub fn set_leading(&self, leads: bool) {
         self.leads.store(leads, Ordering::Relaxed);
-        let share = match (leads, self.size) {
+        let share = match (leads, self.controllers) {
             (_, 1) => ONLY_NODE_SHARE,
             (true, _) => LEADER_SHARE,
-            (false, size) => FOLLOWERS_SHARE / (size - 1) as f64,
+            (false, controllers) => FOLLOWERS_SHARE / (controllers - 1) as f64,
         };
         let mut budgets = lock(&self.budgets);
         let rates = self.rates();
         budgets.requests.set_rate(rates.requests * share);
         budgets
             .changes
-            .set_rate(rates.changes * (1.0 - leader_share(self.size)));
+            .set_rate(rates.changes * (1.0 - leader_change_share(self.controllers)));
     }
 
     /// The rates that are taken to be in force.
@@ -211,7 +202,7 @@
 
     /// The pause between two requests of a kind that may use this fraction of the controller's share.
     pub fn pace(&self, fraction: f64) -> Duration {
-        let rate = self.rates().requests * fraction / self.size as f64;
+        let rate = self.rates().requests * fraction / self.controllers as f64;
         let pause_s = (1.0 / rate.max(MIN_PACED_RATE)).clamp(MIN_PACE_S, MAX_PACE_S);
         Duration::from_secs_f64(pause_s)
     }
