--- a/crates/saltpitch-core/src/controller/leader_election.rs
+++ b/crates/saltpitch-core/src/controller/leader_election.rs
@@ -13,14 +13,14 @@
 
 use super::{Controller, Leadership, LossReason, Notice};
 
-/// How long after a resignation a controller lets others stand first.
+/// How long after a resignation a controller defers to the others.
 const DEFERENCE: Micros = Micros::from_secs(30);
 
 /// How long a leader may go unheard before it resigns, as a part of the agents' lease, and at least.
 const UNHEARD_SHARE_OF_LEASE: f64 = 0.2;
 const UNHEARD_MIN: Micros = Micros::from_secs(2);
 
-/// Whether to stand for election, as far as the records say.
+/// Whether to campaign, as far as the records say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Candidacy {
     /// Not now: somebody leads, or this process is not ready.
@@ -31,7 +31,7 @@
     AtOnce,
 }
 
-/// What a leader that gives way has to write.
+/// What a leader that resigns has to write.
 #[derive(Clone, Debug)]
 pub struct Resignation {
     /// The leadership lease, to be dropped if the write fails.
@@ -50,7 +50,7 @@
 }
 
 impl Controller {
-    /// Whether to stand for election. `random` spreads the candidates.
+    /// Whether to campaign. `random` spreads the candidates.
     pub fn candidacy(&self, now: Micros, random: u64) -> Candidacy {
         let ready = self.synced && self.announced && self.catalog.is_some();
         let is_leaderless =
@@ -78,12 +78,12 @@
         )
     }
 
-    /// The bid was carried out at `revision`, and the records were read since. Starts to lead; false
+    /// The election attempt was carried out at `revision`, and the records were read since. Starts to lead; false
     /// if the leadership is another's already. `lease_opened_at` is a time at which the leadership
     /// lease was certainly open.
     pub fn elected(
         &mut self,
-        campaign: ElectionAttempt,
+        attempt: ElectionAttempt,
         store_lease: u64,
         revision: u64,
         lease_opened_at: Micros,
@@ -94,18 +94,18 @@
             return false;
         };
         let bound = self.answer_bound();
-        let Some(silence) = campaign.won(&self.records, revision, bound, now) else {
+        let Some(earlier_leaders) = attempt.won(&self.records, revision, bound, now) else {
             return false;
         };
-        let scheduler = self.new_scheduler(catalog, silence.all_at, now, wall);
+        let scheduler = self.new_scheduler(catalog, earlier_leaders.all_fenced_at, now, wall);
         self.epoch += 1;
         self.leadership = Some(Leadership {
             scheduler,
             store_lease,
             answers_until: lease_opened_at.plus(bound),
             acks: CancellationAcks::default(),
-            previous: silence.previous,
-            earlier_leaders_fenced_at: silence.earlier_at,
+            previous: earlier_leaders.previous,
+            earlier_leaders_fenced_at: earlier_leaders.earlier_fenced_at,
             isolated_since: None,
         });
         true
--- a/crates/saltpitch-core/src/controller/mod.rs
+++ b/crates/saltpitch-core/src/controller/mod.rs
@@ -1,14 +1,14 @@
 //! One controller as a state machine without input or output.
 //!
-//! [`Controller`] decides everything that safety rests on outside of scheduling itself: when to stand
-//! for election, how long agents may be answered, when to resign, what peers are told and when the
+//! [`Controller`] decides everything that safety rests on outside of scheduling itself: when to
+//! campaign, how long agents may be answered, when to resign, what peers are told and when the
 //! copy of the records counts as read. The program's tasks and the simulated site in
 //! `saltpitch-testkit` drive the same code: they carry messages, keep timers and execute effects, and
 //! decide nothing of this themselves.
 //!
-//! Submodules: [`records`](self) follows the state service, `election` acquires, renews and gives up the
-//! leadership, `peers` exchanges heartbeats, `heartbeats` answers agents, [`notice`] holds what the
-//! operator's log is told.
+//! Submodules: `record_sync` follows the state service, `leader_election` acquires, renews and gives up
+//! the leadership, `peer_heartbeats` and `agent_heartbeats` answer peers and agents, [`notice`] holds what
+//! the operators' log is told.
 
 mod agent_heartbeats;
 mod leader_election;
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 
 use crate::catalog::Catalog;
-use crate::leadership::{answer_bound, CancellationAcks};
+use crate::leadership::{answer_bound, CancellationAcks, ProcessIdentity};
 use crate::messages::PeerStatus;
 use crate::records::RecordCache;
 use crate::scheduler::{Effect, ListedMachine, Precondition, Scheduler, SchedulerConfig};
@@ -85,8 +85,8 @@
     /// Until when agents may be answered without another renewal or further acknowledgements.
     answers_until: Micros,
     acks: CancellationAcks,
-    /// The previous leader and its incarnation, until it is proven gone.
-    previous: Option<(String, u64)>,
+    /// The previous leader, until it is proven gone.
+    previous: Option<ProcessIdentity>,
     /// From when on the leaders before the previous one answer nobody.
     earlier_leaders_fenced_at: Micros,
     /// Since when the agents have not reached this leader although others would hear them.
@@ -121,7 +121,7 @@
     leadership: Option<Leadership>,
     /// Counts leaderships begun and ended, so that late answers do not reach a later one.
     epoch: u64,
-    /// After a resignation: until when this controller lets others stand first.
+    /// After a resignation: until when this controller defers to the others.
     deferring_until: Micros,
     peers: HashMap<String, PeerObservation>,
     /// Agents that were redirected, and when last.
--- a/crates/saltpitch-core/src/controller/notice.rs
+++ b/crates/saltpitch-core/src/controller/notice.rs
@@ -25,10 +25,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             LossReason::NewerTerm => "a newer term exists",
-            LossReason::NewerToken => "a worker has seen a newer token",
+            LossReason::NewerToken => "an agent has seen a newer fencing token",
             LossReason::TermChanged => "the term has changed",
             LossReason::LeaseExpired => "the leadership lease has ended",
-            LossReason::AgentsUnreachable => "workers do not reach this controller",
+            LossReason::AgentsUnreachable => "agents do not reach this controller",
         })
     }
 }
@@ -103,7 +103,7 @@
                 reason,
             } => write!(
                 f,
-                "report of {machine} (token {fencing_token}) gets no answer: {reason:?}"
+                "heartbeat of {machine} (fencing token {fencing_token}) gets no answer: {reason:?}"
             ),
             Notice::JobEnded(job) => job.fmt(f),
         }
--- a/crates/saltpitch-core/src/controller/record_sync.rs
+++ b/crates/saltpitch-core/src/controller/record_sync.rs
@@ -1,6 +1,7 @@
 //! Following the state service: changes, listings and this process's own writes.
 
 use crate::job::JobState;
+use crate::leadership::{ProcessIdentity, LEADERSHIP_LEASE};
 use crate::records::{node_key, Change, JobRecord, NodeRecord, RecordCache, RecordChange};
 use crate::scheduler::{Precondition, Write};
 use crate::time::Micros;
@@ -178,7 +179,7 @@
     /// leader may have missed it: had that leader lost the state service sooner, its lease would have
     /// ended.
     pub(super) fn has_fresh_cancellation(&self, last_success_at: Option<Micros>) -> bool {
-        let margin = crate::leadership::LEADERSHIP_LEASE.times(2.0);
+        let margin = LEADERSHIP_LEASE.times(2.0);
         match (self.last_cancellation_at, last_success_at) {
             (Some(cancelled), Some(reached)) => cancelled.plus(margin) > reached,
             // Restarted since, it cannot tell what it confirmed.
@@ -215,10 +216,10 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let returned_machines = leadership
+        let superseded = leadership
             .previous
-            .take_if(|(node, old)| node == name && *old < incarnation);
-        let Some((node, _)) = returned_machines else {
+            .take_if(|process| process.node == name && process.incarnation < incarnation);
+        let Some(ProcessIdentity { node, .. }) = superseded else {
             return;
         };
         let fenced_at = now.max(leadership.earlier_leaders_fenced_at);
