--- a/crates/saltpitch-core/src/placement.rs
+++ b/crates/saltpitch-core/src/placement.rs
@@ -8,7 +8,7 @@
 
 /// Lower is better. The unit is about a millisecond of delay, money counted alongside.
 pub fn score(spec: &JobSpec, machine: &Machine) -> u64 {
-    let fetch = if machine.has_image(&spec.image) {
+    let fetch = if machine.images.contains(&spec.image) {
         0
     } else {
         machine.kind.fetch_time(spec.image_mb).0 / 1_000
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -1,11 +1,11 @@
 //! Work without accelerators on machines that have some.
 //!
-//! Accelerators are dear. Other work borrows the processors beside them only while such a machine is
-//! kept for those who need the accelerators, and gives the machine back when it no longer is.
+//! Accelerators are expensive. Other work uses the processors beside them only while such a machine is kept
+//! for those who need the accelerators, and makes way when it no longer is.
 
 use std::sync::Arc;
 
-use super::{ObservedState, Scheduler};
+use super::{Job, ObservedState, Scheduler};
 use crate::catalog::Resources;
 use crate::job::{JobKind, JobNumber, JobSpec};
 use crate::machine::Machine;
@@ -13,9 +13,9 @@
 use crate::time::Micros;
 
 /// Machines of one group looked at in one pass.
-const LOOKS: usize = 48;
-/// Machines emptied in one pass: what is stopped there looks for other room.
-const EMPTIED: usize = 4;
+const MACHINES_PER_PASS: usize = 48;
+/// Machines emptied in one pass: what is stopped there looks for other free capacity.
+const EVICTIONS_PER_PASS: usize = 4;
 /// Beyond the time that saving takes.
 const SAVE_MARGIN: Micros = Micros::from_secs(2);
 
@@ -25,8 +25,8 @@
         spec.need.gpu == 0 && placement::contested(size, &self.autoscaler.accelerator_demands)
     }
 
-    /// Machines whose accelerators others need lend their processors only to tasks that can save
-    /// when they have to make way, and only while the machine is kept for those others anyway.
+    /// Whether the job may use the machine's processors beside accelerators that others need: only while
+    /// the machine is kept for those others anyway.
     pub(super) fn may_share_accelerators(
         &self,
         spec: &JobSpec,
@@ -34,72 +34,77 @@
         now: Micros,
     ) -> bool {
         !self.contested_for(spec, &machine.kind.size)
-            || now.since(machine.wanted_at) < self.keep(machine, now)
+            || now.since(machine.allocations.wanted_at()) < self.keep(machine, now)
     }
 
-    /// Whether machines of this size may have a place for such tasks at all: room on them is not even
-    /// looked at for work that they never take.
+    /// Whether machines of this size may take tasks of the job at all. Machines whose accelerators others
+    /// need take only tasks that can save when they have to make way.
     pub(super) fn ever_suits(&self, spec: &JobSpec, size: &Resources) -> bool {
-        spec.need.fits(size)
-            && (!self.contested_for(spec, size) || (spec.kind == JobKind::Array && spec.saves()))
+        let can_make_way = spec.kind == JobKind::Array && spec.saves();
+        spec.need.fits(size) && (!self.contested_for(spec, size) || can_make_way)
     }
 
-    /// Stops what borrows machines whose accelerators have not been needed for the time for which such a
-    /// machine is kept, so that they go back. Found in an incident: simulations of five minutes had moved
-    /// in beside accelerators, and held fifty of the dearest machines for long after the last job that
-    /// needed them.
+    /// Stops what shares machines whose accelerators have not been needed for the time for which such a
+    /// machine is kept, so that they can be returned. Found in an incident: simulations of five minutes had
+    /// moved in beside accelerators, and held fifty of the most expensive machines for long after the last
+    /// job that needed them.
     pub(super) fn end_accelerator_sharing(&mut self, now: Micros) {
-        let mut looked = Vec::new();
-        for group in &mut self.inventory.index.groups {
+        let mut candidates = Vec::new();
+        for group in self.inventory.groups_mut() {
             if group.kind.size.gpu > 0 {
-                looked.extend(group.next_part(LOOKS));
+                candidates.extend(group.next_members(MACHINES_PER_PASS));
             }
         }
-        self.steps += looked.len() as u64;
-        let is_over = |name: &Arc<str>| {
-            let machine = self.inventory.machines.get(name);
+        self.steps += candidates.len() as u64;
+        candidates.retain(|name| {
+            let machine = self.inventory.get(name);
             machine.is_some_and(|machine| self.sharing_is_over(machine, now))
-        };
-        looked.retain(is_over);
-        for name in looked.into_iter().take(EMPTIED) {
+        });
+        for name in candidates.into_iter().take(EVICTIONS_PER_PASS) {
             self.evict_sharing(&name, now);
         }
     }
 
-    /// Only work that can be saved is here, and nobody has needed the accelerators for long.
+    /// Whether only work that can be saved is here, and nobody has needed the accelerators for long.
     fn sharing_is_over(&self, machine: &Machine, now: Micros) -> bool {
+        let allocations = &machine.allocations;
         machine.takes_tasks()
-            && !machine.allocations.is_empty()
+            && !allocations.is_empty()
             && placement::contested(&machine.kind.size, &self.autoscaler.accelerator_demands)
-            && now.since(machine.wanted_at) > self.keep(machine, now)
-            && machine
-                .allocations
-                .iter()
-                .all(|hold| self.shares_and_saves(*hold))
+            && now.since(allocations.wanted_at()) > self.keep(machine, now)
+            && allocations.iter().all(|(number, task)| {
+                let job = self.job_table.get(number);
+                job.is_some_and(|job| shares_and_saves(job, task))
+            })
     }
 
-    fn shares_and_saves(&self, (number, task): (JobNumber, u32)) -> bool {
-        let Some(job) = self.job_table.jobs.get(&number) else {
-            return false;
-        };
-        let allocation = job.tasks[task as usize].allocation.as_deref();
-        let settled =
-            allocation.is_some_and(|p| p.observed == ObservedState::Running && p.stop.is_none());
-        settled && job.spec.kind == JobKind::Array && job.spec.need.gpu == 0 && job.spec.saves()
+    /// Nothing new is placed there, and what is there is stopped with time to save.
+    fn evict_sharing(&mut self, name: &Arc<str>, now: Micros) {
+        for (number, task) in self.cordon(name) {
+            let job = self.job_table.get(number);
+            let save = job.map(|job| job.spec.save).unwrap_or_default();
+            self.stop(number, task, save.plus(SAVE_MARGIN), now);
+        }
     }
 
-    /// Nothing new goes there, and what is there is told to save.
-    fn evict_sharing(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(machine) = self.inventory.machines.get_mut(name) else {
-            return;
+    /// Closes a machine to new tasks. Returns the tasks that are placed there.
+    pub(super) fn cordon(&mut self, name: &Arc<str>) -> Vec<(JobNumber, u32)> {
+        let Some(machine) = self.inventory.get_mut(name) else {
+            return Vec::new();
         };
-        machine.cordoned = true;
-        let allocated: Vec<(JobNumber, u32)> = machine.allocations.iter().copied().collect();
-        self.reindex(name);
-        for (number, task) in allocated {
-            let save = self.job_table.jobs.get(&number).map(|job| job.spec.save);
-            let grace = save.unwrap_or_default().plus(SAVE_MARGIN);
-            self.stop(number, task, grace, now);
-        }
+        machine.cordon.close();
+        let tasks = machine.allocations.to_vec();
+        self.inventory.update(name);
+        tasks
     }
 }
+
+/// Whether a task without accelerators runs and can be stopped without loss.
+fn shares_and_saves(job: &Job, task: u32) -> bool {
+    let Some(allocation) = job.allocation(task) else {
+        return false;
+    };
+    let spec = &job.spec;
+    let is_running = allocation.observed == ObservedState::Running && allocation.stop.is_none();
+    is_running && spec.kind == JobKind::Array && spec.need.gpu == 0 && spec.saves()
+}
--- a/crates/saltpitch-core/src/scheduler/agent_health.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_health.rs
@@ -1,330 +1,270 @@
-//! Machines whose time has come: silent, outbound-partitioned or inbound-partitioned ones, leases that are over, commands without effect.
+//! Health checks: agents that are not heard or can't be reached, leases that have expired, machines whose
+//! return is to be asked for.
 
-use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::{Effect, ObservedState, Scheduler};
-use crate::machine::MachinePhase;
+use super::{Effect, Scheduler};
+use crate::machine::{Machine, MachinePhase};
 use crate::time::Micros;
 
+/// A machine that needs attention is checked again after this time.
+const RECHECK_INTERVAL: Micros = Micros::from_millis(500);
+/// No machine is checked again sooner.
+const MIN_CHECK_INTERVAL: Micros = Micros::from_millis(400);
+/// A machine that is not up is checked again after this time.
+const REGISTRATION_CHECK_INTERVAL: Micros = Micros::from_secs(2);
+/// The return of a machine is asked for again after this time at the earliest.
+const RETURN_RETRY_INTERVAL: Micros = Micros::from_secs(3);
+/// A machine that is up is probed again after this time.
+const PROBE_INTERVAL: Micros = Micros::from_secs(1);
+/// A machine that is not up is probed again after this time.
+const REGISTRATION_PROBE_INTERVAL: Micros = Micros::from_secs(4);
+/// A lease counts as expired this long after its end.
+const LEASE_MARGIN: Micros = Micros::from_millis(1);
+
+/// After so many heartbeat intervals a heartbeat is missed: they are a quarter early or late at the most.
+pub(super) const MISSED_HEARTBEAT: f64 = 1.4;
+/// Within so many heartbeat intervals any machine should have sent one.
+const ANY_HEARTBEAT: f64 = 1.5;
+/// After so many heartbeat intervals two heartbeats are missed.
+pub(super) const TWO_MISSED_HEARTBEATS: f64 = 1.8;
+/// After so many heartbeat intervals, and a while, an agent counts as gone without any probe.
+const GONE_INTERVALS: f64 = 2.6;
+/// After so many heartbeat intervals, and a while, an agent should have sent its first heartbeat.
+const FIRST_HEARTBEAT_INTERVALS: f64 = 2.5;
+/// Added to the intervals after which an agent counts as gone, or should have sent its first heartbeat.
+const SILENCE_MARGIN: Micros = Micros::from_secs(1);
+/// After this part of its lease, the tasks of an agent that does not renew it are moved.
+const EVICTION_PART_OF_LEASE: f64 = 0.55;
+
+/// What a round of health checks found.
+#[derive(Default)]
+struct HealthFindings {
+    /// Agents whose lease has expired: nothing runs on their machines any more.
+    lease_expired: Vec<Arc<str>>,
+    /// Machines that are up and whose agents seem to be gone.
+    unresponsive: Vec<Arc<str>>,
+    /// Machines whose return the cloud is to be asked for.
+    returning: Vec<Arc<str>>,
+}
+
+/// What the time since an agent was last heard says of it.
+#[derive(Clone, Copy)]
+struct AgentAssessment {
+    /// The agent is to be asked for its status.
+    needs_probe: bool,
+    /// The agent has not been heard for so long that nothing new is placed on its machine.
+    is_unresponsive: bool,
+    /// The agent seems to be gone, or not to receive any answers.
+    seems_lost: bool,
+}
+
 impl Scheduler {
-    /// Looks after the machines whose time has come: silent ones, those whose lease is over, stops
-    /// that take too long, doubts that stay.
+    /// Checks the machines whose time has come.
     pub(super) fn run_health_checks(&mut self, now: Micros) {
-        let mut over = Vec::new();
-        let mut unresponsive = Vec::new();
-        let mut returns = Vec::new();
-        while let Some((at, name)) = self.inventory.health_checks.first().cloned() {
-            if at > now {
-                break;
-            }
+        let mut findings = HealthFindings::default();
+        while let Some(name) = self.inventory.due_health_check(now) {
             self.steps += 1;
-            let next = self.check_health(&name, &mut over, &mut unresponsive, &mut returns, now);
-            self.schedule_health_check(&name, next.max(now.plus(Micros::from_millis(400))));
+            let next = self.check_health(&name, &mut findings, now);
+            let next = next.max(now.plus(MIN_CHECK_INTERVAL));
+            self.inventory.schedule_health_check(&name, next);
         }
-        if !returns.is_empty() {
-            self.effects.push(Effect::ScaleIn { names: returns });
+        if !findings.returning.is_empty() {
+            self.effects.push(Effect::ScaleIn {
+                names: findings.returning,
+            });
         }
-        for name in over {
+        for name in findings.lease_expired {
             self.release_all(&name, now);
         }
-        self.return_unresponsive(unresponsive, now);
+        self.return_unresponsive(&findings.unresponsive, now);
         self.retry_unacknowledged(now);
     }
 
-    /// One machine; says when to look again.
+    /// Checks one machine; says when to check it again.
     fn check_health(
         &mut self,
         name: &Arc<str>,
-        over: &mut Vec<Arc<str>>,
-        unresponsive: &mut Vec<Arc<str>>,
-        returns: &mut Vec<Arc<str>>,
+        findings: &mut HealthFindings,
         now: Micros,
     ) -> Micros {
-        let (heartbeat, heartbeat_freshness) =
-            (self.config.heartbeat_interval, self.heartbeat_freshness());
-        let soon = now.plus(Micros::from_millis(500));
-        let Some(machine) = self.inventory.machines.get_mut(name) else {
-            return soon;
+        let recheck_at = now.plus(RECHECK_INTERVAL);
+        let Some(machine) = self.inventory.get(name) else {
+            return recheck_at;
         };
-        match machine.phase {
-            MachinePhase::Returning(true) => {
-                returns.push(name.clone());
-                let wait = self.config.heartbeat_interval.max(Micros::from_secs(3));
-                return self.agent_lease_end(name, over, now).min(now.plus(wait));
-            }
-            MachinePhase::Returning(false) => {
-                return self.agent_lease_end(name, over, now).min(soon)
-            }
-            _ => {}
+        if machine.lifecycle.is_returning() {
+            return self.check_returning(machine, findings, now);
         }
-        let quiet = now.since(machine.last_heard.max(self.clock.resumed_at()));
-        let asks = machine.phase == MachinePhase::Up || !machine.allocations.is_empty();
-        // Machines that an earlier leader knew; what boots for us will heartbeat by itself.
-        let unfenced = machine.phase == MachinePhase::Unregistered
-            && machine.recorded
-            && machine.created_at < self.leader_term.elected_at;
-        let waits = unfenced
-            || (asks && quiet > heartbeat.times(1.4))
-            || machine.inbound_partition.is_suspected();
-        if waits
-            && now >= machine.next_probe_at
-            && !machine.addr.is_empty()
-            && self.dispatch.probes_in_flight < self.config.calls
-        {
-            let wait = if machine.phase == MachinePhase::Up {
-                1
-            } else {
-                4
-            };
-            machine.next_probe_at = now.plus(Micros::from_secs(wait));
-            machine.probe_sent_at = now;
-            self.dispatch.probes_in_flight += 1;
-            self.effects.push(Effect::Probe {
-                machine: name.clone(),
-                addr: machine.addr.clone(),
-            });
+        let assessment = self.assess_agent(machine, now);
+        if assessment.seems_lost && machine.is_up() {
+            findings.unresponsive.push(name.clone());
         }
-        // Two missed heartbeats and two probes without an answer are taken for its end.
-        let last_unanswered_probe_at = machine.failed_probes >= 2 && quiet > heartbeat.times(1.8);
-        let long = quiet > heartbeat.times(2.6).plus(Micros::from_secs(1));
-        // A inbound-partitioned machine is as good as silent: nothing that it is told happens.
-        let inbound_partition = machine
-            .inbound_partition
-            .is_certain(heartbeat.times(1.8), now);
-        if machine.phase == MachinePhase::Up
-            && (last_unanswered_probe_at || long || inbound_partition)
-        {
-            unresponsive.push(name.clone());
+        if assessment.needs_probe {
+            self.probe(name, now);
         }
-        let outbound_partition = machine.phase == MachinePhase::Up && quiet > heartbeat_freshness;
-        if outbound_partition != machine.unresponsive {
-            machine.unresponsive = outbound_partition;
-            self.reindex(name);
+        self.set_unresponsive(name, assessment.is_unresponsive);
+        let lease_end = self.check_lease(name, findings, now);
+        self.detect_outbound_partition(name, lease_end, now);
+        if assessment.needs_probe || assessment.seems_lost {
+            return recheck_at;
         }
-        let end = self.agent_lease_end(name, over, now);
-        self.detect_outbound_partition(name, end, now);
-        if waits || inbound_partition || last_unanswered_probe_at || long {
-            return soon;
+        match self.inventory.get(name) {
+            Some(machine) => self.next_check(machine, now).min(lease_end),
+            None => recheck_at,
         }
-        let Some(machine) = self.inventory.machines.get(name) else {
-            return soon;
-        };
-        let next = if machine.phase == MachinePhase::Up {
-            machine
-                .last_heard
-                .max(self.clock.resumed_at())
-                .plus(heartbeat.times(1.4))
+    }
+
+    /// Checks a machine whose return is intended; says when to check it again.
+    fn check_returning(
+        &self,
+        machine: &Machine,
+        findings: &mut HealthFindings,
+        now: Micros,
+    ) -> Micros {
+        let interval = if machine.lifecycle.phase() == MachinePhase::Returning {
+            findings.returning.push(machine.name.clone());
+            self.config.heartbeat_interval.max(RETURN_RETRY_INTERVAL)
         } else {
-            now.plus(Micros::from_secs(2))
+            RECHECK_INTERVAL
         };
-        next.min(end)
+        let lease_end = self.check_lease(&machine.name, findings, now);
+        lease_end.min(now.plus(interval))
     }
 
-    /// A machine that reaches no controller answers direct calls: what it shows is true, but its lease
-    /// is not renewed, and all that is on it ends with that. Nothing new goes there, and what can save
-    /// or loses nothing is moved while there is time. Only as long as others do heartbeat: otherwise it is
-    /// this node that is not reached.
-    fn detect_outbound_partition(&mut self, name: &Arc<str>, lease_end: Micros, now: Micros) {
-        let (heartbeat, lease) = (self.config.heartbeat_interval, self.config.lease);
-        let others = now.since(self.inventory.last_heartbeat) < heartbeat.times(1.5);
-        let awake = self.clock.resumed_at();
-        let Some(machine) = self.inventory.machines.get_mut(name) else {
+    /// What the time since an agent was last heard says of it.
+    fn assess_agent(&self, machine: &Machine, now: Micros) -> AgentAssessment {
+        let interval = self.config.heartbeat_interval;
+        let connectivity = &machine.connectivity;
+        let silence = now.since(self.heard_or_resumed(machine));
+        let is_expected = machine.is_up() || !machine.allocations.is_empty();
+        // Machines that an earlier leader knew; the agents of those that this one ordered send a heartbeat
+        // by themselves.
+        let may_be_up = machine.lifecycle.is_unregistered()
+            && machine.lifecycle.is_recorded()
+            && machine.lifecycle.created_at() < self.leader_term.elected_at;
+        let needs_probe = may_be_up
+            || (is_expected && silence > interval.times(MISSED_HEARTBEAT))
+            || connectivity.inbound.is_suspected();
+        let probes_failed =
+            connectivity.probes.have_failed() && silence > interval.times(TWO_MISSED_HEARTBEATS);
+        let gone_after = interval.times(GONE_INTERVALS).plus(SILENCE_MARGIN);
+        // An agent that does not receive any answers is as good as gone: no command has an effect.
+        let partition_wait = interval.times(TWO_MISSED_HEARTBEATS);
+        let is_partitioned = connectivity.inbound.is_certain(partition_wait, now);
+        AgentAssessment {
+            needs_probe,
+            is_unresponsive: machine.is_up() && silence > self.heartbeat_freshness(),
+            seems_lost: probes_failed || silence > gone_after || is_partitioned,
+        }
+    }
+
+    /// When the agent was last heard, or could have been by a controller that was not paused.
+    fn heard_or_resumed(&self, machine: &Machine) -> Micros {
+        let last_heard = machine.connectivity.last_heard();
+        last_heard.max(self.clock.resumed_at())
+    }
+
+    /// When a machine that needs no attention is checked again.
+    fn next_check(&self, machine: &Machine, now: Micros) -> Micros {
+        if machine.is_up() {
+            let missed_after = self.config.heartbeat_interval.times(MISSED_HEARTBEAT);
+            self.heard_or_resumed(machine).plus(missed_after)
+        } else {
+            now.plus(REGISTRATION_CHECK_INTERVAL)
+        }
+    }
+
+    /// Asks an agent for its status, unless too many are being asked or this one just was.
+    fn probe(&mut self, name: &Arc<str>, now: Micros) {
+        let Some(machine) = self.inventory.get_mut(name) else {
             return;
         };
-        if machine.phase != MachinePhase::Up || machine.unresponsive || !others {
-            // What comes back from behind a cut answers calls before it heartbeats: that is counted anew.
-            machine.outbound_partition_since = None;
+        if !machine.connectivity.probes.is_due(now)
+            || machine.addr.is_empty()
+            || self.dispatch.probes_in_flight() >= self.config.calls
+        {
             return;
         }
-        let wait = if machine.last_answer > Micros::ZERO {
-            heartbeat.times(1.8)
+        let interval = if machine.is_up() {
+            PROBE_INTERVAL
         } else {
-            heartbeat.times(2.5).plus(Micros::from_secs(1))
+            REGISTRATION_PROBE_INTERVAL
         };
-        let quiet = now.since(machine.last_answer.max(machine.up_since).max(awake));
-        if quiet <= wait {
-            return;
-        }
-        let since = *machine.outbound_partition_since.get_or_insert(now);
-        let news = !std::mem::replace(&mut machine.outbound_partition, true);
-        let late = quiet > lease.times(0.55)
-            && now.since(since) > heartbeat.times(1.8)
-            && machine.inbound_partition.since.is_none();
-        let drains = late && !std::mem::replace(&mut machine.evicted, true);
-        if news {
-            self.reindex(name);
-        }
-        if drains {
-            self.evict_within(name, lease_end.since(now), now);
-        }
+        machine.connectivity.probes.sent(interval, now);
+        self.dispatch.probe_sent();
+        self.effects.push(Effect::Probe {
+            machine: name.clone(),
+            addr: machine.addr.clone(),
+        });
     }
 
-    /// When the agent's lease is over at the latest: counted from our last answer, or from when
-    /// the leader before us could have given one. If it is, everything on it is gone.
-    fn agent_lease_end(&self, name: &Arc<str>, over: &mut Vec<Arc<str>>, now: Micros) -> Micros {
-        let far = now.plus(self.config.lease);
-        let Some(machine) = self
-            .inventory
-            .machines
-            .get(name)
-            .filter(|machine| !machine.allocations.is_empty())
-        else {
-            return far;
-        };
-        // A epoch that began after our last answer has its lease from its own beginning.
-        let base = match machine.fenced_at {
-            Some(at) => at.max(machine.last_answer),
-            None => self
-                .leader_term
-                .previous_leader_fenced_at
-                .max(machine.last_answer),
+    fn set_unresponsive(&mut self, name: &Arc<str>, is_unresponsive: bool) {
+        let Some(machine) = self.inventory.get_mut(name) else {
+            return;
         };
-        let end = base
-            .max(machine.agent_epoch_started_at)
-            .plus(self.config.lease.with_drift());
-        if now > end {
-            over.push(name.clone());
+        if machine.connectivity.set_unresponsive(is_unresponsive) {
+            self.inventory.update(name);
         }
-        end.plus(Micros::from_millis(1))
     }
 
-    /// Returning a silent machine fences it sooner than its lease does. Many silent at once look
-    /// like a cut, and so does a zone from which nobody is heard: then the lease decides.
-    fn return_unresponsive(&mut self, unresponsive: Vec<Arc<str>>, now: Micros) {
-        let heartbeat = self.config.heartbeat_interval;
-        if unresponsive.is_empty() || now.since(self.inventory.last_heard) > heartbeat.times(2.5) {
+    /// A machine whose heartbeats reach no controller answers direct calls: what it shows is true, but its
+    /// lease is not renewed, and all that is on it ends with that. Nothing new is placed there, and what can
+    /// save or loses nothing is moved while there is time. Only as long as others send heartbeats: otherwise
+    /// it is this controller that is not reached.
+    fn detect_outbound_partition(&mut self, name: &Arc<str>, lease_end: Micros, now: Micros) {
+        let interval = self.config.heartbeat_interval;
+        let since_any_heartbeat = now.since(self.inventory.last_heartbeat());
+        let others_are_heard = since_any_heartbeat < interval.times(ANY_HEARTBEAT);
+        let resumed_at = self.clock.resumed_at();
+        let Some(machine) = self.inventory.get_mut(name) else {
+            return;
+        };
+        if !machine.is_up() || machine.connectivity.is_unresponsive() || !others_are_heard {
+            // After a partition in both directions a machine answers calls before it sends a heartbeat.
+            machine.connectivity.outbound.restart();
             return;
         }
-        // When each machine that hears us was heard last, by zone.
-        let mut heard: HashMap<Arc<str>, Vec<Micros>> = HashMap::new();
-        for machine in self.inventory.machines.values() {
-            if machine.is_up() && !machine.inbound_partition.is_suspected() {
-                heard
-                    .entry(machine.zone.clone())
-                    .or_default()
-                    .push(machine.last_heard);
-            }
-        }
-        self.steps += self.inventory.machines.len() as u64;
-        for times in heard.values_mut() {
-            times.sort_unstable();
+        let wait = if machine.lease.was_answered() {
+            interval.times(TWO_MISSED_HEARTBEATS)
+        } else {
+            interval
+                .times(FIRST_HEARTBEAT_INTERVALS)
+                .plus(SILENCE_MARGIN)
+        };
+        let up_since = machine.lifecycle.up_since();
+        let last_answer = machine.lease.last_answer();
+        let silence = now.since(last_answer.max(up_since).max(resumed_at));
+        if silence <= wait {
+            return;
         }
-        let all: usize = heard.values().map(Vec::len).sum();
-        let mut alike: HashMap<(Arc<str>, bool), usize> = HashMap::new();
-        for machine in unresponsive
-            .iter()
-            .filter_map(|n| self.inventory.machines.get(n))
-        {
-            *alike
-                .entry((machine.zone.clone(), machine.spot))
-                .or_default() += 1;
+        let connectivity = &mut machine.connectivity;
+        let is_new = connectivity.outbound.detect(now);
+        let is_late = silence > self.config.lease.times(EVICTION_PART_OF_LEASE)
+            && connectivity.outbound.lasted(now) > interval.times(TWO_MISSED_HEARTBEATS)
+            && !connectivity.inbound.is_suspected();
+        let is_to_be_evicted = is_late && connectivity.outbound.begin_eviction();
+        if is_new {
+            self.inventory.update(name);
         }
-        for name in &unresponsive {
-            let Some(machine) = self.inventory.machines.get(name) else {
-                continue;
-            };
-            // What was heard before this one should have sent a heartbeat says nothing of a cut that began in
-            // between, and its last probe proves something only if somebody had been heard by then:
-            // whole zones, or this node, may just have been cut off or be coming back. Of a inbound-partitioned
-            // machine's zone, whoever hears us counts.
-            let (since, until) = match machine.inbound_partition.since {
-                Some(at)
-                    if machine
-                        .inbound_partition
-                        .is_certain(heartbeat.times(1.8), now) =>
-                {
-                    (at, now)
-                }
-                _ => (
-                    machine.last_heard.plus(heartbeat.times(1.4)),
-                    machine.last_unanswered_probe_at,
-                ),
-            };
-            let heard_in = |times: &Vec<Micros>| {
-                let upto = times.partition_point(|at| *at <= until);
-                upto.saturating_sub(times.partition_point(|at| *at <= since))
-            };
-            let heard_there = heard.get(&machine.zone).map_or(0, heard_in);
-            let heard_at_all: usize = heard.values().map(heard_in).sum();
-            let open = self.inventory.reachable_zones.contains(&*machine.zone);
-            let silent_alike = alike
-                .get(&(machine.zone.clone(), machine.spot))
-                .copied()
-                .unwrap_or(0);
-            let few = if machine.spot {
-                // They are taken back in waves.
-                heard_there > 0 || (open && heard_at_all * 4 >= unresponsive.len())
-            } else {
-                (heard_there > 0 && heard_there * 4 >= silent_alike)
-                    || (open && silent_alike <= 1 && (heard_at_all > 0 || all <= 1))
-            };
-            if few {
-                self.scale_in(name, now);
-            }
+        if is_to_be_evicted {
+            self.evict_within(name, lease_end.since(now), now);
         }
     }
 
-    /// Repeats what shows no effect; second stops for tasks that save too long.
-    fn retry_unacknowledged(&mut self, now: Micros) {
-        let mut settled = Vec::new();
-        let mut rewritten = Vec::new();
-        let mut doubtful = false;
-        for name in &self.dispatch.awaiting_effect {
-            self.steps += 1;
-            let Some(machine) = self
-                .inventory
-                .machines
-                .get(name)
-                .filter(|machine| !machine.allocations.is_empty())
-            else {
-                settled.push(name.clone());
-                continue;
-            };
-            let in_doubt = machine
-                .unacknowledged_start
-                .filter(|d| now.since(d.1) > Micros::from_secs(6));
-            // A token that was raised since then, and not heeded, is not raised again for it.
-            doubtful |= machine.is_up()
-                && !machine.unresponsive
-                && !machine.inbound_partition.is_suspected()
-                && in_doubt.is_some_and(|d| d.0 >= self.leader_term.term);
-            let mut waits = machine.unacknowledged_start.is_some();
-            for &(number, task) in &machine.allocations {
-                let allocation = (self.job_table.jobs.get_mut(&number))
-                    .and_then(|job| job.tasks[task as usize].allocation.as_mut());
-                let Some(allocation) = allocation else {
-                    continue;
-                };
-                if let Some(stop) = allocation.stop.as_mut() {
-                    waits = true;
-                    let limit = stop
-                        .grace
-                        .plus(self.config.gang_peer)
-                        .plus(self.config.heartbeat_interval);
-                    if now.since(stop.since) > limit {
-                        stop.grace = Micros::ZERO;
-                    }
-                } else if allocation.committed && allocation.observed == ObservedState::Unseen {
-                    waits = true;
-                }
-            }
-            if !waits {
-                settled.push(name.clone());
-            } else if machine.is_up()
-                && now >= machine.next_command_at
-                && !machine.command_in_flight
-            {
-                rewritten.push(name.clone());
-            }
-        }
-        for name in settled {
-            self.dispatch.awaiting_effect.remove(&name);
-        }
-        self.dispatch.pending.extend(rewritten);
-        if doubtful && !self.leader_term.raise_in_flight {
-            self.leader_term.raise_in_flight = true;
-            self.effects.push(Effect::RaiseTerm);
+    /// When the agent's lease has expired at the latest, if tasks depend on it. If it has, all of them are
+    /// gone.
+    fn check_lease(&self, name: &Arc<str>, findings: &mut HealthFindings, now: Micros) -> Micros {
+        let machine = self.inventory.get(name);
+        let Some(machine) = machine.filter(|machine| !machine.allocations.is_empty()) else {
+            return now.plus(self.config.lease);
+        };
+        let earlier_leaders_until = self.leader_term.previous_leader_fenced_at;
+        let others_fenced_at = machine.agent.fenced_at().unwrap_or(earlier_leaders_until);
+        let duration = self.config.lease.with_drift();
+        let lease_end = machine.lease.expires_at(others_fenced_at, duration);
+        if now > lease_end {
+            findings.lease_expired.push(name.clone());
         }
+        lease_end.plus(LEASE_MARGIN)
     }
 }
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -1,447 +1,423 @@
-//! What agents say: which tasks are where, and which are proven gone.
+//! Heartbeats and answers to direct calls: the status of an agent is compared with what is in memory, which
+//! shows where tasks are and which of them are proven gone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{ObservedState, Scheduler};
-use crate::agent::{Command, ExitCause, Heartbeat, TaskState};
-use crate::gang::Gang;
-use crate::job::{JobKind, JobNumber};
-use crate::machine::{Machine, MachinePhase};
+use super::dispatch::Dispatch;
+use super::inventory::MachineInventory;
+use super::job_table::JobTable;
+use super::task_exits::EndedTask;
+use super::{Allocation, ObservedState, Scheduler};
+use crate::agent::{Command, Heartbeat, TaskState, TaskStatus};
+use crate::job::{JobNumber, JobSpec};
+use crate::machine::{Machine, StatusChanges, StatusContext};
 use crate::time::Micros;
 
-/// Why a heartbeat gets no 200.
+/// How long the record of a new address may wait: only a later leader needs it, and the cloud's list has it
+/// too.
+const ADDRESS_RECORD_DELAY: Micros = Micros::from_secs(2);
+/// A sign of life still holds for so many heartbeat intervals, and for a while longer.
+const FRESH_INTERVALS: f64 = 2.5;
+const FRESH_MARGIN: Micros = Micros::from_secs(1);
+
+/// Why a heartbeat is not answered with commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatRejection {
-    /// From a epoch that is over.
+    /// It is from an epoch of the agent that is over.
     OldSession,
-    /// From a machine that was returned.
+    /// Its machine was returned, or its return may be under way.
     Returned,
-    /// From a machine that has seen a fencing token above ours.
+    /// Its agent has seen a fencing token above this leader's.
     NewerToken,
-    /// Not a machine that we know the type of.
+    /// Its machine is of a type that the catalogue does not list.
     UnknownType,
     /// A copy of a heartbeat that was answered, or of one that its agent has long given up.
     Repeated,
 }
 
+/// What a status shows of a machine's tasks.
+#[derive(Default)]
+struct TaskFindings {
+    /// Allocations that the agent lists.
+    listed: BTreeSet<(JobNumber, u32)>,
+    /// Tasks that the agent lists without an allocation, and those that exited.
+    unowned: Vec<TaskStatus>,
+    /// Tasks that are proven to be off the machine.
+    ended: Vec<EndedTask>,
+    /// Jobs whose image the machine must have.
+    image_users: BTreeMap<JobNumber, Arc<JobSpec>>,
+}
+
+/// Where a status stands among the agent's statuses.
+#[derive(Clone, Copy)]
+struct StatusOrder {
+    agent_epoch: u64,
+    sequence: u64,
+    /// Whether the status came in a heartbeat, not in an answer to a direct call.
+    is_heartbeat: bool,
+}
+
 impl Scheduler {
-    /// An agent's heartbeat. The answer is the commands to send back with a 200.
+    /// An agent's heartbeat. The answer is the commands to send back. `is_returned`: the records say that the
+    /// machine was returned.
     pub fn heartbeat(
         &mut self,
-        r: Heartbeat,
-        gone: bool,
+        heartbeat: Heartbeat,
+        is_returned: bool,
         now: Micros,
     ) -> Result<Vec<Command>, HeartbeatRejection> {
-        if gone || self.inventory.returned.contains(r.machine.as_str()) {
+        if is_returned || self.inventory.was_returned(&heartbeat.machine) {
             return Err(HeartbeatRejection::Returned);
         }
-        if r.fencing_token > self.leader_term.term {
+        if heartbeat.fencing_token > self.leader_term.term {
             return Err(HeartbeatRejection::NewerToken);
         }
-        let name = self.register_agent(&r, now)?;
-        let (sequence, agent_epoch) = (r.sequence, r.agent_epoch);
-        let Some(machine) = self.inventory.machines.get_mut(&name) else {
+        let name = self.register_agent(&heartbeat, now)?;
+        let Some(machine) = self.inventory.get_mut(&name) else {
             return Err(HeartbeatRejection::Returned);
         };
-        if agent_epoch < machine.agent_epoch {
-            return Err(HeartbeatRejection::OldSession);
-        }
-        if matches!(machine.phase, MachinePhase::Returning(_)) {
-            // Its return may be under way: its lease must not be renewed behind that.
-            return Err(HeartbeatRejection::Returned);
-        }
-        // An agent has one heartbeat in flight: by sending a later one it has given up all before it,
-        // and the lease counts from when a heartbeat was sent. So a copy that comes late renews
-        // nothing, and nobody listens for an answer to it.
-        if agent_epoch == machine.agent_epoch && sequence <= machine.last_heartbeat_sequence {
-            return Err(HeartbeatRejection::Repeated);
-        }
-        machine.last_answer = machine.last_answer.max(now);
-        (
-            machine.outbound_partition,
-            machine.outbound_partition_since,
-            machine.evicted,
-        ) = (false, None, false);
-        self.inventory.last_heartbeat = now;
-        let fencing_token = r.fencing_token;
-        // Its sequence number counts heartbeats to any node.
-        let stays = self.config.nodes > 1
-            && agent_epoch == machine.agent_epoch
-            && sequence == machine.sequence + 1;
-        let stays = stays && machine.last_heartbeat_sequence > 0;
-        self.apply_status(&name, r, true, now);
-        let (term, heartbeat_freshness) = (self.leader_term.term, self.heartbeat_freshness());
-        let Some(machine) = self.inventory.machines.get_mut(&name) else {
+        check_answerable(machine, &heartbeat)?;
+        machine.lease.renew(now);
+        machine.connectivity.heartbeat_received();
+        let follows_answer = self.config.nodes > 1 && machine.agent.follows_answer(&heartbeat);
+        self.inventory.heartbeat_received(now);
+        let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
+        let observed_token = heartbeat.fencing_token;
+        self.apply_status(&name, heartbeat, true, now);
+        let heartbeat_freshness = self.heartbeat_freshness();
+        let Some(machine) = self.inventory.get_mut(&name) else {
             return Err(HeartbeatRejection::Returned);
         };
-        if agent_epoch < machine.agent_epoch {
+        if agent_epoch < machine.agent.epoch() {
             return Err(HeartbeatRejection::OldSession);
         }
-        machine.inbound_partition.heartbeat_received(
-            fencing_token,
+        let inbound = &mut machine.connectivity.inbound;
+        inbound.heartbeat_received(
+            observed_token,
             sequence,
-            stays,
+            follows_answer,
             heartbeat_freshness,
             now,
         );
-        machine
-            .inbound_partition
-            .answered_with(term, fencing_token, sequence);
-        machine.last_heartbeat_sequence = machine.last_heartbeat_sequence.max(sequence);
-        self.reindex(&name);
+        inbound.answered_with(self.leader_term.term, observed_token, sequence);
+        machine.agent.heartbeat_answered(sequence);
+        self.inventory.update(&name);
         let commands = self.commands_for(&name, Some(sequence));
-        self.dispatch.pending.remove(&name);
+        self.dispatch.heartbeat_answered(&name);
         Ok(commands)
     }
 
-    /// The machine that this heartbeat is from, met for the first time if need be.
+    /// The machine that this heartbeat is from, which becomes known if it was not.
     fn register_agent(
         &mut self,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         now: Micros,
     ) -> Result<Arc<str>, HeartbeatRejection> {
-        if let Some(machine) = self.inventory.machines.get(r.machine.as_str()) {
+        if let Some(machine) = self.inventory.get(&heartbeat.machine) {
             return Ok(machine.name.clone());
         }
         let kind = self
             .catalog
-            .get(&r.type_name)
+            .get(&heartbeat.type_name)
             .cloned()
             .ok_or(HeartbeatRejection::UnknownType)?;
-        let zone = r.zone.as_str().into();
-        let mut machine = Machine::new(&r.machine, Arc::new(kind), zone, r.spot, &r.addr, now);
+        let mut machine = Machine::new(
+            &heartbeat.machine,
+            Arc::new(kind),
+            heartbeat.zone.as_str().into(),
+            heartbeat.spot,
+            &heartbeat.addr,
+            now,
+        );
         let name = machine.name.clone();
         self.persistence.machine_changed(&mut machine, now);
-        self.add_machine(machine);
+        self.inventory.add(machine);
         Ok(name)
     }
 
-    /// What a machine showed within this time still holds.
+    /// For how long a sign of life still holds.
     pub(super) fn heartbeat_freshness(&self) -> Micros {
         self.config
             .heartbeat_interval
-            .times(2.5)
-            .plus(Micros::from_secs(1))
+            .times(FRESH_INTERVALS)
+            .plus(FRESH_MARGIN)
     }
 
-    /// What a machine said in answer to a probe.
-    pub fn probe_answered(&mut self, r: Heartbeat, now: Micros) {
+    /// The status with which an agent answered a probe.
+    pub fn probe_answered(&mut self, status: Heartbeat, now: Micros) {
+        // Whichever agent has that address now: the probe is over.
+        self.dispatch.probe_ended();
         let heartbeat_freshness = self.heartbeat_freshness();
-        // Whoever answered at that address: the probe is over.
-        self.dispatch.probes_in_flight = self.dispatch.probes_in_flight.saturating_sub(1);
-        if let Some(machine) = self.inventory.machines.get_mut(r.machine.as_str()) {
-            let name = machine.name.clone();
-            machine
-                .inbound_partition
-                .direct_call_ended(true, heartbeat_freshness, now);
-            self.apply_status(&name, r, false, now);
-            self.reindex(&name);
-        }
+        let Some(machine) = self.inventory.get_mut(&status.machine) else {
+            return;
+        };
+        let inbound = &mut machine.connectivity.inbound;
+        inbound.direct_call_ended(true, heartbeat_freshness, now);
+        let name = machine.name.clone();
+        self.apply_status(&name, status, false, now);
+        self.inventory.update(&name);
     }
 
     /// A probe got no answer.
     pub fn probe_failed(&mut self, name: &str, now: Micros) {
+        self.dispatch.probe_ended();
         let heartbeat_freshness = self.heartbeat_freshness();
-        self.dispatch.probes_in_flight = self.dispatch.probes_in_flight.saturating_sub(1);
-        if let Some(machine) = self.inventory.machines.get_mut(name) {
-            machine.failed_probes += 1;
-            machine.last_unanswered_probe_at = machine.probe_sent_at;
-            machine
-                .inbound_partition
-                .direct_call_ended(false, heartbeat_freshness, now);
-            let name = machine.name.clone();
-            self.reindex(&name);
-            self.schedule_health_check(&name, now);
-        }
+        let Some(machine) = self.inventory.get_mut(name) else {
+            return;
+        };
+        machine.connectivity.probes.unanswered();
+        let inbound = &mut machine.connectivity.inbound;
+        inbound.direct_call_ended(false, heartbeat_freshness, now);
+        let name = machine.name.clone();
+        self.inventory.update(&name);
+        self.inventory.schedule_health_check(&name, now);
     }
 
-    /// Takes in what a machine says, if it is newer than what is known.
+    /// Takes in an agent's status, if it is newer than what is known.
     pub(super) fn apply_status(
         &mut self,
         name: &Arc<str>,
-        r: Heartbeat,
-        by_report: bool,
+        status: Heartbeat,
+        is_heartbeat: bool,
         now: Micros,
     ) {
-        let heartbeat_freshness = self.heartbeat_freshness();
-        let came_up = (self.inventory.machines.get(name))
-            .is_some_and(|machine| machine.phase == MachinePhase::Unregistered);
-        let quiet_news = {
-            let Some(machine) = self.inventory.machines.get_mut(name) else {
-                return;
-            };
-            if (r.agent_epoch, r.sequence) <= (machine.agent_epoch, machine.sequence) {
-                return;
-            }
-            if machine.phase == MachinePhase::Unregistered {
-                machine.phase = MachinePhase::Up;
-                machine.up_since = now;
-                machine.idle_since = now;
-                machine.wanted_at = now;
-                self.placement_pass.requested = true;
-            }
-            if machine.addr != r.addr {
-                machine.addr.clone_from(&r.addr);
-                // Only a later leader needs it, and the cloud's list has it too.
-                let due = if machine.recorded {
-                    now.plus(Micros::from_secs(2))
-                } else {
-                    now
-                };
-                self.persistence.machine_changed(machine, due);
-            }
-            machine.last_heard = now;
-            machine.unresponsive = false;
-            self.inventory.last_heard = now;
-            machine.failed_probes = 0;
-            machine.fencing_token = machine.fencing_token.max(r.fencing_token);
-            if machine.fenced_at.is_none() && machine.fencing_token >= self.leader_term.first_term {
-                machine.fenced_at = Some(now);
-                self.placement_pass.requested = true;
-            }
-            if machine
-                .unacknowledged_start
-                .is_some_and(|(fencing_token, _)| r.fencing_token > fencing_token)
-            {
-                machine.unacknowledged_start = None;
-            }
-            machine.sequence = r.sequence;
-            if r.agent_epoch > machine.agent_epoch || machine.agent_epoch_started_at == Micros::ZERO
-            {
-                machine.agent_epoch_started_at = now;
-            }
-            // What the records prove of its images holds for the epoch that they name.
-            if machine
-                .recorded_epoch
-                .take()
-                .is_some_and(|s| r.agent_epoch > s)
-            {
-                let went = machine.forget_images();
-                self.inventory.index.images(&machine.zone, &[], &went);
-            }
-            if r.agent_epoch > machine.agent_epoch {
-                machine.unacknowledged_start = None;
-                machine.last_heartbeat_sequence = 0;
-                machine.last_start_sequence = 0;
-                if machine.agent_epoch > 0 {
-                    let went = machine.forget_images();
-                    self.inventory.index.images(&machine.zone, &[], &went);
-                    // Its lease ran out although we answered its heartbeats: it did not hear us.
-                    let recent = now.since(machine.last_answer) < self.config.lease;
-                    machine.inbound_partition.epoch_started(
-                        by_report && machine.fenced_at.is_some() && recent,
-                        heartbeat_freshness,
-                        now,
-                    );
-                }
-            }
-            machine.agent_epoch = r.agent_epoch;
-            let spot_notice = r.spot_notice.map(|n| now.plus(n));
-            let first = machine.spot_notice.is_none() && spot_notice.is_some();
-            machine.spot_notice = spot_notice;
-            first
+        let context = StatusContext {
+            is_heartbeat,
+            first_term: self.leader_term.first_term,
+            lease: self.config.lease,
+            heartbeat_freshness: self.heartbeat_freshness(),
+            now,
+        };
+        let Some(machine) = self.inventory.get_mut(name) else {
+            return;
         };
-        if came_up {
+        if !machine.agent.is_newer(&status) {
+            return;
+        }
+        let changes = machine.status_received(&status, context);
+        self.status_applied(name, changes, now);
+        self.reconcile_tasks(name, status, is_heartbeat, now);
+    }
+
+    /// Hands on what a status changed.
+    fn status_applied(&mut self, name: &Arc<str>, changes: StatusChanges, now: Micros) {
+        self.inventory.machine_heard(now);
+        self.inventory.images_removed(name, changes.removed_images);
+        if changes.address_changed {
+            self.address_changed(name, now);
+        }
+        if changes.registered || changes.fenced {
+            self.placement_pass.requested = true;
+        }
+        if changes.registered {
             self.note_provisioned(name, now);
         }
-        if quiet_news {
+        if changes.spot_notice_received {
             self.evict_gracefully(name, now);
         }
-        self.reconcile_tasks(name, r, by_report, now);
     }
 
-    fn reconcile_tasks(&mut self, name: &Arc<str>, r: Heartbeat, by_report: bool, now: Micros) {
-        let Some(machine) = self.inventory.machines.get(name) else {
+    /// The new address is to be written with the machine's record.
+    fn address_changed(&mut self, name: &Arc<str>, now: Micros) {
+        let Some(machine) = self.inventory.get_mut(name) else {
+            return;
+        };
+        let due = if machine.lifecycle.is_recorded() {
+            now.plus(ADDRESS_RECORD_DELAY)
+        } else {
+            now
+        };
+        self.persistence.machine_changed(machine, due);
+    }
+
+    /// Compares the tasks that an agent lists with the machine's allocations.
+    fn reconcile_tasks(
+        &mut self,
+        name: &Arc<str>,
+        status: Heartbeat,
+        is_heartbeat: bool,
+        now: Micros,
+    ) {
+        let Some(machine) = self.inventory.get(name) else {
             return;
         };
-        // Held tasks that the heartbeat has not mentioned: what stays in here is not on the machine.
-        let mut missing: BTreeSet<(JobNumber, u32)> = machine.allocations.clone();
         self.steps += 1;
-        let mut unowned_tasks = Vec::new();
-        let mut lost = Vec::new();
-        let had = !machine.unowned_tasks.is_empty();
-        let mut known: Option<(String, JobNumber)> = None;
-        for observed in r.tasks {
-            // Tasks of a job stand together in a heartbeat.
-            let number = match &known {
-                Some((id, number)) if *id == observed.job => Some(*number),
-                _ => self.job_table.by_id.get(observed.job.as_str()).copied(),
-            };
-            let allocated =
-                number.filter(|number| machine.allocations.contains(&(*number, observed.task)));
-            let allocation = allocated.and_then(|number| {
-                known = Some((observed.job.clone(), number));
-                let job = self.job_table.jobs.get_mut(&number)?;
-                let allocation = job.tasks[observed.task as usize]
-                    .allocation
-                    .as_deref_mut()?;
-                (allocation.agent_epoch == r.agent_epoch && allocation.attempt == observed.attempt)
-                    .then_some((number, allocation))
-            });
-            let Some((number, allocation)) = allocation else {
-                unowned_tasks.push(observed);
-                continue;
-            };
-            missing.remove(&(number, observed.task));
-            allocation.start_sent = true;
-            match observed.state {
-                TaskState::Exited { cause, saved } => {
-                    lost.push((number, observed.task, Some((cause, saved))));
-                    // Listed until it is told to forget it, once the outcome is on record.
-                    unowned_tasks.push(observed);
-                    continue;
-                }
-                TaskState::Fetching => allocation.observed = ObservedState::Fetching,
-                TaskState::Waiting => allocation.observed = ObservedState::Waiting,
-                TaskState::Saving => allocation.observed = ObservedState::Saving,
-                TaskState::Running => {
-                    if allocation.observed != ObservedState::Running {
-                        allocation.running_since = Some(now);
-                    }
-                    allocation.observed = ObservedState::Running;
-                }
-            }
+        let order = StatusOrder {
+            agent_epoch: status.agent_epoch,
+            sequence: status.sequence,
+            is_heartbeat,
+        };
+        let mut findings = TaskFindings::default();
+        findings.take_listed_tasks(machine, status, &mut self.job_table, now);
+        findings.take_allocations(machine, order, &self.job_table);
+        findings.update_machine(name, &mut self.inventory, &mut self.dispatch, now);
+        for ended in findings.ended {
+            self.task_exited(ended, name, now);
         }
-        let fenced = machine.fenced_at.is_some()
-            && machine.unacknowledged_start.is_none()
-            && !machine.command_in_flight;
-        let mut images: BTreeMap<JobNumber, (String, u64)> = BTreeMap::new();
-        for &(number, task) in &machine.allocations {
-            let Some(job) = self.job_table.jobs.get(&number) else {
-                continue;
+    }
+}
+
+/// Whether the heartbeat may be answered, which renews the agent's lease.
+fn check_answerable(machine: &Machine, heartbeat: &Heartbeat) -> Result<(), HeartbeatRejection> {
+    if heartbeat.agent_epoch < machine.agent.epoch() {
+        return Err(HeartbeatRejection::OldSession);
+    }
+    // The return may be under way: the lease must not be renewed behind that.
+    if machine.lifecycle.is_returning() {
+        return Err(HeartbeatRejection::Returned);
+    }
+    // An agent has one heartbeat in flight: by sending a later one it has given up all before it, and the
+    // lease counts from when a heartbeat was sent. So a copy that comes late renews nothing, and its agent
+    // does not wait for an answer to it.
+    if machine.agent.is_repeated(heartbeat) {
+        return Err(HeartbeatRejection::Repeated);
+    }
+    Ok(())
+}
+
+impl TaskFindings {
+    /// Goes through the tasks that the agent lists.
+    fn take_listed_tasks(
+        &mut self,
+        machine: &Machine,
+        status: Heartbeat,
+        job_table: &mut JobTable,
+        now: Micros,
+    ) {
+        // Tasks of a job stand together in a heartbeat: one look-up serves all of them.
+        let mut last: Option<(String, JobNumber)> = None;
+        for task in status.tasks {
+            let number = match &last {
+                Some((id, number)) if *id == task.job => Some(*number),
+                _ => job_table.number_of(&task.job),
             };
-            let Some(allocation) = job.tasks[task as usize].allocation.as_deref() else {
+            let number = number.filter(|number| machine.allocations.contains(*number, task.task));
+            let Some(number) = number else {
+                self.unowned.push(task);
                 continue;
             };
-            if !missing.contains(&(number, task)) {
-                if !matches!(
-                    allocation.observed,
-                    ObservedState::Unseen | ObservedState::Fetching
-                ) && !images.contains_key(&number)
-                {
-                    images.insert(number, (job.spec.image.clone(), job.spec.image_mb));
-                }
-                continue;
-            }
-            if allocation.agent_epoch < r.agent_epoch {
-                // The epoch that it was in is over: the agent killed and forgot it.
-                lost.push((number, task, None));
-                continue;
-            }
-            let unsent = !allocation.start_sent
-                || (fenced
-                    && by_report
-                    && allocation.start_sequence < r.sequence
-                    && allocation.stop.is_some());
-            if allocation.observed != ObservedState::Unseen || (allocation.stop.is_some() && unsent)
-            {
-                lost.push((number, task, None));
-            }
-        }
-        if let Some(machine) = self.inventory.machines.get_mut(name) {
-            for (image, mb) in images.into_values() {
-                let (came, went) = machine.use_image(&image, mb, now);
-                self.inventory.index.images(&machine.zone, &came, &went);
+            if last.as_ref().is_none_or(|(_, known)| *known != number) {
+                last = Some((task.job.clone(), number));
             }
-            machine.unowned_tasks = unowned_tasks;
-            // What has exited is told to go in the answer to a heartbeat; what still runs is not ours
-            // to leave there.
-            if machine.has_running_unowned_tasks() || (had && machine.unowned_tasks.is_empty()) {
-                self.dispatch.pending.insert(name.clone());
+            let job = job_table.get_mut(number);
+            let allocation = job.and_then(|job| job.allocation_mut(task.task));
+            let same_start = |allocation: &&mut Allocation| {
+                allocation.agent_epoch == status.agent_epoch && allocation.attempt == task.attempt
+            };
+            match allocation.filter(same_start) {
+                Some(allocation) => self.take_listed_task(number, task, allocation, now),
+                None => self.unowned.push(task),
             }
         }
-        for (number, task, end) in lost {
-            self.task_exited(number, task, name, end, now);
-        }
     }
 
-    /// A task is proven to be off its machine: it exited with this cause, or it is lost.
-    pub(super) fn task_exited(
+    /// Takes in the state of a task whose allocation the agent confirms.
+    fn take_listed_task(
         &mut self,
         number: JobNumber,
-        task: u32,
-        machine: &Arc<str>,
-        end: Option<(ExitCause, bool)>,
+        task: TaskStatus,
+        allocation: &mut Allocation,
         now: Micros,
     ) {
-        let Some(job) = self.job_table.jobs.get(&number) else {
-            return;
-        };
-        let Some(allocation) = job.tasks[task as usize].allocation.as_deref() else {
-            return;
-        };
-        let (started, stopped) = (allocation.running_since, allocation.stop.is_some());
-        let cause = end.map(|e| e.0);
-        let mut retry_after = Micros::ZERO;
-        match cause {
-            Some(ExitCause::Done) => {
-                if let Some(at) = started {
-                    self.note_run_time(number, now.since(at));
-                }
-                self.task_done(number, task, now);
-                if let Some(job) = self.job_table.jobs.get(&number) {
-                    if job.spec.kind == JobKind::Gang {
-                        // They complete together: when one is done, all of them are.
-                        for t in 0..job.spec.tasks {
-                            self.task_done(number, t, now);
-                        }
-                    }
-                }
-            }
-            Some(ExitCause::Error) => {
-                retry_after = self.task_failed(number, task, now);
+        self.listed.insert((number, task.task));
+        allocation.start_sent = true;
+        allocation.observed = match task.state {
+            TaskState::Exited { cause, .. } => {
+                self.ended.push(EndedTask {
+                    job: number,
+                    task: task.task,
+                    cause: Some(cause),
+                });
+                // Listed until the agent is told to forget it, once the outcome is on record.
+                self.unowned.push(task);
+                return;
             }
-            Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
-                self.task_refused(number, machine, now);
+            TaskState::Fetching => ObservedState::Fetching,
+            TaskState::Waiting => ObservedState::Waiting,
+            TaskState::Saving => ObservedState::Saving,
+            TaskState::Running => {
+                if allocation.observed != ObservedState::Running {
+                    allocation.running_since = Some(now);
+                }
+                ObservedState::Running
             }
-            _ => {}
-        }
-        self.release(number, task, now);
-        if retry_after > Micros::ZERO {
-            self.defer_task(number, task, retry_after, now);
-        }
-        let Some(job) = self.job_table.jobs.get_mut(&number) else {
-            return;
         };
-        if job.spec.kind == JobKind::Gang && !job.is_complete() {
-            // One member gone ends the attempt. An orderly stop keeps its grace: told in time,
-            // the others save as well.
-            if !stopped && job.gang != Gang::Stopping {
-                job.gang = Gang::Stopping;
-                self.stop_all(number, Micros::ZERO, now);
-            }
-        }
-        if let Some(job) = self.job_table.jobs.get_mut(&number) {
-            if job.spec.kind == JobKind::Gang && job.placed == 0 {
-                job.gang = Gang::Parked { until: now };
-                job.parked_at = now;
+    }
+
+    /// Goes through the machine's allocations: what the agent lists has its image, what it does not list may
+    /// be proven gone.
+    fn take_allocations(&mut self, machine: &Machine, order: StatusOrder, job_table: &JobTable) {
+        let start_is_settled = order.is_heartbeat
+            && machine.agent.is_fenced()
+            && !machine.commands.has_unacknowledged_start()
+            && !machine.commands.is_in_flight();
+        for (number, task) in machine.allocations.iter() {
+            let Some(job) = job_table.get(number) else {
+                continue;
+            };
+            let Some(allocation) = job.allocation(task) else {
+                continue;
+            };
+            if self.listed.contains(&(number, task)) {
+                if has_image(allocation) {
+                    let spec = || job.spec.clone();
+                    self.image_users.entry(number).or_insert_with(spec);
+                }
+            } else if is_lost(allocation, order, start_is_settled) {
+                self.ended.push(EndedTask {
+                    job: number,
+                    task,
+                    cause: None,
+                });
             }
         }
-        self.check_complete(number);
     }
 
-    /// Learns how far a class's estimates are off.
-    fn note_run_time(&mut self, number: JobNumber, ran: Micros) {
-        let Some(job) = self.job_table.jobs.get(&number) else {
+    /// Takes in what counts for the machine beside its allocations.
+    fn update_machine(
+        &mut self,
+        name: &Arc<str>,
+        inventory: &mut MachineInventory,
+        dispatch: &mut Dispatch,
+        now: Micros,
+    ) {
+        for spec in self.image_users.values() {
+            inventory.image_used(name, &spec.image, spec.image_mb, now);
+        }
+        let Some(machine) = inventory.get_mut(name) else {
             return;
         };
-        if job.spec.estimate == Micros::ZERO || job.spec.kind == JobKind::Service {
-            return;
+        let allocations = &mut machine.allocations;
+        let unowned_before = allocations.replace_unowned(std::mem::take(&mut self.unowned));
+        // What still runs is to be stopped at once; what has exited is forgotten with the answer to a
+        // heartbeat. Once nothing is left, there may be something to start.
+        let all_gone = !unowned_before.is_empty() && allocations.unowned().is_empty();
+        if allocations.has_running_unowned() || all_gone {
+            dispatch.request(name);
         }
-        let ratio = (ran.0 as f64 / job.spec.estimate.0 as f64).clamp(0.1, 10.0);
-        let class = job.class;
-        self.job_table.classes.note_run_time(class, ratio);
     }
+}
 
-    /// Every task on this machine is proven gone.
-    pub(super) fn release_all(&mut self, name: &Arc<str>, now: Micros) {
-        let allocated: Vec<(JobNumber, u32)> = match self.inventory.machines.get(name) {
-            Some(machine) => machine.allocations.iter().copied().collect(),
-            None => return,
-        };
-        for (number, task) in allocated {
-            self.task_exited(number, task, name, None, now);
-        }
+/// Whether a task has come so far that its image is on the machine.
+fn has_image(allocation: &Allocation) -> bool {
+    !matches!(
+        allocation.observed,
+        ObservedState::Unseen | ObservedState::Fetching
+    )
+}
+
+/// Whether a task that the agent does not list is proven to be off the machine. `start_is_settled`: no start
+/// but that in the answer to a later heartbeat can still reach the agent.
+fn is_lost(allocation: &Allocation, order: StatusOrder, start_is_settled: bool) -> bool {
+    if allocation.agent_epoch < order.agent_epoch {
+        // Its epoch is over: the agent killed and forgot it.
+        return true;
+    }
+    if allocation.observed != ObservedState::Unseen {
+        return true;
     }
+    let never_starts =
+        !allocation.start_sent || (start_is_settled && allocation.start_sequence < order.sequence);
+    allocation.stop.is_some() && never_starts
 }
--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -3,9 +3,8 @@
 
 use std::sync::Arc;
 
-use super::{Allocation, Job, ObservedState, Scheduler, StopRequest};
+use super::{Allocation, ObservedState, Scheduler, StopRequest};
 use crate::job::{JobKind, JobNumber, JobSpec, JobState};
-use crate::machine::Machine;
 use crate::time::Micros;
 
 /// Where a task goes.
@@ -33,7 +32,7 @@
         } = assignment;
         let (Some(job), Some(machine)) = (
             self.job_table.jobs.get_mut(&number),
-            self.inventory.machines.get_mut(&name),
+            self.inventory.get_mut(&name),
         ) else {
             return;
         };
@@ -52,23 +51,16 @@
             stop: None,
         };
         job.place(task, allocation, &machine.zone, now);
-        machine.allocations.insert((number, task));
-        machine.used = machine.used.plus(&job.spec.need);
         if committed {
             // What an earlier epoch says is older than this.
-            machine.agent_epoch = machine.agent_epoch.max(agent_epoch);
-            self.dispatch.awaiting_effect.insert(name.clone());
+            machine.agent.epoch_recorded(agent_epoch);
+            self.dispatch.await_effect(&name);
         }
         if job.spec.kind == JobKind::Array {
             self.autoscaler.batch_placed += batch_seconds(&job.spec);
-        } else {
-            machine.steady_cpu += job.spec.need.cpu;
         }
         self.quota.add(job.team, &job.spec.need);
-        let index = &mut self.inventory.index;
-        index.loaded(machine, job.spec.priority, true);
-        index.update(machine);
-        self.inventory.idle.remove(&name);
+        self.inventory.task_placed(&name, number, task, &job.spec);
         self.job_table.update_unplaced(number);
     }
 
@@ -81,8 +73,8 @@
         let Some(name) = job.allocation(task).map(machine_of) else {
             return;
         };
-        let machine = self.inventory.machines.get_mut(&name);
-        let zone = machine.as_ref().map(|machine| machine.zone.clone());
+        let machine = self.inventory.get(&name);
+        let zone = machine.map(|machine| machine.zone.clone());
         let Some(allocation) = job.unplace(task, zone.as_ref()) else {
             return;
         };
@@ -90,16 +82,8 @@
         if job.spec.kind == JobKind::Array {
             self.autoscaler.batch_placed -= batch_seconds(&job.spec);
         }
-        if let Some(machine) = machine {
-            remove_from_machine(machine, number, task, job, now);
-            if machine.allocations.is_empty() {
-                machine.idle_since = now;
-                self.inventory.idle.insert(name);
-            }
-            let index = &mut self.inventory.index;
-            index.loaded(machine, job.spec.priority, false);
-            index.update(machine);
-        }
+        self.inventory
+            .task_released(&name, number, task, &job.spec, now);
         self.job_table.update_unplaced(number);
         // Where the outcome of a transaction is unknown, the record is written again: it must not keep an
         // allocation that memory has dropped.
@@ -138,7 +122,7 @@
             allocation.stop = Some(StopRequest { grace, since });
         }
         let name = allocation.machine.clone();
-        self.dispatch_soon(&name);
+        self.dispatch.request_until_effect(&name);
     }
 
     /// Marks a job that is over, and of which nothing is left on any machine, for its final record.
@@ -168,24 +152,6 @@
     }
 }
 
-fn remove_from_machine(
-    machine: &mut Machine,
-    number: JobNumber,
-    task: u32,
-    job: &Job,
-    now: Micros,
-) {
-    let need = &job.spec.need;
-    machine.allocations.remove(&(number, task));
-    machine.used = machine.used.minus(need);
-    if job.spec.kind != JobKind::Array {
-        machine.steady_cpu = machine.steady_cpu.saturating_sub(need.cpu);
-    }
-    if need.gpu > 0 || machine.kind.size.gpu == 0 {
-        machine.wanted_at = now;
-    }
-}
-
 /// Processor-seconds of one task by its owner's estimate.
 fn batch_seconds(spec: &JobSpec) -> f64 {
     spec.need.cpu as f64 / 1e3 * spec.estimate.as_secs_f64()
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
@@ -30,11 +30,11 @@
             return self.send_scale_outs(now);
         }
         let mut pools = self.pools(now);
-        let room: u64 = (self.inventory.index.groups.iter())
+        let room: u64 = (self.inventory.groups().iter())
             .filter(|g| {
                 !crate::placement::contested(&g.kind.size, &self.autoscaler.accelerator_demands)
             })
-            .map(|g| g.batch)
+            .map(|g| g.batch_cpu())
             .sum();
         // What is running has half of its time left on average.
         let mut work = (self.autoscaler.batch_placed.max(0.0) / 2.0) as u64 * 1_000;
@@ -91,7 +91,7 @@
                 slack: w.slack,
                 at,
             };
-            let most = self.inventory.machines.len() as u64 + RESERVED_BEYOND_MACHINES;
+            let most = self.inventory.len() as u64 + RESERVED_BEYOND_MACHINES;
             self.reserve_capacity(w.number, &terms, want.min(most), &mut pools);
         }
         self.plan_scale_out(&pools, now);
@@ -136,25 +136,17 @@
                 }
             }
         }
-        self.steps += (self.inventory.provisioning.len() + self.inventory.idle.len()) as u64;
-        let coming = self
-            .inventory
-            .provisioning
-            .iter()
-            .filter_map(|n| self.inventory.machines.get(n));
-        let empty = self
-            .inventory
-            .idle
-            .iter()
-            .filter_map(|n| self.inventory.machines.get(n));
+        self.steps += (self.inventory.provisioning_count() + self.inventory.idle_count()) as u64;
+        let coming = self.inventory.provisioning();
+        let empty = self.inventory.idle();
         // Found by a test: what had just come up was neither on its way nor in use yet, and was ordered
         // once more.
-        let fresh =
-            empty.filter(|machine| machine.takes_tasks() && now.since(machine.up_since) < JUST_UP);
+        let fresh = empty.filter(|machine| {
+            machine.takes_tasks() && now.since(machine.lifecycle.up_since()) < JUST_UP
+        });
         for machine in coming.chain(fresh) {
-            let boots =
-                machine.phase == MachinePhase::Unregistered && !self.is_overdue(machine, now);
-            if machine.allocations.is_empty() && (boots || machine.phase == MachinePhase::Up) {
+            let boots = machine.lifecycle.is_unregistered() && !self.is_overdue(machine, now);
+            if machine.allocations.is_empty() && (boots || machine.is_up()) {
                 if let Some(p) = find(&mut pools, &machine.kind.name, &machine.zone, machine.spot) {
                     p.bins.push(machine.free());
                 }
@@ -250,15 +242,8 @@
         // The machine that holds a task of this job for the least money, of those that the cloud has
         // not just refused; between equals, the zone with less of it.
         while left > 0 {
-            let there = |p: &CapacityPool| {
-                self.inventory
-                    .index
-                    .by_zone
-                    .get(&p.zone)
-                    .copied()
-                    .unwrap_or(0)
-                    + p.new as usize
-            };
+            let there =
+                |p: &CapacityPool| self.inventory.machines_in_zone(&p.zone) + p.new as usize;
             let best = (pools.iter_mut())
                 .filter(|p| suits(p) && !p.refused && p.new < p.max_new && zones.room(&p.zone) > 0)
                 .filter(|p| price(p) <= cheapest * terms.dear || terms.pressing(p.kind.boot))
@@ -290,7 +275,7 @@
         let boot = self.catalog.types.iter().map(|t| t.boot).max();
         let rate = self.faded_demand(now) / crate::scheduler::FADE.as_secs_f64();
         let keep = rate * boot.unwrap_or_default().as_secs_f64() * WARM;
-        let there: u64 = (self.inventory.index.groups.iter())
+        let there: u64 = (self.inventory.groups().iter())
             .filter(|g| {
                 !g.spot
                     && !crate::placement::contested(
@@ -298,7 +283,7 @@
                         &self.autoscaler.accelerator_demands,
                     )
             })
-            .map(|g| g.batch)
+            .map(|g| g.batch_cpu())
             .sum();
         there.saturating_sub(keep as u64)
     }
@@ -306,7 +291,7 @@
     /// How long an empty machine is kept: what the policy says; and while work with accelerators
     /// keeps coming, a machine for it as long again as its images would take to have elsewhere.
     pub(in crate::scheduler) fn keep(&self, machine: &Machine, now: Micros) -> Micros {
-        let keep = self.inventory.index.groups[machine.group].keep;
+        let keep = self.inventory.group_of(machine).idle_keep();
         let comes = machine.kind.size.gpu > 0
             && now.since(self.autoscaler.accelerators_requested_at) < keep;
         keep.plus(if comes {
@@ -319,27 +304,24 @@
     fn scale_in_idle(&mut self, now: Micros) {
         let mut back = Vec::new();
         let mut spare = self.spare_above_warm_pool(now);
-        self.steps += self.inventory.idle.len() as u64;
-        for machine in self
-            .inventory
-            .idle
-            .iter()
-            .filter_map(|n| self.inventory.machines.get(n))
-        {
-            if !machine.allocations.is_empty() || machine.has_running_unowned_tasks() {
+        self.steps += self.inventory.idle_count() as u64;
+        for machine in self.inventory.idle() {
+            if !machine.allocations.is_empty() || machine.allocations.has_running_unowned() {
                 continue;
             }
-            let idle = now.since(machine.idle_since);
+            let idle = now.since(machine.allocations.idle_since());
             let keep = self.keep(machine, now);
-            let stale = match machine.phase {
+            let stale = match machine.lifecycle.phase() {
                 MachinePhase::Up => {
-                    machine.cordoned || idle > keep || now.since(machine.wanted_at) > keep
+                    machine.cordon.is_active()
+                        || idle > keep
+                        || now.since(machine.allocations.wanted_at()) > keep
                 }
                 MachinePhase::Unregistered => self.is_given_up(machine, now),
-                MachinePhase::Returning(_) => false,
+                MachinePhase::ReturnRequested | MachinePhase::Returning => false,
             };
-            let warm = machine.phase == MachinePhase::Up
-                && !machine.cordoned
+            let warm = machine.is_up()
+                && !machine.cordon.is_active()
                 && !machine.spot
                 && !crate::placement::contested(
                     &machine.kind.size,
--- a/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::catalog::MachineType;
-use crate::machine::{Machine, MachinePhase};
+use crate::machine::Machine;
 use crate::scheduler::Scheduler;
 use crate::time::Micros;
 
@@ -90,7 +90,7 @@
     /// Whether a machine of this kind that was ordered later is up.
     fn is_overtaken(&self, machine: &Machine, now: Micros) -> bool {
         let mut boots = self.recent(&machine.kind, &machine.zone, now);
-        boots.any(|boot| boot.ordered_at > machine.created_at)
+        boots.any(|boot| boot.ordered_at > machine.lifecycle.created_at())
     }
 
     /// When the last of a zone's machines that came up had been ordered.
@@ -104,15 +104,17 @@
 impl Scheduler {
     /// A machine that this leader ordered is heard for the first time.
     pub(in crate::scheduler) fn note_provisioned(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(machine) = self.inventory.machines.get(name) else {
+        let Some(machine) = self.inventory.get(name) else {
             return;
         };
         // Others may have been up for long, unheard by this leader.
-        if machine.created_at > self.leader_term.elected_at && machine.created_at < now {
+        if machine.lifecycle.created_at() > self.leader_term.elected_at
+            && machine.lifecycle.created_at() < now
+        {
             self.autoscaler.provisioning_times.joined(
                 &machine.kind,
                 &machine.zone,
-                machine.created_at,
+                machine.lifecycle.created_at(),
                 now,
             );
         }
@@ -121,11 +123,9 @@
     /// Whether a machine that has not been heard should have been by now: it is no longer counted as room
     /// to come, and what it was ordered for is ordered elsewhere.
     pub(in crate::scheduler) fn is_overdue(&self, machine: &Machine, now: Micros) -> bool {
-        let age = now.since(machine.created_at);
+        let age = now.since(machine.lifecycle.created_at());
         // Most are not, and need no look at the others.
-        if machine.phase != MachinePhase::Unregistered
-            || age <= machine.kind.boot.times(USUAL_RATIO)
-        {
+        if !machine.lifecycle.is_unregistered() || age <= machine.kind.boot.times(USUAL_RATIO) {
             return false;
         }
         let expected =
@@ -145,8 +145,9 @@
             .lease
             .plus(self.config.heartbeat_interval.times(2.0));
         let known_for = now.since(self.leader_term.elected_at);
-        if machine.phase != MachinePhase::Unregistered
-            || (machine.created_at <= self.leader_term.elected_at && known_for < settled)
+        if !machine.lifecycle.is_unregistered()
+            || (machine.lifecycle.created_at() <= self.leader_term.elected_at
+                && known_for < settled)
         {
             return false;
         }
@@ -155,7 +156,7 @@
             .boot
             .times(GIVEN_UP_RATIO)
             .plus(GIVEN_UP_MARGIN);
-        let never = now.since(machine.created_at) > limit;
+        let never = now.since(machine.lifecycle.created_at()) > limit;
         never
             || (self.is_overdue(machine, now)
                 && self
@@ -168,20 +169,17 @@
     /// there at a time, to see whether it boots again, and the others elsewhere.
     pub(in crate::scheduler) fn stalled_zones(&self, now: Micros) -> Vec<Arc<str>> {
         let mut zones: BTreeMap<&Arc<str>, OverdueInZone> = BTreeMap::new();
-        let coming = self
-            .inventory
-            .provisioning
-            .iter()
-            .filter_map(|n| self.inventory.machines.get(n));
+        let coming = self.inventory.provisioning();
         // Machines of an earlier leader may be up.
-        let own = coming.filter(|machine| machine.created_at > self.leader_term.elected_at);
+        let own =
+            coming.filter(|machine| machine.lifecycle.created_at() > self.leader_term.elected_at);
         for machine in own.filter(|machine| self.is_overdue(machine, now)) {
             let zone = zones.entry(&machine.zone).or_insert(OverdueInZone {
                 overdue: 0,
-                first_overdue: machine.created_at,
+                first_overdue: machine.lifecycle.created_at(),
             });
             zone.overdue += 1;
-            zone.first_overdue = zone.first_overdue.min(machine.created_at);
+            zone.first_overdue = zone.first_overdue.min(machine.lifecycle.created_at());
         }
         let stalled = zones.into_iter().filter(|(zone, boots)| {
             boots.overdue >= OVERDUE_IN_STALLED_ZONE
--- a/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
@@ -150,13 +150,13 @@
                 let kind = Arc::new(kind);
                 let zone: Arc<str> = r.zone.as_str().into();
                 for n in names {
-                    if self.inventory.machines.contains_key(n.as_str()) {
+                    if self.inventory.contains(n.as_str()) {
                         continue;
                     }
                     let mut machine = Machine::new(&n, kind.clone(), zone.clone(), r.spot, "", now);
                     self.persistence
                         .machine_changed(&mut machine, now.plus(Micros::from_millis(300)));
-                    self.add_machine(machine);
+                    self.inventory.add(machine);
                 }
             }
             ScaleOutOutcome::NoCapacity => {
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -155,16 +155,17 @@
 
     fn has_free_room(&mut self, spec: &JobSpec) -> bool {
         let mut room = 0;
-        for group in &mut self.inventory.index.groups {
+        for number in 0..self.inventory.groups().len() {
+            let group = &mut self.inventory.groups_mut()[number];
             if !spec.allows(&group.kind.name, &group.zone, group.spot) {
                 continue;
             }
             let search = group.search(&spec.need, LOOKS_FOR_ROOM);
             self.steps += search.steps;
             let machines = search
-                .fits
+                .machines
                 .iter()
-                .filter_map(|name| self.inventory.machines.get(name));
+                .filter_map(|name| self.inventory.get(name));
             let tasks = machines.map(|machine| spec.need.count_in(&machine.free()));
             room += tasks.sum::<u64>();
         }
@@ -230,10 +231,9 @@
         let Some(guest) = &job.guest else {
             return true;
         };
-        let own = |number: &JobNumber| {
-            self.job_table
-                .get(*number)
-                .is_some_and(|job| job.guest.is_none())
+        let own = |number: JobNumber| {
+            let job = self.job_table.get(number);
+            job.is_some_and(|job| job.guest.is_none())
         };
         guest.may_rent || machine.allocations.iter().any(|(number, _)| own(number))
     }
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -142,7 +142,7 @@
         let (need, all) = (job.spec.need, u64::from(job.spec.tasks));
         let mut capacity: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         for name in self.candidates(number, None, all, now) {
-            if let Some(machine) = self.inventory.machines.get(&name) {
+            if let Some(machine) = self.inventory.get(&name) {
                 let tasks = need.count_in(&machine.free());
                 *capacity.entry(machine.zone.clone()).or_default() += tasks;
             }
@@ -180,10 +180,10 @@
     /// The job's first idle task, if it may go to this machine now, and the machine's agent epoch.
     fn next_fit(&self, number: JobNumber, machine: &Arc<str>) -> Option<(u32, u64)> {
         let job = self.job_table.get(number)?;
-        let machine = self.inventory.machines.get(machine)?;
+        let machine = self.inventory.get(machine)?;
         let task = *job.idle.first()?;
         let fits = job.spec.need.fits(&machine.free()) && Self::zone_allows(job, &machine.zone);
-        fits.then_some((task, machine.agent_epoch))
+        fits.then_some((task, machine.agent.epoch()))
     }
 
     /// The Permit barrier: with all members assumed the gang goes on record; otherwise it waits or is
--- a/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
+++ b/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
@@ -2,67 +2,86 @@
 
 use std::sync::Arc;
 
-use super::{ObservedState, Scheduler};
+use super::{Job, ObservedState, Scheduler};
 use crate::gang::Gang;
 use crate::job::{JobKind, JobNumber};
 use crate::time::Micros;
 
+/// Beyond the time that saving takes.
+const SAVE_MARGIN: Micros = Micros::from_secs(2);
+
+/// What is done with a task of a machine that is to be taken away.
+enum Eviction {
+    /// It is stopped with this time to save.
+    Stop(Micros),
+    /// Its whole gang is stopped with this time to save.
+    StopGang(Micros),
+    /// It runs on: it can't save, and may complete in time.
+    RunOn,
+}
+
 impl Scheduler {
-    /// The machine is to be taken away: whatever can be saved is saved.
+    /// The cloud takes the machine away: whatever can be saved is saved.
     pub(super) fn evict_gracefully(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(machine) = self.inventory.machines.get(name) else {
+        let Some(machine) = self.inventory.get(name) else {
             return;
         };
-        let left = machine.spot_notice.map_or(Micros::ZERO, |n| n.since(now));
+        let notice = machine.lifecycle.spot_notice();
+        let left = notice.map_or(Micros::ZERO, |at| at.since(now));
         self.evict_within(name, left, now);
     }
 
+    /// Whatever can be saved in the time that is left is stopped and saved, and so is what loses nothing.
     pub(super) fn evict_within(&mut self, name: &Arc<str>, left: Micros, now: Micros) {
-        let Some(machine) = self.inventory.machines.get(name) else {
+        let Some(machine) = self.inventory.get(name) else {
             return;
         };
-        let allocated: Vec<(JobNumber, u32)> = machine.allocations.iter().copied().collect();
-        for (number, task) in allocated {
-            let Some(job) = self.job_table.jobs.get(&number) else {
+        for (number, task) in machine.allocations.to_vec() {
+            let Some(job) = self.job_table.get(number) else {
                 continue;
             };
-            let spec = job.spec.clone();
-            let observed = job.tasks[task as usize]
-                .allocation
-                .as_ref()
-                .map(|p| p.observed);
-            let saves = spec.saves() && left > spec.save.plus(Micros::from_secs(2));
-            let grace = spec.save.plus(Micros::from_secs(2));
-            let started = matches!(
-                observed,
-                Some(ObservedState::Running | ObservedState::Saving)
-            );
-            if spec.kind == JobKind::Gang {
-                if started && saves {
-                    self.stop_whole_gang(number, grace, now);
-                } else if !started {
-                    self.stop_whole_gang(number, Micros::ZERO, now);
-                }
-            } else if !started || spec.kind == JobKind::Service {
-                // Nothing to lose: sooner stopped is sooner elsewhere.
-                self.stop(number, task, Micros::ZERO, now);
-            } else if saves {
-                self.stop(number, task, grace, now);
+            match eviction(job, task, left) {
+                Eviction::Stop(grace) => self.stop(number, task, grace, now),
+                Eviction::StopGang(grace) => self.stop_whole_gang(number, grace, now),
+                Eviction::RunOn => {}
             }
-            // What can't save runs on: it may complete in time.
         }
     }
 
-    /// Stops a whole gang, all members told at once.
+    /// Stops a whole gang, all members at once.
     pub(super) fn stop_whole_gang(&mut self, number: JobNumber, grace: Micros, now: Micros) {
-        if let Some(job) = self.job_table.jobs.get_mut(&number) {
+        if let Some(job) = self.job_table.get_mut(number) {
             job.gang = Gang::Stopping;
         }
         self.stop_all(number, grace, now);
-        if let Some(job) = self.job_table.jobs.get_mut(&number) {
+        if let Some(job) = self.job_table.get_mut(number) {
             if job.placed == 0 {
                 job.gang = Gang::Parked { until: now };
             }
         }
     }
 }
+
+/// What is done with a task whose machine is taken away when `left` has passed.
+fn eviction(job: &Job, task: u32, left: Micros) -> Eviction {
+    let spec = &job.spec;
+    let allocation = job.allocation(task);
+    let has_progress = allocation.is_some_and(|allocation| {
+        matches!(
+            allocation.observed,
+            ObservedState::Running | ObservedState::Saving
+        )
+    });
+    let grace = spec.save.plus(SAVE_MARGIN);
+    let can_save = spec.saves() && left > grace;
+    let is_gang = spec.kind == JobKind::Gang;
+    // What loses nothing is stopped at once: sooner stopped is sooner elsewhere.
+    let loses_nothing = !has_progress || spec.kind == JobKind::Service;
+    match (is_gang, loses_nothing, can_save) {
+        (true, true, _) => Eviction::StopGang(Micros::ZERO),
+        (true, false, true) => Eviction::StopGang(grace),
+        (false, true, _) => Eviction::Stop(Micros::ZERO),
+        (false, false, true) => Eviction::Stop(grace),
+        (_, false, false) => Eviction::RunOn,
+    }
+}
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -192,7 +192,7 @@
         for recorded in allocations {
             // A machine's record is written before anything is placed on it and deleted only once
             // the machine is proven gone: no record, no task.
-            let machine = self.inventory.machines.get(recorded.machine.as_str());
+            let machine = self.inventory.get(recorded.machine.as_str());
             let name = machine.map(|machine| machine.name.clone());
             let job = self.job_table.get(number);
             let attempt = job.and_then(|job| job.tasks.get(recorded.task as usize));
--- a/crates/saltpitch-core/src/scheduler/job_failures.rs
+++ b/crates/saltpitch-core/src/scheduler/job_failures.rs
@@ -105,19 +105,12 @@
 
     /// A job's failure counts or no longer counts against a machine, which is cordoned for several.
     fn set_failed_job(&mut self, number: JobNumber, name: &Arc<str>, counts: bool) {
-        let Some(machine) = self.inventory.machines.get_mut(name) else {
+        let Some(machine) = self.inventory.get_mut(name) else {
             return;
         };
-        let was_at_fault = machine.failed_jobs.len() >= JOBS_AGAINST_MACHINE;
-        if counts {
-            machine.failed_jobs.insert(number);
-        } else {
-            machine.failed_jobs.remove(&number);
-        }
-        let at_fault = machine.failed_jobs.len() >= JOBS_AGAINST_MACHINE;
-        if was_at_fault != at_fault {
-            machine.cordoned = at_fault;
-            self.reindex(name);
+        let cordon = &mut machine.cordon;
+        if cordon.set_failed_job(number, counts, JOBS_AGAINST_MACHINE) {
+            self.inventory.update(name);
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -31,13 +31,14 @@
 mod record_commits;
 mod recovery;
 mod summary;
+mod task_exits;
 mod unreachable_machines;
+mod unresponsive_machines;
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use crate::catalog::{Catalog, Resources};
-use crate::machine::{Machine, MachinePhase};
 use crate::quota::Quota;
 use crate::time::Micros;
 
@@ -122,12 +123,12 @@
 
     /// Zones in which a controller can be reached from here.
     pub fn reachable_zones(&self) -> &BTreeSet<String> {
-        &self.inventory.reachable_zones
+        self.inventory.reachable_zones()
     }
 
     /// Sets the zones in which a controller can be reached from here.
     pub fn set_reachable_zones(&mut self, zones: BTreeSet<String>) {
-        self.inventory.reachable_zones = zones;
+        self.inventory.set_reachable_zones(zones);
     }
 
     /// Prices or types changed.
@@ -145,12 +146,14 @@
         self.leader_term.term = term;
         self.leader_term.revision = rev;
         // The others hear of it by the answers to their heartbeats.
-        let doubtful = self.dispatch.awaiting_effect.iter().filter(|n| {
-            let machine = self.inventory.machines.get(*n);
-            machine.is_some_and(|machine| machine.unacknowledged_start.is_some())
+        let in_doubt = self.dispatch.awaiting_effect().filter(|name| {
+            let machine = self.inventory.get(name);
+            machine.is_some_and(|machine| machine.commands.has_unacknowledged_start())
         });
-        let doubtful: Vec<Arc<str>> = doubtful.cloned().collect();
-        self.dispatch.pending.extend(doubtful);
+        let in_doubt: Vec<Arc<str>> = in_doubt.cloned().collect();
+        for name in &in_doubt {
+            self.dispatch.request(name);
+        }
     }
 
     pub fn term_raise_failed(&mut self) {
@@ -163,62 +166,12 @@
             self.leader_term.previous_leader_fenced_at.min(fenced_at);
     }
 
-    fn add_machine(&mut self, mut machine: Machine) {
-        let name = machine.name.clone();
-        self.inventory.index.add(&mut machine);
-        self.inventory.idle.insert(name.clone());
-        self.inventory.provisioning.insert(name.clone());
-        self.inventory
-            .health_checks
-            .insert((machine.next_check_at, name.clone()));
-        self.inventory.machines.insert(name, machine);
-    }
-
     /// The machine is proven gone; nothing is on it any more.
-    fn drop_machine(&mut self, name: &Arc<str>, now: Micros) {
-        let Some(mut machine) = self.inventory.machines.remove(name) else {
-            return;
-        };
-        self.inventory.index.remove(&mut machine);
-        self.inventory.idle.remove(name);
-        self.inventory.provisioning.remove(name);
-        self.inventory
-            .health_checks
-            .remove(&(machine.next_check_at, machine.name.clone()));
-        self.dispatch.awaiting_effect.remove(name);
-        self.dispatch.pending.remove(name);
-        self.update_reachability(name);
-        self.inventory.returned.insert(name);
-        self.persistence.machine_gone(&machine, now);
-    }
-
-    /// Something about a machine changed that counts for placement.
-    fn reindex(&mut self, name: &Arc<str>) {
-        if let Some(machine) = self.inventory.machines.get_mut(name) {
-            self.inventory.index.update(machine);
-            if machine.fenced_at.is_some() && machine.recorded
-                || matches!(machine.phase, MachinePhase::Returning(_))
-            {
-                self.inventory.provisioning.remove(name);
-            }
+    fn remove_machine(&mut self, name: &Arc<str>, now: Micros) {
+        if let Some(machine) = self.inventory.remove(name) {
+            self.dispatch.machine_removed(name);
+            self.persistence.machine_gone(&machine, now);
         }
-        self.update_reachability(name);
-    }
-
-    fn schedule_health_check(&mut self, name: &Arc<str>, at: Micros) {
-        if let Some(machine) = self.inventory.machines.get_mut(name) {
-            self.inventory
-                .health_checks
-                .remove(&(machine.next_check_at, name.clone()));
-            machine.next_check_at = at;
-            self.inventory.health_checks.insert((at, name.clone()));
-        }
-    }
-
-    /// Commands are to reach this machine soon, and are repeated until they show an effect.
-    fn dispatch_soon(&mut self, name: &Arc<str>) {
-        self.dispatch.pending.insert(name.clone());
-        self.dispatch.awaiting_effect.insert(name.clone());
     }
 
     /// The estimate of a task's run time, corrected by what was seen of its class.
@@ -254,8 +207,8 @@
         if let Some(due) = self.persistence.next_due() {
             at = at.min(due);
         }
-        if let Some((due, _)) = self.dispatch.delayed.first() {
-            at = at.min(*due);
+        if let Some(due) = self.dispatch.next_due() {
+            at = at.min(due);
         }
         at
     }
@@ -284,18 +237,18 @@
         // is heard leaves too little of the leases for the agents to find another leader.
         let quiet = self.config.heartbeat_interval.times(1.5);
         let mut counts = AgentCounts::default();
-        for machine in self.inventory.machines.values() {
-            let up = machine.phase == MachinePhase::Up
-                || (machine.phase == MachinePhase::Unregistered
-                    && machine.recorded
-                    && machine.up_since > Micros::ZERO);
-            if up && machine.inbound_partition.since.is_some() {
+        for machine in self.inventory.iter() {
+            if !machine.is_up() {
+                continue;
+            }
+            if machine.connectivity.inbound.is_suspected() {
                 counts.inbound_partitioned += 1;
-            } else if up {
-                counts.reachable += 1;
-                counts.heard +=
-                    usize::from(now.since(machine.last_heard.max(self.clock.resumed_at())) < quiet);
+                continue;
             }
+            counts.reachable += 1;
+            let last_heard = machine.connectivity.last_heard();
+            let silence = now.since(last_heard.max(self.clock.resumed_at()));
+            counts.heard += usize::from(silence < quiet);
         }
         counts
     }
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
@@ -5,7 +5,7 @@
 
 use super::transaction::{CommittedMachine, WrittenBlock};
 use super::RecordSources;
-use crate::machine::{Machine, MachinePhase};
+use crate::machine::Machine;
 use crate::records::{BlockRecord, MachineRecord, RecordCache, BLOCK};
 use crate::scheduler::SchedulerConfig;
 use crate::time::Micros;
@@ -252,12 +252,12 @@
         };
         let machines = block.machines.iter();
         for machine in machines.filter_map(|name| sources.machines.get(name)) {
-            let returning = matches!(machine.phase, MachinePhase::Returning(_));
+            let returning = machine.lifecycle.is_returning();
             record.machines.push(MachineRecord(
                 machine.name.to_string(),
                 machine.addr.clone(),
                 returning,
-                sources.wall_time(machine.created_at),
+                sources.wall_time(machine.lifecycle.created_at()),
             ));
             written.machines.push(CommittedMachine {
                 name: machine.name.clone(),
--- a/crates/saltpitch-core/src/scheduler/persistence/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/mod.rs
@@ -24,6 +24,7 @@
 
 use serde::Serialize;
 
+use super::inventory::MachineInventory;
 use super::leader_clock::LeaderClock;
 use super::{Job, SchedulerConfig};
 use crate::job::{JobNumber, JobSpec};
@@ -47,7 +48,7 @@
 /// The jobs in memory.
 pub(in crate::scheduler) type Jobs = BTreeMap<JobNumber, Job>;
 /// The machines in memory.
-pub(in crate::scheduler) type Machines = BTreeMap<Arc<str>, Machine>;
+pub(in crate::scheduler) type Machines = MachineInventory;
 
 /// What the records are made of: the other components' state that transactions are composed from.
 pub(in crate::scheduler) struct RecordSources<'a> {
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -104,7 +104,7 @@
         };
         let image_free_in = self.image_free_in(job);
         let scored = found.into_iter().filter_map(|name| {
-            let machine = self.inventory.machines.get(&name)?;
+            let machine = self.inventory.get(&name)?;
             let waits = waits_for_image(job, machine, image_free_in, now);
             let avoided = job.failures.avoids(&name, now) || !self.admits_guest(job, machine);
             let suits = is_blocked || self.may_share_accelerators(&spec, machine, now);
@@ -127,24 +127,24 @@
     ) -> Vec<Arc<str>> {
         let limit = MACHINES_BEYOND_NEED + wanted.min(MAX_MACHINES_NEEDED) as usize;
         let mut found = Vec::new();
-        for at in 0..self.inventory.index.groups.len() {
-            let group = &self.inventory.index.groups[at];
+        for at in 0..self.inventory.groups().len() {
+            let group = &self.inventory.groups()[at];
             if zone.is_some_and(|zone| zone != &*group.zone)
                 || !(is_blocked || self.ever_suits(spec, &group.kind.size))
                 || !spec.allows(&group.kind.name, &group.zone, group.spot)
             {
                 continue;
             }
-            let search = self.inventory.index.groups[at].search(&spec.need, limit);
+            let search = self.inventory.groups_mut()[at].search(&spec.need, limit);
             self.steps += search.steps;
-            found.extend(search.fits);
+            found.extend(search.machines);
         }
         found
     }
 
     /// How soon the machines that have a gang's image become free for it, one after the other.
     fn image_free_in(&self, job: &Job) -> Option<Micros> {
-        let holders = self.inventory.index.holders(&job.spec.image) as u64;
+        let holders = self.inventory.image_holders(&job.spec.image) as u64;
         if job.spec.kind != JobKind::Gang || holders == 0 {
             return None;
         }
@@ -177,10 +177,9 @@
         let takes_any = spec.kind == JobKind::Array && self.is_blocked(job, now);
         for name in self.candidates(number, None, left, now) {
             while left > 0 {
-                let (Some(job), Some(machine)) = (
-                    self.job_table.get(number),
-                    self.inventory.machines.get(&name),
-                ) else {
+                let (Some(job), Some(machine)) =
+                    (self.job_table.get(number), self.inventory.get(&name))
+                else {
                     break;
                 };
                 let Some(&task) = job.idle.first() else {
@@ -198,7 +197,7 @@
                     job: number,
                     task,
                     machine: name.clone(),
-                    agent_epoch: machine.agent_epoch,
+                    agent_epoch: machine.agent.epoch(),
                     attempt: job.next_attempt(task),
                     committed: false,
                 };
@@ -220,7 +219,7 @@
     image_free_in: Option<Micros>,
     now: Micros,
 ) -> bool {
-    if machine.has_image(&job.spec.image) {
+    if machine.images.contains(&job.spec.image) {
         return false;
     }
     let fetch = machine.kind.fetch_time(job.spec.image_mb);
--- a/crates/saltpitch-core/src/scheduler/policy_bindings.rs
+++ b/crates/saltpitch-core/src/scheduler/policy_bindings.rs
@@ -50,10 +50,7 @@
 
 impl Scheduler {
     fn cluster(&self) -> impl Fn(&str) -> Option<Value> {
-        let (machines, jobs) = (
-            self.inventory.machines.len() as f64,
-            self.job_table.len() as f64,
-        );
+        let (machines, jobs) = (self.inventory.len() as f64, self.job_table.len() as f64);
         move |name| match name {
             "cluster.machines" => Some(Value::Number(machines)),
             "cluster.jobs" => Some(Value::Number(jobs)),
@@ -67,9 +64,10 @@
         let policy = &mut self.config.policy;
         self.autoscaler.batch_completion_target =
             Micros::from_secs_f64(policy.number("drain_s", &cluster));
-        for g in &mut self.inventory.index.groups {
+        for g in self.inventory.groups_mut() {
             let scope = |n: &str| type_value(&g.kind, g.spot, n).or_else(|| cluster(n));
-            g.keep = Micros::from_secs_f64(policy.number("idle_keep_s", &scope));
+            let idle_keep = policy.number("idle_keep_s", &scope);
+            g.set_idle_keep(Micros::from_secs_f64(idle_keep));
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
@@ -97,7 +97,7 @@
     ) -> u64 {
         let candidates = self.candidates(queued.number, None, idle, now);
         let with_image = candidates.iter().filter(|name| self.has_image(name, spec));
-        let machines = with_image.filter_map(|name| self.inventory.machines.get(name));
+        let machines = with_image.filter_map(|name| self.inventory.get(name));
         let tasks = machines.map(|machine| spec.need.count_in(&machine.free()));
         tasks.sum()
     }
@@ -118,7 +118,7 @@
     }
 
     fn has_image(&self, machine: &Arc<str>, spec: &JobSpec) -> bool {
-        let machine = self.inventory.machines.get(machine);
-        machine.is_some_and(|machine| machine.has_image(&spec.image))
+        let machine = self.inventory.get(machine);
+        machine.is_some_and(|machine| machine.images.contains(&spec.image))
     }
 }
--- a/crates/saltpitch-core/src/scheduler/preemption/options.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/options.rs
@@ -39,9 +39,7 @@
         let Some(job) = self.job_table.get(queued.number) else {
             return Vec::new();
         };
-        let machines = names
-            .iter()
-            .filter_map(|name| self.inventory.machines.get(name));
+        let machines = names.iter().filter_map(|name| self.inventory.get(name));
         let suitable = machines.filter(|machine| {
             machine.takes_tasks()
                 && Self::zone_allows(job, &machine.zone)
@@ -54,17 +52,17 @@
 
     fn machines_to_search(&mut self, queued: QueuedJob, spec: &JobSpec) -> Vec<Arc<str>> {
         let mut names = Vec::new();
-        for at in 0..self.inventory.index.groups.len() {
-            let group = &self.inventory.index.groups[at];
+        for at in 0..self.inventory.groups().len() {
+            let group = &self.inventory.groups()[at];
             if !spec.need.fits(&group.kind.size)
                 || !spec.allows(&group.kind.name, &group.zone, group.spot)
                 || self.contested_for(spec, &group.kind.size)
-                || !(queued.within_quota || group.has_below(spec.priority))
+                || !(queued.within_quota || group.has_tasks_below(spec.priority))
             {
                 continue;
             }
-            let group = &mut self.inventory.index.groups[at];
-            names.extend(group.next_part(MACHINES_PER_SEARCH));
+            let group = &mut self.inventory.groups_mut()[at];
+            names.extend(group.next_members(MACHINES_PER_SEARCH));
         }
         names
     }
@@ -78,7 +76,7 @@
     ) -> Option<PreemptionOption> {
         let mut free = machine.free();
         let mut victims = Vec::new();
-        for &(number, task) in &machine.allocations {
+        for (number, task) in machine.allocations.iter() {
             let Some(other) = self.job_table.get(number) else {
                 continue;
             };
--- a/crates/saltpitch-core/src/scheduler/record_commits.rs
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -5,7 +5,6 @@
 use super::persistence::{CommittedMachine, RecordSources};
 use super::{Alert, Scheduler, TransactionOutcome};
 use crate::job::{JobNumber, JobState};
-use crate::machine::MachinePhase;
 use crate::records::RecordCache;
 use crate::time::Micros;
 
@@ -15,7 +14,7 @@
         let mut sources = RecordSources {
             config: &self.config,
             jobs: &mut self.job_table.jobs,
-            machines: &mut self.inventory.machines,
+            machines: &mut self.inventory,
             clock: &self.clock,
             now,
         };
@@ -40,7 +39,7 @@
             self.machine_committed(machine, now);
         }
         for name in &changes.start_on {
-            self.dispatch_soon(name);
+            self.dispatch.request_until_effect(name);
         }
         for number in changes.cancelled_jobs {
             self.stop_all(number, Micros::ZERO, now);
@@ -51,16 +50,14 @@
     /// The machine's record is written: tasks may be placed on it, or it may be returned.
     fn machine_committed(&mut self, committed: &CommittedMachine, now: Micros) {
         let name = &committed.name;
-        let Some(machine) = self.inventory.machines.get_mut(name) else {
+        let Some(machine) = self.inventory.get_mut(name) else {
             return;
         };
-        let is_new = !machine.recorded;
-        machine.recorded = true;
-        if committed.returning && machine.phase == MachinePhase::Returning(false) {
-            machine.phase = MachinePhase::Returning(true);
-            self.schedule_health_check(name, now);
+        let is_new = machine.lifecycle.set_recorded();
+        if committed.returning && machine.lifecycle.confirm_return() {
+            self.inventory.schedule_health_check(name, now);
         } else if is_new {
-            self.reindex(name);
+            self.inventory.update(name);
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/recovery.rs
+++ b/crates/saltpitch-core/src/scheduler/recovery.rs
@@ -15,7 +15,7 @@
 use super::placement_pass::PlacementPass;
 use super::{Scheduler, SchedulerConfig};
 use crate::catalog::{Catalog, MachineType};
-use crate::machine::{Machine, MachinePhase};
+use crate::machine::Machine;
 use crate::quota::Quota;
 use crate::records::RecordCache;
 use crate::time::Micros;
@@ -39,7 +39,7 @@
             dependencies: DependencyGate::default(),
             retries: RetryQueue::default(),
             gang_barrier: GangBarrier::default(),
-            inventory: MachineInventory::default(),
+            inventory: MachineInventory::new(now),
             dispatch: Dispatch::default(),
             persistence: Persistence::new(records, &config, now),
             autoscaler: Autoscaler::new(&config, now),
@@ -66,13 +66,15 @@
             for rec in &block.machines {
                 let mut machine =
                     Machine::new(&rec.0, kind.clone(), zone.clone(), block.spot, &rec.1, now);
-                machine.recorded = true;
+                machine.lifecycle.set_recorded();
                 machine.block = Some(*number);
-                machine.created_at = now.since(wall.since(rec.3));
+                machine
+                    .lifecycle
+                    .set_created_at(now.since(wall.since(rec.3)));
                 if rec.2 {
-                    machine.phase = MachinePhase::Returning(true);
+                    machine.lifecycle.restore_return();
                 }
-                if let Some(first) = self.inventory.machines.get_mut(&machine.name) {
+                if let Some(first) = self.inventory.get_mut(&machine.name) {
                     let from = first.block.replace(*number);
                     if let Some(from) = from.filter(|f| f != number) {
                         self.persistence.remove_duplicate_machine(
@@ -84,8 +86,8 @@
                     continue;
                 }
                 let name = machine.name.clone();
-                self.add_machine(machine);
-                self.update_reachability(&name);
+                self.inventory.add(machine);
+                self.inventory.update_reachability(&name);
                 self.restore_images(&rec.0, records, now);
             }
         }
@@ -115,19 +117,17 @@
 
     /// What the records prove of a machine's cache, for a leader that has never heard of the machine.
     fn restore_images(&mut self, name: &str, records: &RecordCache, now: Micros) {
-        let (Some(cache), Some(machine)) = (
-            records.images.of(name),
-            self.inventory.machines.get_mut(name),
-        ) else {
+        let (Some(cache), Some(machine)) = (records.images.of(name), self.inventory.get_mut(name))
+        else {
             return;
         };
-        machine.recorded_epoch = Some(cache.agent_epoch);
+        machine.images.restored(cache.agent_epoch);
         let count = cache.images.len() as u64;
         for (i, image) in cache.images.iter().enumerate() {
             // In the order of their use, and all before this leader's own time.
             let used_at = now.since(Micros(count - i as u64));
-            let (came, went) = machine.use_image(&image.name, image.size_mb, used_at);
-            self.inventory.index.images(&machine.zone, &came, &went);
+            self.inventory
+                .image_used(name, &image.name, image.size_mb, used_at);
         }
     }
 }
--- a/crates/saltpitch-core/src/scheduler/summary.rs
+++ b/crates/saltpitch-core/src/scheduler/summary.rs
@@ -5,7 +5,11 @@
 use super::Scheduler;
 use crate::catalog::Resources;
 
+/// Processors and accelerators are counted in thousandths.
+const UNIT: u64 = 1_000;
+
 /// The machines of one type, for the log.
+#[derive(Default)]
 struct TypeUsage<'a> {
     name: &'a str,
     machines: u64,
@@ -15,70 +19,58 @@
 
 impl std::fmt::Display for TypeUsage<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (used, all) = (self.used.cpu / 1_000, self.all.cpu / 1_000);
+        let (used, all) = (self.used.cpu / UNIT, self.all.cpu / UNIT);
         write!(f, "{} {}: {used}/{all}", self.name, self.machines)?;
         if self.all.gpu > 0 {
-            let (used, all) = (self.used.gpu / 1_000, self.all.gpu / 1_000);
+            let (used, all) = (self.used.gpu / UNIT, self.all.gpu / UNIT);
             write!(f, " and {used}/{all} accelerators")?;
         }
         Ok(())
     }
 }
 
+/// The machines that are up, for the log.
+#[derive(Default)]
+struct MachineUsage<'a> {
+    up: usize,
+    /// Those on which nothing new is placed.
+    closed: usize,
+    by_type: BTreeMap<&'a str, TypeUsage<'a>>,
+}
+
 impl Scheduler {
-    /// What the machines that are up give and how much of it is in use, by type.
-    fn usage(&self) -> BTreeMap<&str, TypeUsage<'_>> {
-        let mut by_type: BTreeMap<&str, TypeUsage> = BTreeMap::new();
-        for machine in self
-            .inventory
-            .machines
-            .values()
-            .filter(|machine| machine.is_up())
-        {
-            let usage = by_type.entry(&machine.kind.name).or_insert(TypeUsage {
-                name: &machine.kind.name,
-                machines: 0,
-                used: Resources::default(),
-                all: Resources::default(),
-            });
-            usage.machines += 1;
-            usage.used = usage.used.plus(&machine.used);
-            usage.all = usage.all.plus(&machine.kind.size);
+    /// How many machines are up, what they give and how much of it is in use.
+    fn machine_usage(&self) -> MachineUsage<'_> {
+        let mut usage = MachineUsage::default();
+        for machine in self.inventory.iter().filter(|machine| machine.is_up()) {
+            usage.up += 1;
+            usage.closed += usize::from(!machine.takes_tasks());
+            let name = machine.kind.name.as_str();
+            let of_type = usage.by_type.entry(name).or_default();
+            of_type.name = name;
+            of_type.machines += 1;
+            of_type.used = of_type.used.plus(&machine.allocations.used());
+            of_type.all = of_type.all.plus(&machine.kind.size);
         }
-        by_type
+        usage
     }
 
     /// One line for the log.
     pub fn summary(&self) -> String {
-        let idle: usize = self
-            .job_table
-            .values()
-            .filter(|job| job.is_active())
-            .map(|job| job.idle.len())
-            .sum();
+        let active = self.job_table.values().filter(|job| job.is_active());
+        let waiting: usize = active.map(|job| job.idle.len()).sum();
         let placed: u32 = self.job_table.values().map(|job| job.placed).sum();
-        let lost = self
-            .inventory
-            .machines
-            .values()
-            .filter(|machine| machine.is_up() && !machine.takes_tasks());
-        let up = self
-            .inventory
-            .machines
-            .values()
-            .filter(|machine| machine.is_up())
-            .count();
-        let room: Vec<String> = self.usage().values().map(TypeUsage::to_string).collect();
+        let usage = self.machine_usage();
+        let by_type: Vec<String> = usage.by_type.values().map(TypeUsage::to_string).collect();
         format!(
-            "term {} jobs {} waiting {} placed {} machines {} up {} ({} closed) [{}] dirty {} log {} free {} paused {}",
+            "term {} jobs {} waiting {waiting} placed {placed} machines {} up {} ({} closed) [{}] \
+             dirty {} log {} free {} paused {}",
             self.leader_term.term,
             self.job_table.len(),
-            idle,
-            placed,
-            self.inventory.machines.len(),
-            up,
-            lost.count(),
-            room.join(", "),
+            self.inventory.len(),
+            usage.up,
+            usage.closed,
+            by_type.join(", "),
             self.persistence.unsaved_count(),
             self.persistence.next_segment(),
             self.persistence.free_segments(),
--- /dev/null
+++ b/crates/saltpitch-core/src/scheduler/task_exits.rs
@@ -0,0 +1,117 @@
+//! What follows when a task is proven to be off its machine.
+
+use std::sync::Arc;
+
+use super::Scheduler;
+use crate::agent::ExitCause;
+use crate::gang::Gang;
+use crate::job::{JobKind, JobNumber};
+use crate::time::Micros;
+
+/// Run times further off the estimate than this count as this far off.
+const RUN_TIME_RATIOS: std::ops::RangeInclusive<f64> = 0.1..=10.0;
+
+/// A task that is proven to be off its machine.
+pub(super) struct EndedTask {
+    pub(super) job: JobNumber,
+    pub(super) task: u32,
+    /// Why it exited; `None` if it is lost.
+    pub(super) cause: Option<ExitCause>,
+}
+
+impl Scheduler {
+    /// A task is proven to be off its machine.
+    pub(super) fn task_exited(&mut self, ended: EndedTask, machine: &Arc<str>, now: Micros) {
+        let (number, task) = (ended.job, ended.task);
+        let job = self.job_table.get(number);
+        let Some(allocation) = job.and_then(|job| job.allocation(task)) else {
+            return;
+        };
+        let was_stopped = allocation.stop.is_some();
+        let running_since = allocation.running_since;
+        let mut backoff = Micros::ZERO;
+        match ended.cause {
+            Some(ExitCause::Done) => {
+                if let Some(since) = running_since {
+                    self.note_run_time(number, now.since(since));
+                }
+                self.task_completed(number, task, now);
+            }
+            Some(ExitCause::Error) => backoff = self.task_failed(number, task, now),
+            Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
+                self.task_refused(number, machine, now);
+            }
+            Some(ExitCause::Stopped | ExitCause::Peers | ExitCause::Incomplete) | None => {}
+        }
+        self.release(number, task, now);
+        if backoff > Micros::ZERO {
+            self.defer_task(number, task, backoff, now);
+        }
+        self.gang_member_exited(number, was_stopped, now);
+        self.check_complete(number);
+    }
+
+    /// A task completed. The members of a gang complete together: when one is done, all of them are.
+    fn task_completed(&mut self, number: JobNumber, task: u32, now: Micros) {
+        self.task_done(number, task, now);
+        let Some(job) = self.job_table.get(number) else {
+            return;
+        };
+        if job.spec.kind == JobKind::Gang {
+            for member in 0..job.spec.tasks {
+                self.task_done(number, member, now);
+            }
+        }
+    }
+
+    /// A member of a gang is gone, which ends the attempt of all of them. An orderly stop keeps its grace:
+    /// the others, stopped in time, save as well.
+    fn gang_member_exited(&mut self, number: JobNumber, was_stopped: bool, now: Micros) {
+        let Some(job) = self.job_table.get_mut(number) else {
+            return;
+        };
+        if job.spec.kind != JobKind::Gang {
+            return;
+        }
+        if !job.is_complete() && !was_stopped && job.gang != Gang::Stopping {
+            job.gang = Gang::Stopping;
+            self.stop_all(number, Micros::ZERO, now);
+        }
+        let Some(job) = self.job_table.get_mut(number) else {
+            return;
+        };
+        if job.placed == 0 {
+            job.gang = Gang::Parked { until: now };
+            job.parked_at = now;
+        }
+    }
+
+    /// Takes in how far off its estimate a task's run time was.
+    fn note_run_time(&mut self, number: JobNumber, run_time: Micros) {
+        let Some(job) = self.job_table.get(number) else {
+            return;
+        };
+        if job.spec.estimate == Micros::ZERO || job.spec.kind == JobKind::Service {
+            return;
+        }
+        let ratio = run_time.0 as f64 / job.spec.estimate.0 as f64;
+        let ratio = ratio.clamp(*RUN_TIME_RATIOS.start(), *RUN_TIME_RATIOS.end());
+        let class = job.class;
+        self.job_table.classes.note_run_time(class, ratio);
+    }
+
+    /// Every task on this machine is proven gone.
+    pub(super) fn release_all(&mut self, name: &Arc<str>, now: Micros) {
+        let Some(machine) = self.inventory.get(name) else {
+            return;
+        };
+        for (job, task) in machine.allocations.to_vec() {
+            let ended = EndedTask {
+                job,
+                task,
+                cause: None,
+            };
+            self.task_exited(ended, name, now);
+        }
+    }
+}
--- a/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
@@ -1,9 +1,9 @@
-//! Machines out of this leader's reach: as long as there are many, what it knows of the site's room is not
-//! worth renting for.
+//! Machines out of this leader's reach. As long as there are many of them, the leader does not know the
+//! site's capacity well enough to scale out.
 //!
-//! Found in an incident: a leader that was cut off from its agents saw all room gone, and rented 231 of
-//! the dearest machines in the eight seconds before it resigned. Its successor, which had heard nobody
-//! yet, went on with that.
+//! Found in an incident: a leader that was cut off from its agents saw all capacity gone, and ordered 231
+//! of the most expensive machines in the eight seconds before it resigned. Its successor, which had heard
+//! no agent yet, went on with that.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,50 +18,66 @@
 const UP_AFTER_BOOTS: f64 = 1.5;
 
 /// The machines that are up, or should be, and out of reach.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub(super) struct UnreachableMachines {
     machines: BTreeSet<Arc<str>>,
     /// Since when there have been many.
     many_since: Option<Micros>,
+    /// When the present leadership began.
+    elected_at: Micros,
 }
 
-impl Scheduler {
+impl UnreachableMachines {
+    /// None, for a leader that was elected at this time.
+    pub(super) fn new(elected_at: Micros) -> UnreachableMachines {
+        UnreachableMachines {
+            machines: BTreeSet::new(),
+            many_since: None,
+            elected_at,
+        }
+    }
+
     /// Something about a machine changed that may have brought it into reach or out of it.
-    pub(super) fn update_reachability(&mut self, name: &Arc<str>) {
-        let machine = self.inventory.machines.get(name);
+    pub(super) fn update(&mut self, name: &Arc<str>, machine: Option<&Machine>) {
         if machine.is_some_and(|machine| self.is_unreachable(machine)) {
-            self.inventory.unreachable.machines.insert(name.clone());
+            self.machines.insert(name.clone());
         } else {
-            self.inventory.unreachable.machines.remove(name);
+            self.machines.remove(name);
         }
     }
 
+    /// A machine is gone.
+    pub(super) fn remove(&mut self, name: &Arc<str>) {
+        self.machines.remove(name);
+    }
+
     fn is_unreachable(&self, machine: &Machine) -> bool {
-        match machine.phase {
-            MachinePhase::Up => {
-                machine.unresponsive
-                    || machine.outbound_partition
-                    || machine.inbound_partition.is_suspected()
-            }
+        match machine.lifecycle.phase() {
+            MachinePhase::Up => !machine.connectivity.is_reachable(),
             MachinePhase::Unregistered => {
-                let up_at = machine
-                    .created_at
-                    .plus(machine.kind.boot.times(UP_AFTER_BOOTS));
-                machine.recorded && up_at < self.leader_term.elected_at
+                let boot = machine.kind.boot.times(UP_AFTER_BOOTS);
+                let up_at = machine.lifecycle.created_at().plus(boot);
+                machine.lifecycle.is_recorded() && up_at < self.elected_at
             }
-            MachinePhase::Returning(_) => false,
+            MachinePhase::ReturnRequested | MachinePhase::Returning => false,
         }
     }
 
+    /// Whether many of `all` machines have been out of reach for less than `period`.
+    pub(super) fn too_many(&mut self, all: usize, period: Micros, now: Micros) -> bool {
+        if self.machines.len() * MANY <= all {
+            self.many_since = None;
+            return false;
+        }
+        let since = *self.many_since.get_or_insert(now);
+        now.since(since) <= period
+    }
+}
+
+impl Scheduler {
     /// Whether many machines have been out of reach for less than a lease. After that what they held is
     /// lost and has to run elsewhere, whatever the reason.
     pub(super) fn too_many_unreachable(&mut self, now: Micros) -> bool {
-        let state = &mut self.inventory.unreachable;
-        if state.machines.len() * MANY <= self.inventory.machines.len() {
-            state.many_since = None;
-            return false;
-        }
-        let since = *state.many_since.get_or_insert(now);
-        now.since(since) <= self.config.lease
+        self.inventory.too_many_unreachable(self.config.lease, now)
     }
 }
