--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
@@ -1,7 +1,6 @@
 //! The plan of one pass: which pending capacity the waiting jobs take, and which machines are to be rented
 //! beside it.
 
-use std::collections::HashMap;
 use std::sync::Arc;
 
 use super::accelerator_demand::AcceleratorDemand;
@@ -82,14 +81,14 @@
     }
 
     /// Gives `want` tasks of a job pending capacity, and adds machines to be rented where that is short.
-    /// `machines_by_zone` are the machines that there are already.
+    /// `machines_in_zone` tells how many machines there are already.
     pub(in crate::scheduler) fn reserve(
         &mut self,
         job: &Job,
         terms: &ScaleOutTerms,
         want: u64,
         accelerators: &AcceleratorDemand,
-        machines_by_zone: &HashMap<Arc<str>, usize>,
+        machines_in_zone: &dyn Fn(&str) -> usize,
     ) {
         let spec = &job.spec;
         let mut suitable: Vec<&mut CapacityPool> = self
@@ -118,7 +117,7 @@
             let best = candidates.min_by_key(|pool| {
                 let tasks = spec.need.count_in(&pool.kind.size).min(left).max(1);
                 let price = pool.price() * PRICE_PRECISION / tasks;
-                let in_zone = machines_by_zone.get(&pool.zone).copied().unwrap_or(0);
+                let in_zone = machines_in_zone(&pool.zone);
                 (price, in_zone + pool.new_machines() as usize)
             });
             let Some(pool) = best else { return };
--- a/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
@@ -6,7 +6,7 @@
 
 use super::Autoscaler;
 use crate::catalog::MachineType;
-use crate::machine::{Machine, MachinePhase};
+use crate::machine::Machine;
 use crate::scheduler::SchedulerConfig;
 use crate::time::Micros;
 
@@ -94,7 +94,7 @@
     /// Whether a machine of this kind that was ordered later is up.
     fn is_overtaken(&self, machine: &Machine, now: Micros) -> bool {
         let mut boots = self.recent(&machine.kind, &machine.zone, now);
-        boots.any(|boot| boot.ordered_at > machine.created_at)
+        boots.any(|boot| boot.ordered_at > machine.lifecycle.created_at())
     }
 
     /// When the last of a zone's machines that came up had been ordered.
@@ -132,7 +132,7 @@
 
     /// Whether this leader ordered the machine. Others may have been up for long, unknown to it.
     fn is_own(&self, machine: &Machine) -> bool {
-        machine.created_at > self.elected_at
+        machine.lifecycle.created_at() > self.elected_at
     }
 
     /// Whether a machine of an earlier leader may be up and still be looking for this one.
@@ -149,11 +149,11 @@
         machine: &Machine,
         clock: ProvisioningClock,
     ) {
-        if clock.is_own(machine) && machine.created_at < clock.now {
+        if clock.is_own(machine) && machine.lifecycle.created_at() < clock.now {
             self.provisioning_times.add(
                 &machine.kind,
                 &machine.zone,
-                machine.created_at,
+                machine.lifecycle.created_at(),
                 clock.now,
             );
         }
@@ -166,10 +166,9 @@
         machine: &Machine,
         clock: ProvisioningClock,
     ) -> bool {
-        let age = clock.now.since(machine.created_at);
+        let age = clock.now.since(machine.lifecycle.created_at());
         // Most are not, and need no comparison with the others.
-        if machine.phase != MachinePhase::Unregistered
-            || age <= machine.kind.boot.times(USUAL_BOOT_RATIO)
+        if !machine.lifecycle.is_unregistered() || age <= machine.kind.boot.times(USUAL_BOOT_RATIO)
         {
             return false;
         }
@@ -186,12 +185,12 @@
         machine: &Machine,
         clock: ProvisioningClock,
     ) -> bool {
-        if machine.phase != MachinePhase::Unregistered || clock.may_be_unknown(machine) {
+        if !machine.lifecycle.is_unregistered() || clock.may_be_unknown(machine) {
             return false;
         }
         let longest_boot = machine.kind.boot.times(ABANDON_BOOT_RATIO);
         let limit = longest_boot.plus(ABANDON_MARGIN);
-        clock.now.since(machine.created_at) > limit
+        clock.now.since(machine.lifecycle.created_at()) > limit
             || (self.is_overdue(machine, clock)
                 && self.provisioning_times.is_overtaken(machine, clock.now))
     }
@@ -208,10 +207,10 @@
         for machine in own.filter(|machine| self.is_overdue(machine, clock)) {
             let zone = zones.entry(&machine.zone).or_insert(OverdueInZone {
                 overdue: 0,
-                first_overdue: machine.created_at,
+                first_overdue: machine.lifecycle.created_at(),
             });
             zone.overdue += 1;
-            zone.first_overdue = zone.first_overdue.min(machine.created_at);
+            zone.first_overdue = zone.first_overdue.min(machine.lifecycle.created_at());
         }
         let stalled = zones.into_iter().filter(|(zone, in_zone)| {
             in_zone.overdue >= OVERDUE_IN_STALLED_ZONE
--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -10,7 +10,7 @@
 use crate::catalog::Resources;
 use crate::gang::Gang;
 use crate::job::JobKind;
-use crate::machine::{Machine, MachinePhase};
+use crate::machine::Machine;
 use crate::time::Micros;
 
 /// The most tasks of one job that are planned for at a time, beyond one for each machine of the site: a
@@ -41,7 +41,7 @@
         let mut backlog = self.batch_backlog();
         let teams = 0..self.quota.len();
         let mut claimed: Vec<Resources> = teams.map(|team| self.quota.used(team)).collect();
-        let max_tasks = self.inventory.machines.len() as u64 + RESERVED_BEYOND_MACHINES;
+        let max_tasks = self.inventory.len() as u64 + RESERVED_BEYOND_MACHINES;
         for (position, queued) in self.queued_jobs(now).into_iter().enumerate() {
             let Some(job) = self.job_table.get(queued.number) else {
                 continue;
@@ -61,7 +61,7 @@
                 &terms,
                 want.min(max_tasks),
                 self.autoscaler.accelerator_demand(),
-                &self.inventory.index.by_zone,
+                &|zone| self.inventory.machines_in_zone(zone),
             );
         }
         plan
@@ -76,29 +76,30 @@
             .iter()
             .filter_map(|number| self.job_table.get(*number));
         let smallest_need = waiting.map(|job| job.spec.need.cpu).min().unwrap_or(0);
-        let machines = &self.inventory.machines;
-        let provisioning = || {
-            let names = self.inventory.provisioning.iter();
-            names.filter_map(|name| machines.get(name))
-        };
-        let idle = self.inventory.idle.iter();
-        let idle = idle.filter_map(|name| machines.get(name));
+        let idle = self.inventory.idle();
         // Found by a test: what had just come up was neither pending nor in use yet, and was ordered
         // once more.
-        let just_up =
-            idle.filter(|machine| machine.takes_tasks() && now.since(machine.up_since) < JUST_UP);
+        let just_up = idle.filter(|machine| {
+            machine.takes_tasks() && now.since(machine.lifecycle.up_since()) < JUST_UP
+        });
         let is_pending = |machine: &&Machine| {
-            let is_booting = machine.phase == MachinePhase::Unregistered
-                && !self.autoscaler.is_overdue(machine, clock);
-            machine.allocations.is_empty() && (is_booting || machine.phase == MachinePhase::Up)
+            let is_booting =
+                machine.lifecycle.is_unregistered() && !self.autoscaler.is_overdue(machine, clock);
+            machine.allocations.is_empty() && (is_booting || machine.is_up())
         };
-        let pending = provisioning().chain(just_up).filter(is_pending);
-        let stalled_zones = self.autoscaler.stalled_zones(provisioning(), clock);
+        let pending = self
+            .inventory
+            .provisioning()
+            .chain(just_up)
+            .filter(is_pending);
+        let stalled_zones = self
+            .autoscaler
+            .stalled_zones(self.inventory.provisioning(), clock);
         let plan =
             self.autoscaler
                 .new_plan(&self.catalog, smallest_need, pending, &stalled_zones, now);
         let looked_at =
-            unplaced.len() + self.inventory.provisioning.len() + self.inventory.idle.len();
+            unplaced.len() + self.inventory.provisioning_count() + self.inventory.idle_count();
         self.steps += looked_at as u64;
         plan
     }
@@ -106,9 +107,9 @@
     /// The batch work that is placed, against the processors that take batch work.
     fn batch_backlog(&self) -> BatchBacklog {
         let accelerators = self.autoscaler.accelerator_demand();
-        let groups = self.inventory.index.groups.iter();
+        let groups = self.inventory.groups().iter();
         let ordinary = groups.filter(|group| !accelerators.is_contested(&group.kind.size));
-        let processors = ordinary.map(|group| group.batch).sum();
+        let processors = ordinary.map(|group| group.batch_cpu()).sum();
         self.autoscaler.batch_backlog(processors, &self.catalog)
     }
 
@@ -197,20 +198,20 @@
         let kind = Arc::new(kind);
         let zone: Arc<str> = pool.zone.as_str().into();
         for name in names {
-            if self.inventory.machines.contains_key(name.as_str()) {
+            if self.inventory.contains(&name) {
                 continue;
             }
             let mut machine = Machine::new(&name, kind.clone(), zone.clone(), pool.spot, "", now);
             self.persistence
                 .machine_changed(&mut machine, now.plus(RENTED_RECORD_DELAY));
-            self.add_machine(machine);
+            self.inventory.add(machine);
         }
     }
 
     /// A machine sent its first heartbeat to this leader.
     pub(super) fn note_provisioned(&mut self, name: &Arc<str>, now: Micros) {
         let clock = self.provisioning_clock(now);
-        if let Some(machine) = self.inventory.machines.get(name) {
+        if let Some(machine) = self.inventory.get(name) {
             self.autoscaler.machine_joined(machine, clock);
         }
     }
--- a/crates/saltpitch-core/src/scheduler/scale_in.rs
+++ b/crates/saltpitch-core/src/scheduler/scale_in.rs
@@ -9,17 +9,17 @@
     /// before a machine could boot. Batch work there makes way for it.
     pub(super) fn spare_above_warm_pool(&self, now: Micros) -> u64 {
         let accelerators = self.autoscaler.accelerator_demand();
-        let groups = self.inventory.index.groups.iter();
+        let groups = self.inventory.groups().iter();
         let ordinary =
             groups.filter(|group| !group.spot && !accelerators.is_contested(&group.kind.size));
-        let available: u64 = ordinary.map(|group| group.batch).sum();
+        let available: u64 = ordinary.map(|group| group.batch_cpu()).sum();
         available.saturating_sub(self.autoscaler.warm_pool_cpu(&self.catalog, now))
     }
 
     /// How long an idle machine is kept: what the policy says; and while work with accelerators keeps
     /// coming, a machine for it as long again as its images would take to fetch elsewhere.
     pub(super) fn idle_time_limit(&self, machine: &Machine, now: Micros) -> Micros {
-        let limit = self.inventory.index.groups[machine.group].keep;
+        let limit = self.inventory.group_of(machine).idle_keep();
         let requested_at = self.autoscaler.accelerators_requested_at();
         if machine.kind.size.gpu > 0 && now.since(requested_at) < limit {
             limit.plus(machine.image_worth())
@@ -32,10 +32,9 @@
     /// come up.
     pub(super) fn scale_in_idle(&mut self, now: Micros) {
         let mut spare = self.spare_above_warm_pool(now);
-        self.steps += self.inventory.idle.len() as u64;
+        self.steps += self.inventory.idle_count() as u64;
         let mut returned = Vec::new();
-        let idle = self.inventory.idle.iter();
-        for machine in idle.filter_map(|name| self.inventory.machines.get(name)) {
+        for machine in self.inventory.idle() {
             if !self.is_dispensable(machine, now) {
                 continue;
             }
@@ -54,29 +53,29 @@
 
     /// Whether nothing is on the machine and it has been idle, or not come up, for too long.
     fn is_dispensable(&self, machine: &Machine, now: Micros) -> bool {
-        if !machine.allocations.is_empty() || machine.has_running_unowned_tasks() {
+        if !machine.allocations.is_empty() || machine.allocations.has_running_unowned() {
             return false;
         }
-        match machine.phase {
+        match machine.lifecycle.phase() {
             MachinePhase::Up => {
                 let limit = self.idle_time_limit(machine, now);
-                machine.cordoned
-                    || now.since(machine.idle_since) > limit
-                    || now.since(machine.wanted_at) > limit
+                machine.cordon.is_active()
+                    || now.since(machine.allocations.idle_since()) > limit
+                    || now.since(machine.allocations.wanted_at()) > limit
             }
             MachinePhase::Unregistered => {
                 let clock = self.provisioning_clock(now);
                 self.autoscaler.is_abandoned(machine, clock)
             }
-            MachinePhase::Returning(_) => false,
+            MachinePhase::ReturnRequested | MachinePhase::Returning => false,
         }
     }
 
     /// Whether the machine's processors count as warm for production.
     fn is_in_warm_pool(&self, machine: &Machine) -> bool {
         let accelerators = self.autoscaler.accelerator_demand();
-        machine.phase == MachinePhase::Up
-            && !machine.cordoned
+        machine.is_up()
+            && !machine.cordon.is_active()
             && !machine.spot
             && !accelerators.is_contested(&machine.kind.size)
     }
