--- a/crates/saltpitch-core/src/controller/mod.rs
+++ b/crates/saltpitch-core/src/controller/mod.rs
@@ -246,13 +246,13 @@
     }
 
     /// The records were read anew for the scheduler of this epoch, or could not be.
-    pub fn refreshed(&mut self, epoch: u64, read: bool, now: Micros, wall: Micros) {
+    pub fn records_reloaded(&mut self, epoch: u64, read: bool, now: Micros, wall: Micros) {
         if self.epoch != epoch {
             return;
         }
         if let Some(leadership) = &mut self.leadership {
             let records = read.then_some(&self.records);
-            leadership.scheduler.refreshed(records, now, wall);
+            leadership.scheduler.records_reloaded(records, now, wall);
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -31,7 +31,7 @@
             committed,
         } = assignment;
         let (Some(job), Some(machine)) = (
-            self.job_table.jobs.get_mut(&number),
+            self.job_table.get_mut(number),
             self.inventory.get_mut(&name),
         ) else {
             return;
@@ -64,7 +64,7 @@
 
     /// A task is proven to be off its machine, or its start was never sent.
     pub(super) fn release(&mut self, number: JobNumber, task: u32, now: Micros) {
-        let Some(job) = self.job_table.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
         let machine_of = |allocation: &Allocation| allocation.machine.clone();
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -98,7 +98,7 @@
     /// Takes a job out of the queue while its delegation is written. Returns the revision of its record;
     /// `None` if something of it is placed, on record or on its way there.
     pub fn reserve_for_delegation(&mut self, id: &str) -> Option<u64> {
-        let number = *self.job_table.by_id.get(id)?;
+        let number = self.job_table.number_of(id)?;
         let job = self.job_table.get(number)?;
         let written = |task: u32| self.persistence.is_task_unsaved(number, task);
         if !job.may_be_delegated() || (0..job.spec.tasks).any(written) {
@@ -112,7 +112,7 @@
 
     /// The delegation was not written: the job goes back to the queue.
     pub fn release_reservation(&mut self, id: &str, now: Micros) {
-        let Some(&number) = self.job_table.by_id.get(id) else {
+        let Some(number) = self.job_table.number_of(id) else {
             return;
         };
         let Some(job) = self.job_table.get_mut(number) else {
@@ -128,11 +128,7 @@
     /// Whether a job that is with another cell could begin here now: nothing else waits, its team's limit
     /// has room, and there are machines for all of it or the cloud is not known to refuse them.
     pub fn could_start_locally(&mut self, id: &str, now: Micros) -> bool {
-        let job = self
-            .job_table
-            .by_id
-            .get(id)
-            .and_then(|number| self.job_table.get(*number));
+        let job = self.job_table.find(id);
         let Some((spec, team)) = job.map(|job| (job.spec.clone(), job.team)) else {
             return false;
         };
--- a/crates/saltpitch-core/src/scheduler/job_table/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/mod.rs
@@ -24,8 +24,8 @@
 /// The jobs in memory.
 #[derive(Default)]
 pub(super) struct JobTable {
-    pub(super) jobs: BTreeMap<JobNumber, Job>,
-    pub(super) by_id: HashMap<Arc<str>, JobNumber>,
+    jobs: BTreeMap<JobNumber, Job>,
+    by_id: HashMap<Arc<str>, JobNumber>,
     last_number: JobNumber,
     active_by_age: BTreeSet<(Micros, JobNumber)>,
     unplaced: BTreeSet<JobNumber>,
--- a/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
@@ -43,7 +43,7 @@
             if !builder.fits(write_limit, value.len() + CHECKPOINT_OVERHEAD_BYTES) {
                 return;
             }
-            if let Some(job) = sources.jobs.get_mut(&range.job) {
+            if let Some(job) = sources.jobs.get_mut(range.job) {
                 self.add_checkpoint(range, value, job, builder);
             }
         }
@@ -56,7 +56,7 @@
         builder: &TransactionBuilder,
         sources: &RecordSources,
     ) -> Option<String> {
-        let job = sources.jobs.get(&range.job)?;
+        let job = sources.jobs.get(range.job)?;
         let writes_segment = builder.contents.segment_slot.is_some();
         let up_to_segment = self.placement_log.next_segment() - u64::from(!writes_segment);
         let tasks = range.tasks(job.spec.tasks);
@@ -72,7 +72,7 @@
         builder: &TransactionBuilder,
         sources: &RecordSources,
     ) {
-        let Some(job) = sources.jobs.get(&range.job) else {
+        let Some(job) = sources.jobs.get(range.job) else {
             return;
         };
         for index in range.tasks(job.spec.tasks) {
--- a/crates/saltpitch-core/src/scheduler/persistence/commit.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/commit.rs
@@ -1,12 +1,12 @@
 //! Composing transactions, one at a time, and what follows from their outcome.
 
-use std::collections::{BTreeSet, HashMap};
-use std::sync::Arc;
+use std::collections::BTreeSet;
 
 use super::transaction::{TransactionBuilder, TransactionContents, TransactionOutcome};
-use super::{Jobs, Persistence, RecordSources};
+use super::{Persistence, RecordSources};
 use crate::job::JobNumber;
 use crate::records::RecordCache;
+use crate::scheduler::job_table::JobTable;
 use crate::scheduler::{Effect, SchedulerConfig};
 use crate::time::Micros;
 
@@ -123,7 +123,7 @@
     pub(in crate::scheduler) fn transaction_ended(
         &mut self,
         outcome: TransactionOutcome,
-        jobs: &mut Jobs,
+        jobs: &mut JobTable,
         config: &SchedulerConfig,
         now: Micros,
     ) -> Option<CommittedTransaction> {
@@ -153,15 +153,15 @@
     }
 
     /// Marks all that a transaction held for writing again.
-    fn revert(&mut self, contents: TransactionContents, jobs: &mut Jobs, now: Micros) {
+    fn revert(&mut self, contents: TransactionContents, jobs: &mut JobTable, now: Micros) {
         let mut tasks = contents.tasks;
         for range in contents.checkpoints {
-            if let Some(job) = jobs.get(&range.job) {
+            if let Some(job) = jobs.get(range.job) {
                 tasks.extend(range.keys(job.spec.tasks));
             }
         }
         for key in tasks {
-            let Some(job) = jobs.get_mut(&key.job) else {
+            let Some(job) = jobs.get_mut(key.job) else {
                 continue;
             };
             if let Some(allocation) = &mut job.tasks[key.task as usize].allocation {
@@ -191,13 +191,13 @@
     pub(in crate::scheduler) fn records_reloaded(
         &mut self,
         records: &RecordCache,
-        job_numbers: &HashMap<Arc<str>, JobNumber>,
+        jobs: &JobTable,
         now: Micros,
     ) -> BTreeSet<JobNumber> {
         self.reload_in_flight = false;
         self.outcome_unknown = false;
         self.next_transaction_at = now;
-        self.placement_log.reload(records, job_numbers);
+        self.placement_log.reload(records, jobs);
         self.machine_blocks.reload(records);
         let mut unsaved_jobs = self.unsaved_tasks.jobs();
         unsaved_jobs.extend(&self.finished_jobs);
--- a/crates/saltpitch-core/src/scheduler/persistence/committed.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/committed.rs
@@ -6,10 +6,11 @@
 use super::commit::CommittedTransaction;
 use super::task_keys::{TaskKey, TaskRange};
 use super::transaction::{CommittedMachine, TransactionContents};
-use super::{Jobs, Persistence};
+use super::Persistence;
 use crate::gang::Gang;
 use crate::job::{JobKind, JobNumber, JobState};
 use crate::records::Checkpoint;
+use crate::scheduler::job_table::JobTable;
 use crate::scheduler::{Job, Task};
 use crate::time::Micros;
 
@@ -29,7 +30,7 @@
     pub(in crate::scheduler) fn apply_commit(
         &mut self,
         transaction: CommittedTransaction,
-        jobs: &mut Jobs,
+        jobs: &mut JobTable,
         now: Micros,
     ) -> CommittedChanges {
         let CommittedTransaction {
@@ -78,11 +79,11 @@
         &self,
         contents: &mut TransactionContents,
         revision: u64,
-        jobs: &mut Jobs,
+        jobs: &mut JobTable,
     ) {
         let up_to_segment = self.placement_log.next_segment() - 1;
         for range in &contents.checkpoints {
-            if let Some(job) = jobs.get_mut(&range.job) {
+            if let Some(job) = jobs.get_mut(range.job) {
                 job.checkpoints[range.index as usize] = Checkpoint {
                     revision,
                     up_to_segment,
@@ -94,11 +95,15 @@
 }
 
 /// Marks the allocations of these tasks as committed, job by job.
-fn commit_allocations(tasks: &BTreeSet<TaskKey>, jobs: &mut Jobs, changes: &mut CommittedChanges) {
+fn commit_allocations(
+    tasks: &BTreeSet<TaskKey>,
+    jobs: &mut JobTable,
+    changes: &mut CommittedChanges,
+) {
     let mut numbers: Vec<JobNumber> = tasks.iter().map(|key| key.job).collect();
     numbers.dedup();
     for number in numbers {
-        let Some(job) = jobs.get_mut(&number) else {
+        let Some(job) = jobs.get_mut(number) else {
             continue;
         };
         let of_job = TaskKey::new(number, 0)..=TaskKey::new(number, u32::MAX);
--- a/crates/saltpitch-core/src/scheduler/persistence/final_records.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/final_records.rs
@@ -20,7 +20,7 @@
         sources: &RecordSources,
     ) {
         while let Some(&number) = self.finished_jobs.first() {
-            let Some(job) = sources.jobs.get(&number) else {
+            let Some(job) = sources.jobs.get(number) else {
                 self.finished_jobs.remove(&number);
                 continue;
             };
--- a/crates/saltpitch-core/src/scheduler/persistence/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/mod.rs
@@ -19,7 +19,7 @@
 mod transaction;
 mod unsaved_tasks;
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
 use serde::Serialize;
@@ -33,6 +33,7 @@
 use crate::time::Micros;
 use crate::token_bucket::TokenBucket;
 
+use crate::scheduler::job_table::JobTable;
 use alerts::PlacementLogAlerts;
 use machine_blocks::MachineBlocks;
 use placement_log::PlacementLog;
@@ -45,19 +46,14 @@
 
 pub(in crate::scheduler) use transaction::CommittedMachine;
 
-/// The jobs in memory.
-pub(in crate::scheduler) type Jobs = BTreeMap<JobNumber, Job>;
-/// The machines in memory.
-pub(in crate::scheduler) type Machines = MachineInventory;
-
 /// What the records are made of: the other components' state that transactions are composed from.
 pub(in crate::scheduler) struct RecordSources<'a> {
     /// The settings.
     pub(in crate::scheduler) config: &'a SchedulerConfig,
     /// The jobs.
-    pub(in crate::scheduler) jobs: &'a mut Jobs,
+    pub(in crate::scheduler) jobs: &'a mut JobTable,
     /// The machines.
-    pub(in crate::scheduler) machines: &'a mut Machines,
+    pub(in crate::scheduler) machines: &'a mut MachineInventory,
     /// The leader's clock.
     pub(in crate::scheduler) clock: &'a LeaderClock,
     /// The present time.
@@ -124,13 +120,8 @@
     }
 
     /// Takes in what the log's segments on record mention, once the jobs are known.
-    pub(in crate::scheduler) fn restore_log(
-        &mut self,
-        records: &RecordCache,
-        job_numbers: &HashMap<Arc<str>, JobNumber>,
-        jobs: &mut Jobs,
-    ) {
-        self.placement_log.restore(records, job_numbers);
+    pub(in crate::scheduler) fn restore_log(&mut self, records: &RecordCache, jobs: &mut JobTable) {
+        self.placement_log.restore(records, jobs);
         // Found in every incident of one week: what checkpoints already hold counted as needed until the
         // first write, and each new leader reported a full log.
         self.drop_obsolete_segments(jobs);
@@ -244,7 +235,7 @@
     }
 
     /// Drops the oldest segments as far as checkpoints hold everything that still matters of them.
-    fn drop_obsolete_segments(&mut self, jobs: &mut Jobs) {
+    fn drop_obsolete_segments(&mut self, jobs: &mut JobTable) {
         if self.in_flight.is_none() {
             self.placement_log
                 .finish_rewrites(jobs, &self.unsaved_tasks);
--- a/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
@@ -1,14 +1,12 @@
 //! The log of placements and outcomes: a ring of segments. A segment may be overwritten once checkpoints
 //! hold everything that still matters of it.
 
-use std::collections::{BTreeMap, HashMap};
-use std::sync::Arc;
+use std::collections::BTreeMap;
 
 use super::task_keys::{TaskKey, TaskRange};
 use super::unsaved_tasks::UnsavedTasks;
-use super::Jobs;
-use crate::job::JobNumber;
 use crate::records::{RecordCache, RecordedSegment};
+use crate::scheduler::job_table::JobTable;
 use crate::scheduler::SchedulerConfig;
 
 /// Checkpoints take precedence over other writes when fewer than this part of the ring is free: a full
@@ -50,27 +48,19 @@
     }
 
     /// Takes in which ranges the segments on record mention.
-    pub(super) fn restore(
-        &mut self,
-        records: &RecordCache,
-        job_numbers: &HashMap<Arc<str>, JobNumber>,
-    ) {
+    pub(super) fn restore(&mut self, records: &RecordCache, jobs: &JobTable) {
         for segment in records.segments.values() {
-            let ranges = known_ranges(segment, job_numbers);
+            let ranges = known_ranges(segment, jobs);
             self.live_segments.insert(segment.number, ranges);
         }
     }
 
     /// Takes in what a transaction without an answer did, if it was carried out.
-    pub(super) fn reload(
-        &mut self,
-        records: &RecordCache,
-        job_numbers: &HashMap<Arc<str>, JobNumber>,
-    ) {
+    pub(super) fn reload(&mut self, records: &RecordCache, jobs: &JobTable) {
         self.slot_revisions = slot_revisions(records);
         for segment in records.segments.values() {
             if segment.number >= self.next_segment {
-                let ranges = known_ranges(segment, job_numbers);
+                let ranges = known_ranges(segment, jobs);
                 self.live_segments.insert(segment.number, ranges);
             }
         }
@@ -113,7 +103,7 @@
     }
 
     /// Drops the oldest segments as far as checkpoints hold everything that still matters of them.
-    pub(super) fn drop_obsolete_segments(&mut self, jobs: &Jobs) {
+    pub(super) fn drop_obsolete_segments(&mut self, jobs: &JobTable) {
         while let Some((number, ranges)) = self.live_segments.first_key_value() {
             if ranges.iter().any(|range| is_needed(*number, *range, jobs)) {
                 return;
@@ -123,7 +113,11 @@
     }
 
     /// The ranges of the oldest segments that need a checkpoint, at most `limit`.
-    pub(super) fn ranges_without_checkpoint(&self, jobs: &Jobs, limit: usize) -> Vec<TaskRange> {
+    pub(super) fn ranges_without_checkpoint(
+        &self,
+        jobs: &JobTable,
+        limit: usize,
+    ) -> Vec<TaskRange> {
         let horizon = self.next_segment + self.segment_count / CHECKPOINT_AHEAD_DIVISOR + 1;
         self.live_segments
             .iter()
@@ -148,9 +142,9 @@
 
     /// Ranges that were written to the log anew need none of the earlier segments. Only to be called
     /// while no transaction is in flight.
-    pub(super) fn finish_rewrites(&mut self, jobs: &mut Jobs, unsaved_tasks: &UnsavedTasks) {
+    pub(super) fn finish_rewrites(&mut self, jobs: &mut JobTable, unsaved_tasks: &UnsavedTasks) {
         self.rewritten_from.retain(|range, first_segment| {
-            let Some(job) = jobs.get_mut(&range.job) else {
+            let Some(job) = jobs.get_mut(range.job) else {
                 return false;
             };
             let mut tasks = range.tasks(job.spec.tasks);
@@ -174,22 +168,19 @@
 }
 
 /// The ranges that a segment mentions, of jobs that are in memory.
-fn known_ranges(
-    segment: &RecordedSegment,
-    job_numbers: &HashMap<Arc<str>, JobNumber>,
-) -> Vec<TaskRange> {
+fn known_ranges(segment: &RecordedSegment, jobs: &JobTable) -> Vec<TaskRange> {
     let ranges = segment.task_ranges.iter();
     ranges
         .filter_map(|(id, index)| {
-            let job = *job_numbers.get(id.as_str())?;
+            let job = jobs.number_of(id)?;
             Some(TaskRange { job, index: *index })
         })
         .collect()
 }
 
 /// Whether the range's checkpoint is older than the segment.
-fn is_needed(segment: u64, range: TaskRange, jobs: &Jobs) -> bool {
-    let job = jobs.get(&range.job);
+fn is_needed(segment: u64, range: TaskRange, jobs: &JobTable) -> bool {
+    let job = jobs.get(range.job);
     let checkpoint = job.and_then(|job| job.checkpoints.get(range.index as usize));
     checkpoint.is_some_and(|checkpoint| checkpoint.up_to_segment < segment)
 }
--- a/crates/saltpitch-core/src/scheduler/persistence/segments.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/segments.rs
@@ -104,7 +104,7 @@
     ) -> BTreeMap<JobNumber, Vec<Entry>> {
         let mut draft = SegmentDraft::new(builder, sources.config.max_value_bytes);
         while let Some(key) = self.unsaved_tasks.first() {
-            if let Some(job) = sources.jobs.get_mut(&key.job) {
+            if let Some(job) = sources.jobs.get_mut(key.job) {
                 if !draft.add(key, job) {
                     break;
                 }
@@ -128,7 +128,7 @@
             entries: Vec::with_capacity(entries.len()),
         };
         for (number, job_entries) in entries {
-            let Some(job) = sources.jobs.get(&number) else {
+            let Some(job) = sources.jobs.get(number) else {
                 continue;
             };
             if job_entries.iter().any(Entry::is_allocated) {
--- a/crates/saltpitch-core/src/scheduler/record_commits.rs
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -13,7 +13,7 @@
     pub(super) fn commit(&mut self, now: Micros) {
         let mut sources = RecordSources {
             config: &self.config,
-            jobs: &mut self.job_table.jobs,
+            jobs: &mut self.job_table,
             machines: &mut self.inventory,
             clock: &self.clock,
             now,
@@ -25,7 +25,7 @@
 
     /// The answer to [`super::Effect::Commit`].
     pub fn committed(&mut self, outcome: TransactionOutcome, now: Micros) {
-        let jobs = &mut self.job_table.jobs;
+        let jobs = &mut self.job_table;
         let committed = self
             .persistence
             .transaction_ended(outcome, jobs, &self.config, now);
@@ -33,7 +33,7 @@
         for number in &transaction.contents.finished_jobs {
             self.finish_job(*number, now);
         }
-        let jobs = &mut self.job_table.jobs;
+        let jobs = &mut self.job_table;
         let changes = self.persistence.apply_commit(transaction, jobs, now);
         for machine in &changes.machines {
             self.machine_committed(machine, now);
@@ -62,13 +62,13 @@
     }
 
     /// The answer to [`super::Effect::ReloadRecords`]: `None` when the store could not be read.
-    pub fn refreshed(&mut self, records: Option<&RecordCache>, now: Micros, wall: Micros) {
+    pub fn records_reloaded(&mut self, records: Option<&RecordCache>, now: Micros, wall: Micros) {
         let Some(records) = records else {
             self.persistence.reload_failed(now);
             return;
         };
-        let job_numbers = &self.job_table.by_id;
-        let unsaved_jobs = self.persistence.records_reloaded(records, job_numbers, now);
+        let jobs = &self.job_table;
+        let unsaved_jobs = self.persistence.records_reloaded(records, jobs, now);
         for number in unsaved_jobs {
             self.reload_job(number, records, now, wall);
         }
@@ -77,7 +77,7 @@
 
     /// Takes in a job's records after a transaction with unknown outcome.
     fn reload_job(&mut self, number: JobNumber, records: &RecordCache, now: Micros, wall: Micros) {
-        let Some(job) = self.job_table.jobs.get_mut(&number) else {
+        let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
         let id: Arc<str> = job.id.clone();
--- a/crates/saltpitch-core/src/scheduler/recovery.rs
+++ b/crates/saltpitch-core/src/scheduler/recovery.rs
@@ -100,12 +100,10 @@
         for id in ids {
             self.job_changed(records, id, now, wall);
         }
-        let job_table = &mut self.job_table;
-        self.persistence
-            .restore_log(records, &job_table.by_id, &mut job_table.jobs);
+        self.persistence.restore_log(records, &mut self.job_table);
         let over = records.chunks.iter();
         let mut over: Vec<_> = over
-            .filter(|(id, _)| !self.job_table.by_id.contains_key(id.as_str()))
+            .filter(|(id, _)| self.job_table.number_of(id).is_none())
             .collect();
         // A hash map's order differs from process to process: the same history must give the same writes.
         over.sort_unstable_by_key(|(id, _)| *id);
--- a/crates/saltpitch-core/tests/limits.rs
+++ b/crates/saltpitch-core/tests/limits.rs
@@ -212,7 +212,7 @@
                     }
                     Effect::ReloadRecords => {
                         let (now, records) = (self.now, &self.records);
-                        self.scheduler.refreshed(Some(records), now, now);
+                        self.scheduler.records_reloaded(Some(records), now, now);
                     }
                     Effect::SendCommands {
                         machine,
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -129,7 +129,7 @@
             node.follow(&self.store, now);
         }
         let own = node.controller.epoch();
-        node.controller.refreshed(own, read, now, now);
+        node.controller.records_reloaded(own, read, now, now);
         self.poll(n);
     }
 
--- a/crates/saltpitch/src/effects.rs
+++ b/crates/saltpitch/src/effects.rs
@@ -143,7 +143,7 @@
 async fn reload_records(node: &Node, epoch: u64) {
     let read = node.read_latest_records().await;
     let (now, wall) = (node.now(), node.clock.wall());
-    node.controller().refreshed(epoch, read, now, wall);
+    node.controller().records_reloaded(epoch, read, now, wall);
     node.wake.notify_one();
 }
 
