--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -1,5 +1,5 @@
-//! `saltpitch cells`: what is delegated, and giving a lost neighbour up. Both go to the state service
-//! itself, so that they work without a controller.
+//! `saltpitch cells`: lists what is delegated, and takes jobs back from a peer cell that is lost. Both use
+//! the state service itself, so that they work without a controller.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -19,23 +19,23 @@
 use crate::store::StoreClient;
 
 const TRANSACTION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Connections kept while the command runs.
+/// Addresses to which connections are kept while the command runs.
 const KEPT_ADDRESSES: usize = 4;
 
-/// What to do.
+/// What to do with delegated jobs.
 #[derive(Subcommand)]
 pub enum CellsCommand {
     /// Lists the jobs that other cells may own, and those run for other cells.
     List,
-    /// Takes a job back from a neighbour that has lost its records for good.
+    /// Takes a job back from a peer cell that has lost its records for good.
     GiveUp {
         /// The job.
         #[arg(long)]
         job: String,
-        /// The neighbour; empty if the delegation cannot be read.
+        /// The peer cell; empty if the delegation cannot be read.
         #[arg(long, default_value = "")]
         cell: String,
-        /// You vouch that no task of the job runs at the neighbour, and that none can be started there
+        /// You vouch that no task of the job runs at the peer cell, and that none can be started there
         /// any more.
         #[arg(long)]
         nothing_runs_there: bool,
@@ -51,7 +51,7 @@
     /// The state service does not answer.
     #[error("the state service does not answer: nothing is known to have changed; try again")]
     Unreachable,
-    /// There is nothing to be done, or not like this.
+    /// The command does not apply to the job, or not with these arguments.
     #[error("refused: {0}")]
     Refused(String),
 }
@@ -67,23 +67,13 @@
     }
 }
 
-/// Carries the command out.
+/// Executes a command.
 pub async fn run(config: &Path, command: &CellsCommand) -> Result<(), CommandError> {
-    let settings =
-        Settings::load(config, None, None).map_err(|error| CommandError::Settings(error.into()))?;
-    let client = Arc::new(Client::new(KEPT_ADDRESSES));
-    let limits = settings.store.clone();
-    let store = StoreClient::new(
-        client,
-        settings.store_addr,
-        Clock::start(),
-        limits,
-        settings.controllers,
-    );
-    let records = read(&store).await?;
+    let store = connect(config)?;
+    let records = read_records(&store).await?;
     match command {
         CellsCommand::List => {
-            list(&records);
+            print_delegations(&records);
             Ok(())
         }
         CellsCommand::GiveUp {
@@ -92,7 +82,7 @@
             nothing_runs_there,
         } => {
             if !nothing_runs_there {
-                let reason = "pass --nothing-runs-there only if you know that no task of the job runs at the neighbour and that none can be started there";
+                let reason = "pass --nothing-runs-there only if you know that no task of the job runs at the peer cell and that none can be started there";
                 return Err(CommandError::Refused(reason.to_owned()));
             }
             give_up(&store, &records, job, cell).await
@@ -100,7 +90,21 @@
     }
 }
 
-async fn read(store: &StoreClient) -> Result<RecordCache, CommandError> {
+/// A client of the state service that the settings name.
+fn connect(config: &Path) -> Result<StoreClient, CommandError> {
+    let settings =
+        Settings::load(config, None, None).map_err(|error| CommandError::Settings(error.into()))?;
+    Ok(StoreClient::new(
+        Arc::new(Client::new(KEPT_ADDRESSES)),
+        settings.store_addr,
+        Clock::start(),
+        settings.store,
+        settings.controllers,
+    ))
+}
+
+/// Reads all records; those that cannot be read are named on standard error.
+async fn read_records(store: &StoreClient) -> Result<RecordCache, CommandError> {
     let mut records = RecordCache::default();
     let listed = store.list(|rows| {
         for row in rows {
@@ -114,7 +118,7 @@
     Ok(records)
 }
 
-fn list(records: &RecordCache) {
+fn print_delegations(records: &RecordCache) {
     for job in records.delegated() {
         let entry = records.jobs.get(job).map(|entry| &entry.record);
         if let Some(delegation) = entry.and_then(|record| record.delegation.as_ref()) {
@@ -127,6 +131,7 @@
     }
 }
 
+/// One line on a delegation.
 fn describe(job: &str, delegation: &Delegation) -> String {
     let Delegation {
         cell,
@@ -142,13 +147,15 @@
         DelegationState::Damaged => return format!("{job}: its delegation cannot be read"),
     };
     let sent = sent_id(job, *number).unwrap_or_default();
-    let cancel = match cancel_requested {
-        true => ", its user waits for the cancellation",
-        false => "",
+    let cancel = if *cancel_requested {
+        ", its user waits for the cancellation"
+    } else {
+        ""
     };
     format!("{job}: at cell {cell} as {sent}, {state}{cancel}")
 }
 
+/// Takes a job back on record, on condition that its record has not changed since it was read.
 async fn give_up(
     store: &StoreClient,
     records: &RecordCache,
--- a/crates/saltpitch/src/main.rs
+++ b/crates/saltpitch/src/main.rs
@@ -3,6 +3,7 @@
 mod agents;
 mod api;
 mod cells;
+mod cli;
 mod clock;
 mod cloud;
 mod cloud_sync;
@@ -24,110 +25,29 @@
 mod users;
 mod wire;
 
-use std::path::PathBuf;
 use std::process::ExitCode;
 
-use clap::{Parser, Subcommand};
+use clap::Parser;
 
-use crate::cells::command::{self, CellsCommand, CommandError};
-
-#[derive(Parser)]
-#[command(
-    name = "saltpitch",
-    version,
-    about = "A cluster scheduler for small sites"
-)]
-struct Args {
-    #[command(subcommand)]
-    command: Command,
-}
-
-#[derive(Subcommand)]
-enum Command {
-    /// Runs one controller until it is killed.
-    Serve {
-        /// The platform's settings file (JSON).
-        #[arg(long, value_name = "FILE")]
-        config: PathBuf,
-        /// The operators' policy file; the built-in policy if there is none.
-        #[arg(long, value_name = "FILE")]
-        policy: Option<PathBuf>,
-        /// The operators' file on other cells; work stays in this cell if there is none.
-        #[arg(long, value_name = "FILE")]
-        cells: Option<PathBuf>,
-    },
-    /// Checks a settings file and says what it holds.
-    Check {
-        /// The platform's settings file (JSON).
-        #[arg(long, value_name = "FILE")]
-        config: PathBuf,
-        /// The operators' policy file; the built-in policy if there is none.
-        #[arg(long, value_name = "FILE")]
-        policy: Option<PathBuf>,
-        /// The operators' file on other cells.
-        #[arg(long, value_name = "FILE")]
-        cells: Option<PathBuf>,
-    },
-    /// Shows what other cells have of this cell's work, and gives a lost cell up.
-    Cells {
-        /// The platform's settings file (JSON).
-        #[arg(long, value_name = "FILE")]
-        config: PathBuf,
-        #[command(subcommand)]
-        command: CellsCommand,
-    },
-}
+use crate::cells::command::{self, CommandError};
+use crate::cli::{Arguments, Command, SettingsFiles};
 
 fn main() -> ExitCode {
-    match run(Args::parse()) {
+    match run(Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("saltpitch: {e:#}");
-            let command = e.downcast_ref::<CommandError>();
-            command.map_or(ExitCode::FAILURE, |e| ExitCode::from(e.exit_code()))
+        Err(error) => {
+            eprintln!("saltpitch: {error:#}");
+            error
+                .downcast_ref::<CommandError>()
+                .map_or(ExitCode::FAILURE, |error| ExitCode::from(error.exit_code()))
         }
     }
 }
 
-fn run(args: Args) -> anyhow::Result<()> {
-    match args.command {
-        Command::Check {
-            config,
-            policy,
-            cells,
-        } => {
-            let s = settings::Settings::load(&config, policy.as_deref(), cells.as_deref())?;
-            println!(
-                "{}: node {} in {}, {} peers, {} teams, {} zones: ok",
-                config.display(),
-                s.node,
-                s.zone,
-                s.peers.len(),
-                s.teams.len(),
-                s.zones.len()
-            );
-            println!("store: {}", s.store);
-            if let Some(cells) = &s.cells {
-                let others: Vec<&str> = cells.neighbour.iter().map(|n| n.name.as_str()).collect();
-                println!("cell {}: neighbours {}", cells.cell, others.join(", "));
-            }
-            for warning in s.warnings() {
-                println!("warning: {warning}");
-            }
-            Ok(())
-        }
-        Command::Serve {
-            config,
-            policy,
-            cells,
-        } => {
-            let s = settings::Settings::load(&config, policy.as_deref(), cells.as_deref())?;
-            start_log();
-            for warning in s.warnings() {
-                tracing::info!("settings: {warning}");
-            }
-            runtime()?.block_on(server::serve(s))
-        }
+fn run(arguments: Arguments) -> anyhow::Result<()> {
+    match arguments.command {
+        Command::Serve(files) => serve(&files),
+        Command::Check(files) => check(&files),
         Command::Cells { config, command } => {
             runtime()?.block_on(command::run(&config, &command))?;
             Ok(())
@@ -135,6 +55,42 @@
     }
 }
 
+fn serve(files: &SettingsFiles) -> anyhow::Result<()> {
+    let settings = files.load()?;
+    start_log();
+    for warning in settings.warnings() {
+        tracing::info!("settings: {warning}");
+    }
+    runtime()?.block_on(server::serve(settings))
+}
+
+fn check(files: &SettingsFiles) -> anyhow::Result<()> {
+    let settings = files.load()?;
+    println!(
+        "{}: node {} in {}, {} peers, {} teams, {} zones: ok",
+        files.config.display(),
+        settings.node,
+        settings.zone,
+        settings.peers.len(),
+        settings.teams.len(),
+        settings.zones.len()
+    );
+    println!("store: {}", settings.store);
+    if let Some(cells) = &settings.cells {
+        let peer_cells: Vec<&str> = cells
+            .neighbour
+            .iter()
+            .map(|neighbour| neighbour.name.as_str())
+            .collect();
+        println!("cell {}: neighbours {}", cells.cell, peer_cells.join(", "));
+    }
+    for warning in settings.warnings() {
+        println!("warning: {warning}");
+    }
+    Ok(())
+}
+
+/// One thread: the state machine is shared by all tasks, and the rest is waiting.
 fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/saltpitch/src/settings/contradictions.rs
+++ b/crates/saltpitch/src/settings/contradictions.rs
@@ -7,10 +7,10 @@
 
 use super::Settings;
 
-/// A report goes out up to a quarter later than its interval says.
-const REPORT_JITTER: f64 = 1.25;
-/// Reports that a lease should span, so that the loss of one costs nothing.
-const REPORTS_PER_LEASE: f64 = 3.0;
+/// A heartbeat is sent up to a quarter later than the interval says.
+const HEARTBEAT_JITTER: f64 = 1.25;
+/// Heartbeats that a lease should span, so that the loss of one costs nothing.
+const HEARTBEATS_PER_LEASE: f64 = 3.0;
 /// Requests a second that each controller needs to follow the records at all.
 const REQUESTS_PER_CONTROLLER: f64 = 0.5;
 /// Requests a second that the leader needs to renew its lease and to write.
@@ -25,15 +25,15 @@
 /// A combination of settings on which the service cannot run.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Contradiction {
-    /// A cancelled task can outlive the time that it has.
+    /// A task can outlive the time that a cancellation allows it.
     #[error("settings: field `cluster.workers.cancel_s` must exceed `lease_s`")]
     CancelWithinLease,
-    /// Every lease would run out between two reports.
-    #[error("settings: field `cluster.workers.report_s` is {report_s}, so that reports up to a quarter later don't renew a lease of `lease_s` {lease_s}")]
-    ReportsOutlastLease {
-        /// The interval between reports.
+    /// Every lease would expire between two heartbeats.
+    #[error("settings: field `cluster.workers.report_s` is {report_s}, so that heartbeats up to a quarter later don't renew a lease of `lease_s` {lease_s}")]
+    HeartbeatsOutlastLease {
+        /// The interval between heartbeats, in seconds.
         report_s: f64,
-        /// The lease.
+        /// The lease, in seconds.
         lease_s: f64,
     },
     /// This controller is named among the others.
@@ -78,8 +78,8 @@
     if agents.cancel <= agents.lease {
         return Err(Contradiction::CancelWithinLease);
     }
-    if agents.heartbeat_interval.times(REPORT_JITTER) >= agents.lease {
-        return Err(Contradiction::ReportsOutlastLease {
+    if agents.heartbeat_interval.times(HEARTBEAT_JITTER) >= agents.lease {
+        return Err(Contradiction::HeartbeatsOutlastLease {
             report_s: agents.heartbeat_interval.as_secs_f64(),
             lease_s: agents.lease.as_secs_f64(),
         });
@@ -136,8 +136,8 @@
 /// A combination on which the service runs, at a price.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Warning {
-    /// The loss of a single report or two costs a machine its tasks.
-    FewReportsPerLease,
+    /// The loss of a single heartbeat or two costs a machine its tasks.
+    FewHeartbeatsPerLease,
     /// A leader without the state service may answer for so short a time that any outage costs leases.
     ShortAnswerBound(Micros),
     /// Placements wait for their turn to be written.
@@ -149,13 +149,13 @@
 impl fmt::Display for Warning {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Warning::FewReportsPerLease => write!(
+            Warning::FewHeartbeatsPerLease => write!(
                 f,
-                "`cluster.workers.lease_s` spans fewer than {REPORTS_PER_LEASE} reports: the loss of one may cost a machine its tasks"
+                "`cluster.workers.lease_s` spans fewer than {HEARTBEATS_PER_LEASE} heartbeats: the loss of one may cost a machine its tasks"
             ),
             Warning::ShortAnswerBound(bound) => write!(
                 f,
-                "`cluster.workers.cancel_s` exceeds `lease_s` by little: a leader without the state service answers workers for {:.1} s only",
+                "`cluster.workers.cancel_s` exceeds `lease_s` by little: a leader without the state service answers agents for {:.1} s only",
                 bound.as_secs_f64()
             ),
             Warning::FewChanges(rate) => write!(
@@ -175,8 +175,8 @@
     let (agents, store) = (&settings.agents, &settings.store);
     let bound = answer_bound(agents.cancel, agents.lease);
     let found = [
-        (agents.heartbeat_interval.times(REPORTS_PER_LEASE) > agents.lease)
-            .then_some(Warning::FewReportsPerLease),
+        (agents.heartbeat_interval.times(HEARTBEATS_PER_LEASE) > agents.lease)
+            .then_some(Warning::FewHeartbeatsPerLease),
         (bound < agents.heartbeat_interval.times(2.0)).then_some(Warning::ShortAnswerBound(bound)),
         (store.next_write_rps < FEW_CHANGES).then_some(Warning::FewChanges(store.next_write_rps)),
         (store.max_value_bytes < SMALL_VALUE)
