--- a/crates/saltpitch/src/cloud.rs
+++ b/crates/saltpitch/src/cloud.rs
@@ -142,7 +142,7 @@
             ScaleOutOutcome::NoCapacity
         }
         status => {
-            tracing::info!("cloud: rental refused with {status}");
+            tracing::info!("cloud: scale-out request refused with {status}");
             ScaleOutOutcome::Later
         }
     }
--- a/crates/saltpitch/src/effects.rs
+++ b/crates/saltpitch/src/effects.rs
@@ -207,7 +207,7 @@
         spot,
         count,
     } = request;
-    tracing::info!("rent {count} {type_name} in {zone} spot {spot}: {outcome:?}");
+    tracing::info!("scale out {count} {type_name} in {zone} spot {spot}: {outcome:?}");
     deliver(node, epoch, |scheduler, now| {
         scheduler.rented(id, outcome, now);
     });
@@ -216,7 +216,7 @@
 async fn scale_in(node: &Node, epoch: u64, names: &[Arc<str>]) {
     for batch in names.chunks(MAX_RETURNED_PER_CALL) {
         let returned = node.cloud.scale_in(batch).await;
-        tracing::info!("return {batch:?}: {returned}");
+        tracing::info!("scale in {batch:?}: {returned}");
         if returned {
             deliver(node, epoch, |scheduler, now| scheduler.returned(batch, now));
         }
@@ -235,7 +235,7 @@
         .await;
     match outcome {
         TransactionOutcome::Committed(revision) => {
-            tracing::info!("token raised to {term}");
+            tracing::info!("fencing token raised to {term}");
             deliver(node, epoch, |scheduler, _| {
                 scheduler.term_raised(term, revision);
             });
--- a/crates/saltpitch/tests/end_to_end/site/agents.rs
+++ b/crates/saltpitch/tests/end_to_end/site/agents.rs
@@ -1,180 +1,124 @@
-//! Machines: heartbeats, commands and running tasks.
+//! Agents: heartbeats, commands and running tasks.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use poem::http::Method;
-use saltpitch_core::agent::{Command, ExitCause, TaskState};
+use saltpitch_core::agent::{ExitCause, TaskState};
 use saltpitch_core::job::JobKind;
-use saltpitch_core::Micros;
-use serde_json::{json, Value};
+use serde_json::Value;
 
+use super::agent_protocol::{encode_heartbeat, Commands};
 use super::http::call;
-use super::{Reply, Shared, Site};
+use super::{lock, Reply, SharedSite, Site};
 
-fn report_body(s: &mut Site, name: &str) -> Value {
-    let addr = s.addrs[name].to_string();
-    let r = s.agents.get_mut(name).expect("an agent").heartbeat();
-    let legs: Vec<Value> = r
-        .tasks
-        .iter()
-        .map(|t| {
-            let (status, cause) = match t.state {
-                TaskState::Fetching => ("fetching", None),
-                TaskState::Waiting => ("waiting", None),
-                TaskState::Running => ("running", None),
-                TaskState::Saving => ("saving", None),
-                TaskState::Exited { cause, .. } => (
-                    "exited",
-                    Some(match cause {
-                        ExitCause::Done => "done",
-                        ExitCause::Stopped => "halted",
-                        ExitCause::Peers => "peers",
-                        ExitCause::Incomplete => "incomplete",
-                        ExitCause::Error => "error",
-                        ExitCause::NoRoom => "no_room",
-                        ExitCause::Busy => "busy",
-                        ExitCause::Unknown => "no_such",
-                    }),
-                ),
-            };
-            json!({"leg": format!("{}/{}", t.job, t.task), "launch_no": t.attempt,
-                "status": status, "cause": cause})
-        })
-        .collect();
-    json!({"bollard": r.machine, "endpoint": addr, "hull_type": r.type_name, "basin": r.zone,
-        "lay_by": r.spot, "watch": r.agent_epoch, "log_no": r.sequence, "helm_mark": r.fencing_token,
-        "warning_s": null, "legs": legs})
-}
+/// The pause between two heartbeats of an agent.
+const HEARTBEAT_PAUSE: Duration = Duration::from_millis(200);
 
-fn execute(s: &mut Site, name: &str, fencing_token: u64, commands: &Value) -> bool {
-    let now = s.now();
-    let commands: Vec<Command> = commands
-        .as_array()
-        .into_iter()
-        .flatten()
-        .map(|o| {
-            let (job, task) = o["leg"]
-                .as_str()
-                .and_then(|l| l.rsplit_once('/'))
-                .expect("leg");
-            let (job, task) = (job.into(), task.parse().expect("task"));
-            let attempt = o["launch_no"].as_u64().expect("launch_no") as u32;
-            match o["order_kind"].as_str().expect("order_kind") {
-                "launch" => Command::Start { job, task, attempt },
-                "reap" => Command::Forget { job, task, attempt },
-                "kill" => Command::Stop {
-                    job,
-                    task,
-                    attempt,
-                    grace: Micros::from_secs_f64(o["slack_s"].as_f64().expect("slack_s")),
-                },
-                other => panic!("no such order: {other}"),
-            }
-        })
-        .collect();
-    let specs = s.specs_of(commands.iter().map(|order| match order {
-        Command::Start { job, .. } | Command::Stop { job, .. } | Command::Forget { job, .. } => {
-            &**job
-        }
-    }));
-    let w = s.agents.get_mut(name).expect("worker");
-    if !w.take_token(fencing_token) {
-        return false;
+/// Answers a direct request to an agent.
+pub fn answer(site: &SharedSite, name: &str, uri: &str, body: &Value) -> Reply {
+    let mut site = lock(site);
+    let agent = &site.agents[name];
+    if agent.gone {
+        return Reply::empty(500);
     }
-    w.execute(&commands, &|id| specs.get(id).cloned(), &mut |_| 0, now);
-    true
+    if uri == "/show" {
+        return Reply::new(200, next_heartbeat(&mut site, name));
+    }
+    let is_same_epoch = body["watch"].as_u64() == Some(agent.agent_epoch);
+    let executed = is_same_epoch && execute(&mut site, name, &Commands::decode(body));
+    let status = if executed { 200 } else { 409 };
+    Reply::new(status, next_heartbeat(&mut site, name))
 }
 
-pub fn agent_call(site: &Shared, name: &str, uri: &str, body: &Value) -> Reply {
-    let mut s = site.lock().expect("lock");
-    if s.agents[name].gone {
-        return (500, json!({}));
-    }
-    if uri == "/show" {
-        return (200, report_body(&mut s, name));
+fn next_heartbeat(site: &mut Site, name: &str) -> Value {
+    let addr = site.addrs[name].to_string();
+    let agent = site.agents.get_mut(name).expect("an agent");
+    encode_heartbeat(&agent.heartbeat(), &addr)
+}
+
+/// Carries out commands, unless a newer leader has sent some.
+fn execute(site: &mut Site, name: &str, commands: &Commands) -> bool {
+    let now = site.now();
+    let specs = site.specs_of(commands.jobs());
+    let agent = site.agents.get_mut(name).expect("an agent");
+    if !agent.take_token(commands.fencing_token) {
+        return false;
     }
-    let same = body["watch"].as_u64() == Some(s.agents[name].agent_epoch);
-    let fencing_token = body["helm_mark"].as_u64().unwrap_or(0);
-    let done = same && execute(&mut s, name, fencing_token, &body["orders"]);
-    let report = report_body(&mut s, name);
-    (if done { 200 } else { 409 }, report)
+    let spec_of = |id: &str| specs.get(id).cloned();
+    agent.execute(&commands.commands, &spec_of, &mut |_| 0, now);
+    true
 }
 
-/// One agent: heartbeats, follows redirects, runs its tasks.
-pub async fn work(site: Shared, name: String) {
+/// One agent: runs its tasks, sends heartbeats and follows redirects until its machine is returned.
+pub async fn run(site: SharedSite, name: String) {
     let mut target = 0;
     loop {
-        let (node, body) = {
-            let mut s = site.lock().expect("lock");
-            if s.agents[&name].gone {
+        let (node, heartbeat) = {
+            let mut site = lock(&site);
+            if site.agents[&name].gone {
                 return;
             }
-            run_tasks(&mut s, &name);
-            (s.nodes[target], report_body(&mut s, &name))
+            advance_tasks(&mut site, &name);
+            (site.nodes[target], next_heartbeat(&mut site, &name))
         };
-        match call(node, Method::POST, "/v1/report", Some(body)).await {
-            Some((200, answer)) => {
-                let fencing_token = answer["helm_mark"].as_u64().unwrap_or(0);
-                let mut s = site.lock().expect("lock");
-                execute(&mut s, &name, fencing_token, &answer["orders"]);
-                let now = s.now();
-                s.agents.get_mut(&name).expect("worker").lease_from = now;
-            }
-            Some((421, answer)) => {
-                let s = site.lock().expect("lock");
-                let named = answer["harbour_master"].as_str().unwrap_or_default();
-                target = s
-                    .names
-                    .iter()
-                    .position(|n| n == named)
-                    .unwrap_or((target + 1) % s.names.len());
-            }
-            _ => target = (target + 1) % site.lock().expect("lock").names.len(),
-        }
-        tokio::time::sleep(Duration::from_millis(200)).await;
+        let reply = call(node, Method::POST, "/v1/report", Some(heartbeat)).await;
+        target = take_answer(&mut lock(&site), &name, reply, target);
+        tokio::time::sleep(HEARTBEAT_PAUSE).await;
     }
 }
 
-fn run_tasks(s: &mut Site, name: &str) {
-    let now = s.now();
-    let held = s.agents[name].tasks.keys();
-    let specs = s.specs_of(held.map(|((job, _), _)| job.as_str()));
-    let mut waiting: HashMap<String, u32> = HashMap::new();
-    for w in s.agents.values().filter(|w| !w.gone) {
-        for ((id, _), h) in &w.tasks {
-            if matches!(h.state, TaskState::Waiting | TaskState::Running) {
-                *waiting.entry(id.0.clone()).or_default() += 1;
-            }
+/// Takes the answer to a heartbeat; returns the controller that gets the next one.
+fn take_answer(site: &mut Site, name: &str, reply: Option<Reply>, target: usize) -> usize {
+    let another = (target + 1) % site.names.len();
+    let Some(reply) = reply else {
+        return another;
+    };
+    match reply.status {
+        200 => {
+            execute(site, name, &Commands::decode(&reply.body));
+            let now = site.now();
+            site.agents.get_mut(name).expect("an agent").lease_from = now;
+            target
         }
+        421 => {
+            let leader = reply.body["harbour_master"].as_str().unwrap_or_default();
+            let known = site.names.iter().position(|name| name == leader);
+            known.unwrap_or(another)
+        }
+        _ => another,
     }
-    let Site {
-        agents,
-        completions,
-        ..
-    } = s;
-    let w = agents.get_mut(name).expect("worker");
-    for ((id, _), h) in w.tasks.iter_mut() {
+}
+
+/// Moves the tasks of one agent on as time passes.
+fn advance_tasks(site: &mut Site, name: &str) {
+    let now = site.now();
+    let jobs = site.agents[name]
+        .tasks
+        .keys()
+        .map(|((job, _), _)| job.as_str());
+    let specs = site.specs_of(jobs);
+    let ready_members = ready_members(site);
+    let agent = site.agents.get_mut(name).expect("an agent");
+    for ((id, _), held) in agent.tasks.iter_mut() {
         let Some(spec) = specs.get(&id.0) else {
             continue;
         };
-        let gang = spec.kind == JobKind::Gang;
-        match h.state {
-            TaskState::Fetching if now >= h.until => {
-                h.state = if gang {
-                    TaskState::Waiting
-                } else {
-                    TaskState::Running
+        match held.state {
+            TaskState::Fetching if now >= held.until => {
+                held.state = match spec.kind {
+                    JobKind::Gang => TaskState::Waiting,
+                    JobKind::Array | JobKind::Service => TaskState::Running,
                 };
-                h.until = now.plus(spec.estimate);
+                held.until = now.plus(spec.estimate);
             }
-            TaskState::Waiting if waiting.get(&id.0) == Some(&spec.tasks) => {
-                h.state = TaskState::Running;
-                h.until = now.plus(spec.estimate);
+            TaskState::Waiting if ready_members.get(&id.0) == Some(&spec.tasks) => {
+                held.state = TaskState::Running;
+                held.until = now.plus(spec.estimate);
             }
-            TaskState::Running if now >= h.until && spec.kind != JobKind::Service => {
-                *completions.entry(id.clone()).or_default() += 1;
-                h.state = TaskState::Exited {
+            TaskState::Running if now >= held.until && spec.kind != JobKind::Service => {
+                *site.completions.entry(id.clone()).or_default() += 1;
+                held.state = TaskState::Exited {
                     cause: ExitCause::Done,
                     saved: false,
                 };
@@ -183,3 +127,16 @@
         }
     }
 }
+
+/// How many tasks of each job wait for the rest of their gang, or run.
+fn ready_members(site: &Site) -> HashMap<String, u32> {
+    let mut members: HashMap<String, u32> = HashMap::new();
+    for agent in site.agents.values().filter(|agent| !agent.gone) {
+        for ((id, _), held) in &agent.tasks {
+            if matches!(held.state, TaskState::Waiting | TaskState::Running) {
+                *members.entry(id.0.clone()).or_default() += 1;
+            }
+        }
+    }
+    members
+}
--- a/crates/saltpitch/tests/end_to_end/site/cloud.rs
+++ b/crates/saltpitch/tests/end_to_end/site/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud.
+//! The cloud: one machine type, machines that are ready at once.
 
 use poem::http::Method;
 use saltpitch_core::catalog::Resources;
@@ -6,99 +6,121 @@
 use saltpitch_testkit::agents::Agent;
 use serde_json::{json, Value};
 
-use super::agents::{agent_call, work};
+use super::agents;
 use super::http::{free_addr, serve};
-use super::{Reply, Shared};
+use super::{lock, Reply, SharedSite, Site};
 
-pub async fn cloud_call(site: Shared, method: Method, uri: String, body: Value) -> Reply {
+const MACHINE_TYPE: &str = "box";
+/// The most machines of one request.
+const MAX_MACHINES_PER_REQUEST: u64 = 2;
+
+/// Answers a request to the cloud.
+pub async fn answer(site: SharedSite, method: Method, uri: String, body: Value) -> Reply {
     let path = uri.split('?').next().unwrap_or_default();
     match (method, path) {
-        (Method::GET, "/catalog") => (
-            200,
-            json!({"hulls_list": [{"sku": "box", "cpus": 8, "accelerators": 1, "mem_gb": 32,
-                "cache_gb": 50, "fetch_gb_per_s": 1.0, "rate": 1.0, "low_price": 0.4,
-                "ready_s": 1, "basins": ["a", "b"]}]}),
-        ),
-        (Method::GET, "/machines") => {
-            let s = site.lock().expect("lock");
-            let mut list: Vec<Value> = s
-                .agents
-                .values()
-                .filter(|w| !w.gone)
-                .map(|w| {
-                    json!({"ref": w.name, "endpoint": s.addrs[&w.name].to_string(),
-                        "hull_type": "box", "basin": w.zone, "lay_by": w.spot,
-                        "status": "running", "age_s": 5.0})
-                })
-                .collect();
-            list.sort_by_key(|m| m["ref"].to_string());
-            (200, json!({"bollards": list, "has_next": false}))
-        }
-        (Method::POST, "/machines") => rent(&site, &body),
-        (Method::POST, "/machines/return") => {
-            let mut s = site.lock().expect("lock");
-            for n in body["bollards"].as_array().into_iter().flatten() {
-                if let Some(w) = s.agents.get_mut(n.as_str().unwrap_or_default()) {
-                    w.gone = true;
-                }
-            }
-            (200, json!({}))
+        (Method::GET, "/catalog") => catalog(),
+        (Method::GET, "/machines") => list(&lock(&site)),
+        (Method::POST, "/machines") => scale_out(&site, &body),
+        (Method::POST, "/machines/return") => scale_in(&mut lock(&site), &body),
+        _ => Reply::empty(404),
+    }
+}
+
+fn catalog() -> Reply {
+    let machine_type = json!({"sku": MACHINE_TYPE, "cpus": 8, "accelerators": 1, "mem_gb": 32,
+        "cache_gb": 50, "fetch_gb_per_s": 1.0, "rate": 1.0, "low_price": 0.4,
+        "ready_s": 1, "basins": ["a", "b"]});
+    Reply::new(200, json!({ "hulls_list": [machine_type] }))
+}
+
+fn list(site: &Site) -> Reply {
+    let mut machines: Vec<Value> = site.machines().map(|agent| listed(site, agent)).collect();
+    machines.sort_by_key(|machine| machine["ref"].to_string());
+    Reply::new(200, json!({"bollards": machines, "has_next": false}))
+}
+
+fn listed(site: &Site, agent: &Agent) -> Value {
+    json!({"ref": agent.name, "endpoint": site.addrs[&agent.name].to_string(),
+        "hull_type": MACHINE_TYPE, "basin": agent.zone, "lay_by": agent.spot,
+        "status": "running", "age_s": 5.0})
+}
+
+fn scale_in(site: &mut Site, body: &Value) -> Reply {
+    for name in body["bollards"].as_array().into_iter().flatten() {
+        let name = name.as_str().unwrap_or_default();
+        if let Some(agent) = site.agents.get_mut(name) {
+            agent.gone = true;
         }
-        _ => (404, json!({})),
     }
+    Reply::empty(200)
 }
 
-fn rent(site: &Shared, body: &Value) -> Reply {
+fn scale_out(site: &SharedSite, body: &Value) -> Reply {
+    let count = body["count"].as_u64().unwrap_or(0);
     let mut names = Vec::new();
-    for _ in 0..body["count"].as_u64().unwrap_or(0).min(2) {
-        let mut s = site.lock().expect("lock");
-        let there = s.agents.values().filter(|w| !w.gone).count();
-        if there >= s.max_machines {
-            break;
+    for _ in 0..count.min(MAX_MACHINES_PER_REQUEST) {
+        match start_machine(site, body) {
+            Some(name) => names.push(name),
+            None => break,
         }
-        let name = format!("vm-{:06}", s.agents.len());
-        let addr = free_addr();
-        let now = s.now();
-        let agent = Agent {
-            name: name.clone(),
-            type_name: "box".to_owned(),
-            zone: body["basin"].as_str().unwrap_or_default().to_owned(),
-            spot: body["lay_by"].as_bool().unwrap_or(false),
-            size: Resources {
-                cpu: 8_000,
-                gpu: 1_000,
-                mem: 32_000,
-            },
-            slow: false,
-            boots_at: now,
-            gone: false,
-            hung_until: Micros::ZERO,
-            inbound_cut_until: Micros::ZERO,
-            outbound_cut_until: Micros::ZERO,
-            agent_epoch: 1,
-            sequence: 0,
-            fencing_token: 0,
-            lease_from: now,
-            notice: None,
-            tasks: Default::default(),
-            target: 0,
-            next_report: Micros::ZERO,
-            waiting: None,
-            changed: false,
-        };
-        s.agents.insert(name.clone(), agent);
-        s.addrs.insert(name.clone(), addr);
-        drop(s);
-        let (shared, me) = (site.clone(), name.clone());
-        serve(addr, move |_, uri, body| {
-            let (site, me) = (shared.clone(), me.clone());
-            async move { agent_call(&site, &me, &uri, &body) }
-        });
-        tokio::spawn(work(site.clone(), name.clone()));
-        names.push(name);
     }
     if names.is_empty() {
-        return (503, json!({"error": "no capacity"}));
+        return Reply::error(503, "no capacity");
+    }
+    Reply::new(200, json!({ "bollards": names }))
+}
+
+/// Starts a machine and its agent, unless the cloud has no more.
+fn start_machine(shared: &SharedSite, body: &Value) -> Option<String> {
+    let (name, addr) = {
+        let mut site = lock(shared);
+        if site.machines().count() >= site.max_machines {
+            return None;
+        }
+        let name = format!("vm-{:06}", site.agents.len());
+        let addr = free_addr();
+        let zone = body["basin"].as_str().unwrap_or_default();
+        let spot = body["lay_by"].as_bool().unwrap_or(false);
+        let agent = new_agent(&name, zone, spot, site.now());
+        site.agents.insert(name.clone(), agent);
+        site.addrs.insert(name.clone(), addr);
+        (name, addr)
+    };
+    let (site, agent) = (shared.clone(), name.clone());
+    serve(addr, move |_, uri, body| {
+        let (site, agent) = (site.clone(), agent.clone());
+        async move { agents::answer(&site, &agent, &uri, &body) }
+    });
+    tokio::spawn(agents::run(shared.clone(), name.clone()));
+    Some(name)
+}
+
+fn new_agent(name: &str, zone: &str, spot: bool, now: Micros) -> Agent {
+    Agent {
+        name: name.to_owned(),
+        type_name: MACHINE_TYPE.to_owned(),
+        zone: zone.to_owned(),
+        spot,
+        size: Resources {
+            cpu: 8_000,
+            gpu: 1_000,
+            mem: 32_000,
+        },
+        slow: false,
+        boots_at: now,
+        gone: false,
+        hung_until: Micros::ZERO,
+        inbound_cut_until: Micros::ZERO,
+        outbound_cut_until: Micros::ZERO,
+        agent_epoch: 1,
+        sequence: 0,
+        fencing_token: 0,
+        lease_from: now,
+        notice: None,
+        tasks: Default::default(),
+        target: 0,
+        next_report: Micros::ZERO,
+        waiting: None,
+        changed: false,
     }
-    (200, json!({ "bollards": names }))
 }
--- a/crates/saltpitch/tests/end_to_end/site/http.rs
+++ b/crates/saltpitch/tests/end_to_end/site/http.rs
@@ -7,38 +7,47 @@
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
+use hyper::client::conn::http1::handshake;
+use hyper_util::rt::TokioIo;
 use poem::http::{Method, StatusCode};
 use poem::listener::TcpListener;
 use poem::{Endpoint, Request, Response, Server};
 use serde_json::Value;
+use tokio::net::TcpStream;
 
 use super::Reply;
 
-struct Stub<F>(F);
+/// Ports below those that outgoing connections are given, so that none of these takes one meanwhile.
+const FIRST_PORT: u16 = 20_000;
+const PORTS: u16 = 12_000;
+static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-impl<F, Fut> Endpoint for Stub<F>
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How often a call is repeated before a test fails, and the pause between two calls.
+const ATTEMPTS: u32 = 600;
+const ATTEMPT_PAUSE: Duration = Duration::from_millis(100);
+
+/// A stand-in: a function of method, URI and body.
+struct StandIn<F>(F);
+
+impl<F, Fut> Endpoint for StandIn<F>
 where
     F: Fn(Method, String, Value) -> Fut + Send + Sync,
     Fut: Future<Output = Reply> + Send,
 {
     type Output = Response;
 
-    async fn call(&self, mut req: Request) -> poem::Result<Response> {
-        let body = req.take_body().into_bytes().await.unwrap_or_default();
+    async fn call(&self, mut request: Request) -> poem::Result<Response> {
+        let body = request.take_body().into_bytes().await.unwrap_or_default();
         let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
-        let uri = req.uri().to_string();
-        let (status, body) = (self.0)(req.method().clone(), uri, body).await;
+        let uri = request.uri().to_string();
+        let reply = (self.0)(request.method().clone(), uri, body).await;
         Ok(Response::builder()
-            .status(StatusCode::from_u16(status).expect("status"))
-            .body(body.to_string()))
+            .status(StatusCode::from_u16(reply.status).expect("status"))
+            .body(reply.body.to_string()))
     }
 }
 
-/// Ports below those that outgoing connections are given, so that none of these takes one meanwhile.
-const FIRST_PORT: u16 = 20_000;
-const PORTS: u16 = 12_000;
-static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
-
 /// An address that nobody listens on; each call gives another one.
 pub fn free_addr() -> SocketAddr {
     let first = std::process::id() as u16;
@@ -53,49 +62,52 @@
     panic!("no free port");
 }
 
-pub fn serve<F, Fut>(addr: SocketAddr, f: F)
+/// Starts a stand-in.
+pub fn serve<F, Fut>(addr: SocketAddr, answer: F)
 where
     F: Fn(Method, String, Value) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = Reply> + Send + 'static,
 {
-    tokio::spawn(Server::new(TcpListener::bind(addr.to_string())).run(Stub(f)));
+    let listener = TcpListener::bind(addr.to_string());
+    tokio::spawn(Server::new(listener).run(StandIn(answer)));
 }
 
-pub fn query(uri: &str, name: &str) -> Option<String> {
-    let (_, q) = uri.split_once('?')?;
-    q.split('&')
-        .find_map(|p| p.strip_prefix(&format!("{name}=")).map(str::to_owned))
+/// A parameter of a URI.
+pub fn parameter<'a>(uri: &'a str, name: &str) -> Option<&'a str> {
+    let (_, query) = uri.split_once('?')?;
+    query
+        .split('&')
+        .filter_map(|parameter| parameter.split_once('='))
+        .find_map(|(known, value)| (known == name).then_some(value))
 }
 
+/// One call to the program; `None` without an answer in time.
 pub async fn call(
     addr: SocketAddr,
     method: Method,
     path: &str,
     body: Option<Value>,
 ) -> Option<Reply> {
-    let exchange = async {
-        let tcp = tokio::net::TcpStream::connect(addr).await.ok()?;
-        let io = hyper_util::rt::TokioIo::new(tcp);
-        let (mut sender, conn) = hyper::client::conn::http1::handshake(io).await.ok()?;
-        tokio::spawn(conn);
-        let text = body.map(|b| b.to_string()).unwrap_or_default();
-        let req = hyper::Request::builder()
-            .method(method)
-            .uri(path)
-            .header("host", "site")
-            .body(Full::new(Bytes::from(text)))
-            .ok()?;
-        let resp = sender.send_request(req).await.ok()?;
-        let status = resp.status().as_u16();
-        let bytes = resp.into_body().collect().await.ok()?.to_bytes();
-        Some((
-            status,
-            serde_json::from_slice(&bytes).unwrap_or(Value::Null),
-        ))
-    };
-    tokio::time::timeout(Duration::from_secs(5), exchange)
-        .await
-        .ok()?
+    let body = body.map(|body| body.to_string()).unwrap_or_default();
+    let exchange = exchange(addr, method, path, body);
+    tokio::time::timeout(CALL_TIMEOUT, exchange).await.ok()?
+}
+
+async fn exchange(addr: SocketAddr, method: Method, path: &str, body: String) -> Option<Reply> {
+    let tcp = TcpStream::connect(addr).await.ok()?;
+    let (mut sender, connection) = handshake(TokioIo::new(tcp)).await.ok()?;
+    tokio::spawn(connection);
+    let request = hyper::Request::builder()
+        .method(method)
+        .uri(path)
+        .header("host", "site")
+        .body(Full::new(Bytes::from(body)))
+        .ok()?;
+    let response = sender.send_request(request).await.ok()?;
+    let status = response.status().as_u16();
+    let bytes = response.into_body().collect().await.ok()?.to_bytes();
+    let body = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
+    Some(Reply::new(status, body))
 }
 
 /// Repeats a call until its answer is as wanted; fails after a long while.
@@ -104,15 +116,20 @@
     method: Method,
     path: &str,
     body: Option<Value>,
-    want: impl Fn(&Reply) -> bool,
+    wanted: impl Fn(&Reply) -> bool,
 ) -> Reply {
     let mut last = None;
-    for _ in 0..600 {
+    for _ in 0..ATTEMPTS {
         last = call(addr, method.clone(), path, body.clone()).await;
-        if let Some(r) = last.as_ref().filter(|r| want(r)) {
-            return r.clone();
+        if let Some(reply) = last.as_ref().filter(|reply| wanted(reply)) {
+            return reply.clone();
         }
-        tokio::time::sleep(Duration::from_millis(100)).await;
+        tokio::time::sleep(ATTEMPT_PAUSE).await;
     }
     panic!("{path} never answered as wanted, last {last:?}");
 }
+
+/// Waits until a controller takes requests.
+pub async fn until_healthy(addr: SocketAddr) {
+    until(addr, Method::GET, "/up", None, |reply| reply.status == 200).await;
+}
--- a/crates/saltpitch/tests/end_to_end/site/mod.rs
+++ b/crates/saltpitch/tests/end_to_end/site/mod.rs
@@ -1,15 +1,17 @@
 //! A site on loopback: stand-ins for everything outside the controllers, and the controllers' processes.
 
+mod agent_protocol;
 mod agents;
 mod cloud;
 mod http;
 mod jobs;
 mod programs;
+mod reply;
 mod store;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
 use saltpitch_core::job::JobSpec;
@@ -17,55 +19,67 @@
 use saltpitch_core::Micros;
 use saltpitch_testkit::agents::Agent;
 use saltpitch_testkit::store::Store;
-use serde_json::{json, Value};
 
-pub use http::{call, free_addr, serve, until};
-pub use jobs::{job, submit, submit_body, wait_for};
+pub use http::{call, free_addr, until, until_healthy};
+pub use jobs::{submit, wait_for_status, Job};
 pub use programs::Programs;
+pub use reply::Reply;
 
-/// A status and a body in JSON.
-pub type Reply = (u16, Value);
+use http::serve;
 
 /// Everything outside the controllers.
 pub struct Site {
-    pub started: Instant,
+    started: Instant,
+    /// The state service.
     pub store: Store,
+    /// The agents by name, with those of machines that were returned.
     pub agents: HashMap<String, Agent>,
-    pub addrs: HashMap<String, SocketAddr>,
+    /// Where the agents listen.
+    addrs: HashMap<String, SocketAddr>,
+    /// What users uploaded for each job.
     pub specs: HashMap<String, JobSpec>,
     /// The most machines that the cloud has at a time.
     pub max_machines: usize,
-    pub nodes: Vec<SocketAddr>,
-    pub names: Vec<String>,
-    /// The node that the store refuses, as it serves the others.
-    pub refused: Option<usize>,
+    /// Where the controllers listen for agents.
+    nodes: Vec<SocketAddr>,
+    /// The controllers' names.
+    names: Vec<String>,
+    /// The controller that the store refuses, as it serves the others.
+    pub refused_node: Option<usize>,
     /// How often each task was completed.
     pub completions: HashMap<(String, u32), u32>,
 }
 
-pub type Shared = Arc<Mutex<Site>>;
+/// The site, shared by its stand-ins and the test.
+pub type SharedSite = Arc<Mutex<Site>>;
+
+/// Locks the site.
+pub fn lock(site: &SharedSite) -> MutexGuard<'_, Site> {
+    site.lock().expect("no stand-in panicked")
+}
 
 /// Where the site's parts listen.
 #[derive(Clone)]
 pub struct Addresses {
+    /// Where the controllers listen for users and agents.
     pub api: Vec<SocketAddr>,
+    /// Where the controllers listen for each other.
     pub peer: Vec<SocketAddr>,
+    /// The cloud.
     pub cloud: SocketAddr,
     /// The state service, by controller.
     pub store: Vec<SocketAddr>,
 }
 
 impl Site {
+    /// The time since the site's start.
     pub fn now(&self) -> Micros {
         Micros(self.started.elapsed().as_micros() as u64)
     }
 
-    /// What users uploaded for a job. A guest's description is its home's.
-    pub fn spec_of(&self, id: &str) -> Option<JobSpec> {
-        let home = id
-            .split_once('.')
-            .and_then(|(_, sent)| saltpitch_cells::ids::home_id(sent));
-        self.specs.get(home.unwrap_or(id)).cloned()
+    /// What users uploaded for a job; for a delegated job, under its id at the origin.
+    fn spec_of(&self, id: &str) -> Option<JobSpec> {
+        self.specs.get(origin_id(id)).cloned()
     }
 
     /// The descriptions of these jobs.
@@ -80,25 +94,36 @@
         serde_json::from_str(&entry.value).ok()
     }
 
-    /// The tasks of a job that machines have and that have not ended.
-    pub fn held(&self, id: &str) -> usize {
-        let machines = self.agents.values().filter(|machine| !machine.gone);
-        let tasks = machines.flat_map(|machine| &machine.tasks);
-        tasks
+    /// The machines that are there, with their agents.
+    pub fn machines(&self) -> impl Iterator<Item = &Agent> {
+        self.agents.values().filter(|agent| !agent.gone)
+    }
+
+    /// How many tasks of a job are on machines and have not ended.
+    pub fn unfinished_tasks(&self, id: &str) -> usize {
+        self.machines()
+            .flat_map(|agent| &agent.tasks)
             .filter(|((task, _), held)| task.0 == id && !held.exited())
             .count()
     }
 }
 
+/// The id of a job at the cell where it was submitted.
+pub fn origin_id(id: &str) -> &str {
+    let sent = id.split_once('.').map(|(_, sent)| sent);
+    let origin = sent.and_then(saltpitch_cells::ids::home_id);
+    origin.unwrap_or(id)
+}
+
 /// Starts the stand-ins of a site of so many controllers.
-pub fn start(controllers: usize) -> (Shared, Addresses) {
+pub fn start(controllers: usize) -> (SharedSite, Addresses) {
     let addresses = Addresses {
         api: (0..controllers).map(|_| free_addr()).collect(),
         peer: (0..controllers).map(|_| free_addr()).collect(),
         cloud: free_addr(),
         store: (0..controllers).map(|_| free_addr()).collect(),
     };
-    let site: Shared = Arc::new(Mutex::new(Site {
+    let site: SharedSite = Arc::new(Mutex::new(Site {
         started: Instant::now(),
         store: Store::default(),
         agents: HashMap::new(),
@@ -107,23 +132,23 @@
         max_machines: usize::MAX,
         nodes: addresses.api.clone(),
         names: (0..controllers).map(|n| format!("n{n}")).collect(),
-        refused: None,
+        refused_node: None,
         completions: HashMap::new(),
     }));
     let shared = site.clone();
     serve(addresses.cloud, move |method, uri, body| {
-        cloud::cloud_call(shared.clone(), method, uri, body)
+        cloud::answer(shared.clone(), method, uri, body)
     });
     for (n, address) in addresses.store.iter().enumerate() {
         let shared = site.clone();
         serve(*address, move |method, uri, body| {
             let site = shared.clone();
             async move {
-                let refused = site.lock().expect("lock").refused == Some(n);
-                match refused {
-                    true => (503, json!({"error": "trouble"})),
-                    false => store::store_call(site, method, uri, body).await,
+                let refused = lock(&site).refused_node == Some(n);
+                if refused {
+                    return Reply::error(503, "trouble");
                 }
+                store::answer(site, method, uri, body).await
             }
         });
     }
--- a/crates/saltpitch/tests/end_to_end/site/programs.rs
+++ b/crates/saltpitch/tests/end_to_end/site/programs.rs
@@ -14,6 +14,15 @@
     cells: Option<PathBuf>,
 }
 
+/// How a command ended.
+#[derive(Debug)]
+pub struct CommandResult {
+    /// Its exit code.
+    pub exit_code: Option<i32>,
+    /// All that it printed.
+    pub printed: String,
+}
+
 impl Programs {
     /// Writes the settings; `cells` is the text of the file on cells, if there is one.
     pub fn new(name: &str, addresses: &Addresses, cells: Option<&str>) -> Programs {
@@ -44,23 +53,24 @@
         settings_file(&self.folder, n)
     }
 
-    /// `saltpitch cells` on the first controller's settings: exit code and all that it prints.
-    pub async fn command(&self, args: &[&str]) -> (Option<i32>, String) {
+    /// Runs `saltpitch cells` on the first controller's settings.
+    pub async fn cells_command(&self, args: &[&str]) -> CommandResult {
         let mut command = Command::new(env!("CARGO_BIN_EXE_saltpitch"));
         command
             .args(["cells", "--config"])
             .arg(self.settings_file(0))
             .args(args);
         // The stand-ins go on meanwhile.
-        let end = tokio::task::spawn_blocking(move || command.output()).await;
-        let end = end.expect("no panic").expect("the program runs");
-        let said = [end.stdout, end.stderr].concat();
-        (
-            end.status.code(),
-            String::from_utf8_lossy(&said).into_owned(),
-        )
+        let output = tokio::task::spawn_blocking(move || command.output()).await;
+        let output = output.expect("no panic").expect("the program runs");
+        let printed = [output.stdout, output.stderr].concat();
+        CommandResult {
+            exit_code: output.status.code(),
+            printed: String::from_utf8_lossy(&printed).into_owned(),
+        }
     }
 
+    /// Starts a controller.
     pub fn start(&mut self, n: usize) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_saltpitch"));
         command
@@ -77,12 +87,14 @@
         self.children[n] = Some(child.expect("the program starts"));
     }
 
+    /// Starts all controllers.
     pub fn start_all(&mut self) {
         for n in 0..self.children.len() {
             self.start(n);
         }
     }
 
+    /// Ends a controller without notice.
     pub fn kill(&mut self, n: usize) {
         if let Some(mut child) = self.children[n].take() {
             let _ = child.kill();
--- a/crates/saltpitch/tests/end_to_end/site/store.rs
+++ b/crates/saltpitch/tests/end_to_end/site/store.rs
@@ -8,119 +8,126 @@
 use saltpitch_testkit::store::Store;
 use serde_json::{json, Value};
 
-use super::http::query;
-use super::{Reply, Shared};
+use super::http::parameter;
+use super::{lock, Reply, SharedSite};
 
-pub async fn store_call(site: Shared, method: Method, uri: String, body: Value) -> Reply {
-    let path = uri.split('?').next().unwrap_or_default().to_owned();
+/// How often a watch that is open looks for changes.
+const WATCH_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Answers a request to the state service.
+pub async fn answer(site: SharedSite, method: Method, uri: String, body: Value) -> Reply {
+    let path = uri.split('?').next().unwrap_or_default();
     if path == "/watch" {
-        let from: u64 = query(&uri, "from")
-            .and_then(|s| s.parse().ok())
-            .unwrap_or(0);
-        let wait: u64 = query(&uri, "wait_ms")
-            .and_then(|s| s.parse().ok())
-            .unwrap_or(0);
-        let end = Instant::now() + Duration::from_millis(wait);
-        loop {
-            {
-                let mut s = site.lock().expect("lock");
-                let now = s.now();
-                s.store.tick(now);
-                let news: Vec<Value> = s
-                    .store
-                    .changes(from)
-                    .map(|(rev, key, v)| match v {
-                        Some(v) => {
-                            let v: Value = serde_json::from_str(v.get()).expect("json");
-                            json!({"write": key, "v": v, "entry_no": rev})
-                        }
-                        None => json!({"delete": key, "entry_no": rev}),
-                    })
-                    .collect();
-                if !news.is_empty() || Instant::now() >= end {
-                    return (200, json!({"ledger_no": s.store.rev, "news": news}));
-                }
-            }
-            tokio::time::sleep(Duration::from_millis(20)).await;
-        }
+        return watch(&site, &uri).await;
     }
-    let mut s = site.lock().expect("lock");
-    let now = s.now();
-    s.store.tick(now);
-    if path == "/store" {
-        let rows: Vec<Value> = s
-            .store
-            .keys
-            .iter()
-            .map(|(k, e)| {
-                let v: Value = serde_json::from_str(&e.value).expect("json");
-                json!({"path": k, "v": v, "entry_no": e.rev})
-            })
-            .collect();
-        return (
-            200,
-            json!({"rows": rows, "has_next": false, "ledger_no": s.store.rev}),
-        );
+    let mut site = lock(&site);
+    let now = site.now();
+    let store = &mut site.store;
+    store.tick(now);
+    match path {
+        "/store" => list(store),
+        "/txn" => commit(store, &body),
+        "/holds" => {
+            let ttl = Micros::from_millis(body["ttl_ms"].as_u64().unwrap_or(0));
+            let lease = store.grant_lease(ttl, now).expect("a lease");
+            Reply::new(200, json!({ "mooring": lease }))
+        }
+        _ => change_lease(store, &method, path, now),
     }
-    if path == "/txn" {
-        return store_txn(&mut s.store, &body);
+}
+
+/// Answers with the changes after a revision, as soon as there are any or the time is over.
+async fn watch(site: &SharedSite, uri: &str) -> Reply {
+    let number = |name: &str| parameter(uri, name).and_then(|text| text.parse::<u64>().ok());
+    let from = number("from").unwrap_or(0);
+    let wait = Duration::from_millis(number("wait_ms").unwrap_or(0));
+    let end = Instant::now() + wait;
+    loop {
+        {
+            let mut site = lock(site);
+            let now = site.now();
+            site.store.tick(now);
+            let changes = changes_after(&site.store, from);
+            if !changes.is_empty() || Instant::now() >= end {
+                let revision = site.store.rev;
+                return Reply::new(200, json!({"ledger_no": revision, "news": changes}));
+            }
+        }
+        tokio::time::sleep(WATCH_INTERVAL).await;
     }
-    if path == "/holds" {
-        let ttl = Micros::from_millis(body["ttl_ms"].as_u64().unwrap_or(0));
-        let id = s.store.grant_lease(ttl, now).expect("a hold");
-        return (200, json!({ "mooring": id }));
+}
+
+fn changes_after(store: &Store, from: u64) -> Vec<Value> {
+    let change =
+        |(revision, key, value): (u64, &str, Option<Box<serde_json::value::RawValue>>)| match value
+        {
+            Some(value) => {
+                let value: Value = serde_json::from_str(value.get()).expect("JSON");
+                json!({"write": key, "v": value, "entry_no": revision})
+            }
+            None => json!({"delete": key, "entry_no": revision}),
+        };
+    store.changes(from).map(change).collect()
+}
+
+fn list(store: &Store) -> Reply {
+    let mut rows = Vec::new();
+    for (key, entry) in &store.keys {
+        let value: Value = serde_json::from_str(&entry.value).expect("JSON");
+        rows.push(json!({"path": key, "v": value, "entry_no": entry.rev}));
     }
-    let parts: Vec<&str> = path.split('/').collect();
-    let id: u64 = parts.get(2).and_then(|p| p.parse().ok()).unwrap_or(0);
-    if method == Method::DELETE {
-        s.store.revoke_lease(id);
-        return (200, json!({}));
+    let body = json!({"rows": rows, "has_next": false, "ledger_no": store.rev});
+    Reply::new(200, body)
+}
+
+/// Renews or ends the lease that the path names.
+fn change_lease(store: &mut Store, method: &Method, path: &str, now: Micros) -> Reply {
+    let lease = path.split('/').nth(2).and_then(|id| id.parse().ok());
+    let lease = lease.unwrap_or(0);
+    if *method == Method::DELETE {
+        store.revoke_lease(lease);
+        return Reply::empty(200);
     }
-    match s.store.keep_alive(id, now) {
-        Some(true) => (200, json!({})),
-        _ => (404, json!({"error": "no such lease"})),
+    match store.keep_alive(lease, now) {
+        Some(true) => Reply::empty(200),
+        _ => Reply::error(404, "no such lease"),
     }
 }
 
-fn store_txn(store: &mut Store, body: &Value) -> Reply {
-    let preconditions: Vec<Precondition> = body["when"]
-        .as_array()
-        .expect("when")
-        .iter()
-        .map(|w| {
-            let key = w["path"].as_str().expect("path").to_owned();
-            let revision = w["entry_no"].as_u64().expect("entry_no");
-            Precondition { key, revision }
-        })
-        .collect();
-    let mut hold = None;
-    let writes: Vec<Write> = body["writes"]
-        .as_array()
-        .expect("writes")
-        .iter()
-        .map(|w| match w["delete"].as_str() {
-            Some(key) => Write {
-                key: key.to_owned(),
-                value: None,
-            },
-            None => {
-                let key = w["write"].as_str().expect("write").to_owned();
-                if let Some(id) = w["mooring"].as_u64() {
-                    hold = Some((id, key.clone()));
-                }
-                Write {
-                    key,
-                    value: Some(w["v"].to_string()),
-                }
-            }
-        })
-        .collect();
-    let held = hold.as_ref().map(|(id, key)| (*id, key.as_str()));
-    match store.txn(&preconditions, &writes, held) {
-        TransactionOutcome::Committed(rev) => (200, json!({ "ledger_no": rev })),
+fn commit(store: &mut Store, body: &Value) -> Reply {
+    let preconditions = body["when"].as_array().expect("when");
+    let preconditions: Vec<Precondition> = preconditions.iter().map(decode_precondition).collect();
+    let raw_writes = body["writes"].as_array().expect("writes");
+    let writes: Vec<Write> = raw_writes.iter().map(decode_write).collect();
+    let leased = raw_writes.iter().rev().find_map(|write| {
+        let lease = write["mooring"].as_u64()?;
+        Some((lease, write["write"].as_str()?))
+    });
+    match store.txn(&preconditions, &writes, leased) {
+        TransactionOutcome::Committed(revision) => Reply::new(200, json!({"ledger_no": revision})),
         TransactionOutcome::Conflict(keys) => {
-            (409, json!({"failed": keys, "ledger_no": store.rev}))
+            Reply::new(409, json!({"failed": keys, "ledger_no": store.rev}))
         }
-        _ => (400, json!({"error": "no such lease"})),
+        _ => Reply::error(400, "no such lease"),
+    }
+}
+
+fn decode_precondition(raw: &Value) -> Precondition {
+    Precondition {
+        key: raw["path"].as_str().expect("path").to_owned(),
+        revision: raw["entry_no"].as_u64().expect("entry_no"),
+    }
+}
+
+fn decode_write(raw: &Value) -> Write {
+    match raw["delete"].as_str() {
+        Some(key) => Write {
+            key: key.to_owned(),
+            value: None,
+        },
+        None => Write {
+            key: raw["write"].as_str().expect("write").to_owned(),
+            value: Some(raw["v"].to_string()),
+        },
     }
 }
--- a/crates/saltpitch/tests/end_to_end/two_cells/link.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells/link.rs
@@ -12,7 +12,7 @@
 use crate::site::free_addr;
 
 /// The longest request that is passed on at once.
-const LONGEST: usize = 64 * 1024;
+const MAX_REQUEST_BYTES: usize = 64 * 1024;
 
 /// A relay to one listener.
 pub struct Link {
@@ -47,7 +47,8 @@
         link
     }
 
-    pub fn cut(&self, cut: bool) {
+    /// Cuts or restores it.
+    pub fn set_cut(&self, cut: bool) {
         self.works.send_replace(!cut);
     }
 
@@ -56,7 +57,7 @@
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Requests passed on so far: callers write each at once.
+    /// Requests passed on so far; callers write each in one piece.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -70,7 +71,7 @@
     mut works: watch::Receiver<bool>,
     calls: Arc<AtomicU64>,
 ) {
-    let mut first = vec![0; LONGEST];
+    let mut first = vec![0; MAX_REQUEST_BYTES];
     let Ok(length) = from.read(&mut first).await else {
         return;
     };
@@ -99,7 +100,7 @@
     to: &mut (impl AsyncWriteExt + Unpin),
     calls: &AtomicU64,
 ) -> std::io::Result<()> {
-    let mut buffer = vec![0; LONGEST];
+    let mut buffer = vec![0; MAX_REQUEST_BYTES];
     loop {
         let length = from.read(&mut buffer).await?;
         if length == 0 {
--- a/crates/saltpitch/tests/end_to_end/two_cells/load.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells/load.rs
@@ -1,87 +1,99 @@
-//! A steady load on two cells for some minutes, and what was seen of it.
+//! A steady load on two cells for some minutes, and measurements of it.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::{home_id, submit_service, TwoCells};
-use crate::site::call;
+use poem::http::Method;
+use saltpitch_core::job::JobKind;
 
-/// How often the cells are looked at.
+use super::{submit_service, TwoCells};
+use crate::site::{call, lock, origin_id, Job};
+
+/// How often the cells are measured.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// A job arrives at home, and a service at the host, so often.
+/// How often a job arrives at the origin, and a service at the host.
 const JOB_INTERVAL: Duration = Duration::from_millis(1_500);
 const SERVICE_INTERVAL: Duration = Duration::from_secs(8);
 /// Each job has this many tasks, which run for so long.
 const TASKS: u32 = 2;
 const RUN_S: f64 = 4.0;
-/// Machines that home's cloud has: too few for the load.
-const HOME_MACHINES: usize = 1;
+/// Machines that the origin's cloud has: too few for the load.
+const ORIGIN_MACHINES: usize = 1;
 
-/// What was seen at one moment.
+/// The measurements at one moment.
 pub struct Sample {
+    /// Seconds since the start.
     pub at_s: f64,
-    pub lent: usize,
+    /// Jobs that are with the host.
+    pub delegated: usize,
+    /// Jobs that came back from it.
     pub returned: usize,
+    /// Requests on the links so far.
     pub calls: u64,
 }
 
-/// What a run came to.
+/// The measurements of a run.
 #[derive(Default)]
-pub struct TransactionOutcome {
+pub struct LoadOutcome {
+    /// Measurements over time.
     pub samples: Vec<Sample>,
     /// From each job's submission to its first task, in seconds.
     pub job_waits: Vec<f64>,
     /// The same for the host's services.
     pub service_waits: Vec<f64>,
+    /// Jobs submitted.
     pub jobs: usize,
+    /// Jobs completed.
     pub done: usize,
     /// Tasks completed more than once, in both cells together.
     pub repeated: usize,
 }
 
-/// Jobs or services that were submitted, and when the first task of each ran.
+/// Jobs or services that were submitted, and when the first task of each started.
 #[derive(Default)]
 struct Arrivals {
     submitted: BTreeMap<String, Instant>,
-    begun: BTreeMap<String, Instant>,
+    started: BTreeMap<String, Instant>,
 }
 
 impl Arrivals {
+    /// The time from each submission to the first task, in seconds.
     fn waits(&self, end: Instant) -> Vec<f64> {
         let wait = |(id, at): (&String, &Instant)| {
-            let begun = self.begun.get(id).copied().unwrap_or(end);
-            (begun - *at).as_secs_f64()
+            let started_at = self.started.get(id).copied().unwrap_or(end);
+            (started_at - *at).as_secs_f64()
         };
         self.submitted.iter().map(wait).collect()
     }
 }
 
 /// Plays the load; the link is cut in the middle third of the time.
-pub async fn play(cells: &TwoCells, time: Duration) -> TransactionOutcome {
-    cells.home.site.lock().expect("lock").max_machines = HOME_MACHINES;
-    let began = Instant::now();
-    let mut outcome = TransactionOutcome::default();
+pub async fn play(cells: &TwoCells, time: Duration) -> LoadOutcome {
+    lock(&cells.origin.site).max_machines = ORIGIN_MACHINES;
+    let started_at = Instant::now();
+    let mut outcome = LoadOutcome::default();
     let (mut jobs, mut services) = (Arrivals::default(), Arrivals::default());
-    let (mut next_job, mut next_service) = (began, began);
-    while began.elapsed() < time {
+    let (mut next_job, mut next_service) = (started_at, started_at);
+    while started_at.elapsed() < time {
         let now = Instant::now();
-        let part = began.elapsed().as_secs_f64() / time.as_secs_f64();
-        cells.cut((1.0 / 3.0..2.0 / 3.0).contains(&part));
+        let part = started_at.elapsed().as_secs_f64() / time.as_secs_f64();
+        cells.set_cut((1.0 / 3.0..2.0 / 3.0).contains(&part));
         if now >= next_job {
             next_job += JOB_INTERVAL;
             let id = format!("job-0003{:03}", jobs.submitted.len());
-            cells.submit_with(&id, TASKS, RUN_S).await;
+            let job = Job::new(&id, JobKind::Array, TASKS).running_for(RUN_S);
+            cells.submit_job(&id, job).await;
             jobs.submitted.insert(id, now);
         }
         if now >= next_service {
             next_service += SERVICE_INTERVAL;
             replace_service(cells, &mut services, now).await;
         }
-        note_begun(cells, &mut jobs, &mut services);
-        outcome.samples.push(sample(cells, &jobs, began));
+        record_starts(cells, &mut jobs, &mut services);
+        outcome.samples.push(sample(cells, &jobs, started_at));
         tokio::time::sleep(SAMPLE_INTERVAL).await;
     }
-    cells.cut(false);
+    cells.set_cut(false);
     outcome.jobs = jobs.submitted.len();
     outcome.job_waits = jobs.waits(Instant::now());
     outcome.service_waits = services.waits(Instant::now());
@@ -94,54 +106,53 @@
     let api = cells.host.addresses.api[0];
     if let Some(last) = services.submitted.keys().next_back() {
         let path = format!("/v2/runs/{last}/abort");
-        call(api, poem::http::Method::POST, &path, None).await;
+        call(api, Method::POST, &path, None).await;
     }
     let id = format!("job-0009{:02}", 10 + services.submitted.len());
     submit_service(&cells.host, &id, 1).await;
     services.submitted.insert(id, now);
 }
 
-fn note_begun(cells: &TwoCells, jobs: &mut Arrivals, services: &mut Arrivals) {
+fn record_starts(cells: &TwoCells, jobs: &mut Arrivals, services: &mut Arrivals) {
     let now = Instant::now();
-    for cell in [&cells.home, &cells.host] {
-        let site = cell.site.lock().expect("lock");
-        let machines = site.agents.values().filter(|machine| !machine.gone);
-        for ((id, _), held) in machines.flat_map(|machine| &machine.tasks) {
-            let id = home_id(&id.0);
+    for cell in [&cells.origin, &cells.host] {
+        let site = lock(&cell.site);
+        for ((id, _), held) in site.machines().flat_map(|agent| &agent.tasks) {
+            let id = origin_id(&id.0);
             for arrivals in [&mut *jobs, &mut *services] {
-                if held.on() && arrivals.submitted.contains_key(&id) {
-                    arrivals.begun.entry(id.clone()).or_insert(now);
+                if held.on() && arrivals.submitted.contains_key(id) {
+                    arrivals.started.entry(id.to_owned()).or_insert(now);
                 }
             }
         }
     }
 }
 
-fn sample(cells: &TwoCells, jobs: &Arrivals, began: Instant) -> Sample {
-    let site = cells.home.site.lock().expect("lock");
+fn sample(cells: &TwoCells, jobs: &Arrivals, started_at: Instant) -> Sample {
+    let site = lock(&cells.origin.site);
     let records = jobs.submitted.keys().filter_map(|id| site.record(id));
-    let (mut lent, mut returned) = (0, 0);
+    let (mut delegated, mut returned) = (0, 0);
     for delegation in records.filter_map(|record| record.delegation) {
-        lent += usize::from(delegation.is_open());
+        delegated += usize::from(delegation.is_open());
         returned += usize::from(!delegation.is_open());
     }
     Sample {
-        at_s: began.elapsed().as_secs_f64(),
-        lent,
+        at_s: started_at.elapsed().as_secs_f64(),
+        delegated,
         returned,
         calls: cells.links.iter().map(|link| link.calls()).sum(),
     }
 }
 
 fn count_done(cells: &TwoCells, jobs: &Arrivals) -> usize {
-    let site = cells.home.site.lock().expect("lock");
+    let site = lock(&cells.origin.site);
     let records = jobs.submitted.keys().filter_map(|id| site.record(id));
     records.filter(|record| record.state.is_final()).count()
 }
 
 /// Waits until all jobs are done, for as long again at most.
-async fn finish(cells: &TwoCells, jobs: &Arrivals, outcome: &mut TransactionOutcome) {
-    cells.home.site.lock().expect("lock").max_machines = 8;
+async fn finish(cells: &TwoCells, jobs: &Arrivals, outcome: &mut LoadOutcome) {
+    lock(&cells.origin.site).max_machines = 8;
     for _ in 0..1_200 {
         outcome.done = count_done(cells, jobs);
         if outcome.done == outcome.jobs {
--- a/crates/saltpitch/tests/end_to_end/two_cells/report.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells/report.rs
@@ -1,8 +1,11 @@
-//! A report in HTML on two runs of the same load, with and without spilling.
+//! A report in HTML on two runs of the same load, with and without delegation.
 
-use plotters::prelude::*;
+use plotters::prelude::{
+    ChartBuilder, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend, BLACK, BLUE, RED,
+    WHITE,
+};
 
-use super::load::TransactionOutcome;
+use super::load::LoadOutcome;
 
 const SIZE: (u32, u32) = (860, 320);
 
@@ -11,32 +14,36 @@
 /// Writes the report.
 pub fn write(
     path: &std::path::Path,
-    spilling: &TransactionOutcome,
-    without: &TransactionOutcome,
+    delegating: &LoadOutcome,
+    without: &LoadOutcome,
 ) -> std::io::Result<()> {
     let samples = |value: &dyn Fn(&super::load::Sample) -> f64| -> Vec<(f64, f64)> {
-        let points = spilling.samples.iter();
+        let points = delegating.samples.iter();
         points.map(|sample| (sample.at_s, value(sample))).collect()
     };
     let plots = [
         plot(
-            "Jobs lent and returned (the link is cut in the middle third)",
+            "Jobs delegated and returned (the link is cut in the middle third)",
             "seconds",
             vec![
-                ("with the host", BLUE, samples(&|sample| sample.lent as f64)),
+                (
+                    "with the host",
+                    BLUE,
+                    samples(&|sample| sample.delegated as f64),
+                ),
                 ("came back", RED, samples(&|sample| sample.returned as f64)),
             ],
         ),
         plot(
-            "Calls on the link, in all",
+            "Requests on the links, in all",
             "seconds",
             vec![("calls", BLUE, samples(&|sample| sample.calls as f64))],
         ),
         plot(
-            "Jobs at home: share of them that began within so many seconds",
+            "Jobs at the origin: share of them that started within so many seconds",
             "seconds waited",
             vec![
-                ("with spilling", BLUE, distribution(&spilling.job_waits)),
+                ("with delegation", BLUE, distribution(&delegating.job_waits)),
                 ("without", RED, distribution(&without.job_waits)),
             ],
         ),
@@ -44,16 +51,20 @@
             "Services at the host: share of them that ran within so many seconds",
             "seconds waited",
             vec![
-                ("beside guests", BLUE, distribution(&spilling.service_waits)),
+                (
+                    "beside delegated jobs",
+                    BLUE,
+                    distribution(&delegating.service_waits),
+                ),
                 ("without", RED, distribution(&without.service_waits)),
             ],
         ),
     ];
     let rows =
-        [("with spilling", spilling), ("without", without)].map(|(name, run)| row(name, run));
+        [("with delegation", delegating), ("without", without)].map(|(name, run)| row(name, run));
     let page = format!(
         "<!doctype html><meta charset=\"utf-8\"><title>Two cells</title>\n\
-         <h1>Two cells that spill over</h1>\n\
+         <h1>Two cells, one of which delegates to the other</h1>\n\
          <p>Three real controllers a cell on loopback; machines, store, cloud and users are stand-ins.</p>\n\
          <table border=\"1\" cellpadding=\"4\">{HEAD}{}</table>\n{}\n",
         rows.join(""),
@@ -66,7 +77,7 @@
     <th>job waits: median, 90%, most (s)</th><th>service waits: median, 90%, most (s)</th>\
     <th>calls</th></tr>";
 
-fn row(name: &str, run: &TransactionOutcome) -> String {
+fn row(name: &str, run: &LoadOutcome) -> String {
     let calls = run.samples.last().map_or(0, |sample| sample.calls);
     format!(
         "<tr><td>{name}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{calls}</td></tr>",
