--- a/crates/saltpitch-cells/src/origin/mod.rs
+++ b/crates/saltpitch-cells/src/origin/mod.rs
@@ -272,7 +272,7 @@
                         access.scheduler.term_revision(),
                     )];
                     self.writes
-                        .begin(job, transition, record, entry.rev, preconditions);
+                        .begin(job, transition, record, entry.revision, preconditions);
                 }
                 None
             }
--- a/crates/saltpitch-cells/src/origin/writes.rs
+++ b/crates/saltpitch-cells/src/origin/writes.rs
@@ -163,7 +163,7 @@
     pub fn settle_by_records(&mut self, records: &RecordCache) -> Vec<Settled> {
         let overtaken = |pending: &&PendingWrite| {
             let entry = records.jobs.get(&pending.write.job);
-            entry.is_some_and(|entry| entry.rev > pending.expected_revision)
+            entry.is_some_and(|entry| entry.revision > pending.expected_revision)
         };
         let settled: Vec<Settled> = self
             .pending
--- a/crates/saltpitch-cells/tests/host_admission.rs
+++ b/crates/saltpitch-cells/tests/host_admission.rs
@@ -9,7 +9,9 @@
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
 use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::quota::TeamLimits;
-use saltpitch_core::records::{job_key, log_key, Entry, JobRecord, LogRecord, RecordCache};
+use saltpitch_core::records::{
+    job_key, segment_key, JobRecord, RecordCache, SegmentEntry, SegmentRecord,
+};
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
@@ -99,10 +101,12 @@
 }
 
 fn put(records: &mut RecordCache, id: &str, record: &JobRecord) {
-    records.rev += 1;
+    records.revision += 1;
     let text = serde_json::to_string(record).expect("JSON");
     let raw = RawValue::from_string(text).expect("JSON");
-    records.put(&job_key(id), &raw, records.rev).expect("read");
+    records
+        .put(&job_key(id), &raw, records.revision)
+        .expect("read");
 }
 
 #[test]
@@ -206,13 +210,13 @@
     let id = door().guest_id("job-1000001");
     put(&mut records, &id, &record);
     assert!(door().cancels(&records, "job-1000001", true));
-    let placed = LogRecord {
+    let placed = SegmentRecord {
         number: 1,
-        entries: vec![(id, vec![Entry(0, 1, "vm-000001".to_owned(), 1, 0)])],
+        entries: vec![(id, vec![SegmentEntry(0, 1, "vm-000001".to_owned(), 1, 0)])],
     };
     let text = serde_json::to_string(&placed).expect("JSON");
     let raw = RawValue::from_string(text).expect("JSON");
-    records.put(&log_key(0), &raw, 9).expect("read");
+    records.put(&segment_key(0), &raw, 9).expect("read");
     assert_eq!(
         door().status(&records, "job-1000001"),
         Some(HostStatus::Running)
--- a/crates/saltpitch-core/src/controller/leader_election.rs
+++ b/crates/saltpitch-core/src/controller/leader_election.rs
@@ -165,8 +165,9 @@
 
     /// A newer term on record ends the leadership, unless this process raised it.
     pub(super) fn check_recorded_term(&mut self) {
-        let (revision, record) = &self.records.term;
-        let (revision, term) = (*revision, record.term);
+        let recorded = &self.records.term;
+        let (revision, record) = (recorded.revision, &recorded.value);
+        let term = record.term;
         let own = record.node == self.config.name && record.incarnation == self.incarnation;
         if !own {
             return self.term_seen(term);
@@ -233,7 +234,7 @@
             term: scheduler.term() + 1,
             node: self.config.name.clone(),
             incarnation: self.incarnation,
-            earlier_leaders_fenced_at: self.records.term.1.earlier_leaders_fenced_at,
+            earlier_leaders_fenced_at: self.records.term.value.earlier_leaders_fenced_at,
         };
         let write = Write {
             key: TERM_KEY.to_owned(),
--- a/crates/saltpitch-core/src/controller/peer_heartbeats.rs
+++ b/crates/saltpitch-core/src/controller/peer_heartbeats.rs
@@ -14,7 +14,7 @@
 impl Controller {
     /// What this controller says about itself.
     pub fn status(&self, store: StoreHealth, now: Micros) -> PeerStatus {
-        let (_, term) = &self.records.term;
+        let term = &self.records.term.value;
         PeerStatus {
             node: self.config.name.clone(),
             term: term.term,
@@ -32,7 +32,7 @@
     /// A heartbeat to `peer`; a leader asks it to acknowledge cancellations.
     pub fn peer_heartbeat(&self, peer: &str, store: StoreHealth, now: Micros) -> PeerStatus {
         let ack_request = self.leadership.as_ref().map(|leadership| AckRequest {
-            revision: self.records.rev,
+            revision: self.records.revision,
             cursor: leadership.acks.cursor(peer),
         });
         PeerStatus {
@@ -154,7 +154,7 @@
         if let Some(peer) = claims.max_by_key(|p| p.status.term) {
             return Some(&peer.status.node);
         }
-        let (_, recorded) = self.records.leader.as_ref()?;
+        let recorded = &self.records.leader.as_ref()?.value;
         let peer = self.peers.get(&recorded.node)?;
         peer.is_alive(now).then_some(peer.status.node.as_str())
     }
--- a/crates/saltpitch-core/src/controller/record_sync.rs
+++ b/crates/saltpitch-core/src/controller/record_sync.rs
@@ -36,17 +36,17 @@
         now: Micros,
         wall: Micros,
     ) -> bool {
-        if from > self.records.rev {
+        if from > self.records.revision {
             return false;
         }
-        let known = self.records.rev;
+        let known = self.records.revision;
         let mut job_changed = false;
         for change in changes {
             if change.revision > known {
                 job_changed |= self.apply_change(&change, now, wall);
             }
         }
-        self.records.rev = self.records.rev.max(upto);
+        self.records.revision = self.records.revision.max(upto);
         self.records.cancellations.trim();
         job_changed
     }
@@ -88,12 +88,12 @@
                 }
                 self.check_recorded_term();
             }
-            Change::None | Change::Leader | Change::Chunk | Change::Machine => {}
+            Change::None | Change::Leader | Change::Tasks | Change::Machines => {}
         }
         false
     }
 
-    /// Replaces the copy of the records by one that was read anew. `records.rev` must be the revision of
+    /// Replaces the copy of the records by one that was read anew. `records.revision` must be the revision of
     /// the first page: whatever changed during the listing follows from there.
     pub fn replace_records(
         &mut self,
@@ -105,7 +105,7 @@
             return Err(OutdatedLayout);
         }
         let old = std::mem::replace(&mut self.records, records);
-        if old.term.0 != self.records.term.0 {
+        if old.term.revision != self.records.term.revision {
             self.term_seen_at = now;
         }
         self.records.succeed(old);
@@ -139,9 +139,9 @@
         let names = peers.chain([self.config.name.as_str()]);
         names
             .map(|name| {
-                let (revision, record) = self.records.nodes.get(name)?;
-                let known = record.knows_delegations;
-                known.then(|| Precondition::new(node_key(name), *revision))
+                let node = self.records.nodes.get(name)?;
+                let known = node.value.knows_delegations;
+                known.then(|| Precondition::new(node_key(name), node.revision))
             })
             .collect()
     }
@@ -153,7 +153,7 @@
         }
         let name = &self.config.name;
         let (expected_revision, known) = match self.records.nodes.get(name) {
-            Some((revision, record)) => (*revision, record.incarnation),
+            Some(node) => (node.revision, node.value.incarnation),
             None => (0, 0),
         };
         self.incarnation = self.incarnation.max(known + 1);
@@ -189,7 +189,7 @@
 
     /// Who holds the recorded term, and in which incarnation.
     fn term_holder(&self) -> (String, u64) {
-        let (_, term) = &self.records.term;
+        let term = &self.records.term.value;
         (term.node.clone(), term.incarnation)
     }
 
@@ -206,7 +206,7 @@
 
     fn adopt_recorded_catalog(&mut self) {
         if self.catalog.is_none() {
-            self.catalog = self.records.catalog.as_ref().map(|c| c.1.clone());
+            self.catalog = self.records.catalog.as_ref().map(|c| c.value.clone());
         }
     }
 
@@ -240,7 +240,7 @@
         };
         // A change may come twice, by a watch and by a fresh read; and a cancelled job's record changes
         // once more when the last of its tasks is gone.
-        if old.record.state != JobState::Active || change.revision <= old.rev {
+        if old.record.state != JobState::Active || change.revision <= old.revision {
             return;
         }
         let (Some(spec), Some(value)) = (&old.record.spec, &change.value) else {
--- a/crates/saltpitch-core/src/leadership/answer_bound.rs
+++ b/crates/saltpitch-core/src/leadership/answer_bound.rs
@@ -43,7 +43,7 @@
     /// have been acted on before.
     pub fn record(&mut self, peer: &str, ack: &CancellationAck, asked_at: Micros) {
         let known = self.0.entry(peer.to_owned()).or_default();
-        known.cursor = ack.upto;
+        known.cursor = ack.next;
         if !ack.more {
             known.acknowledged_at = known.acknowledged_at.max(Some(asked_at));
         }
--- a/crates/saltpitch-core/src/leadership/election.rs
+++ b/crates/saltpitch-core/src/leadership/election.rs
@@ -59,7 +59,7 @@
 pub fn is_leaderless(records: &RecordCache, node: &str, incarnation: u64) -> bool {
     match &records.leader {
         None => true,
-        Some((_, leader)) => leader.node == node && leader.incarnation < incarnation,
+        Some(leader) => leader.value.node == node && leader.value.incarnation < incarnation,
     }
 }
 
@@ -83,8 +83,9 @@
     if !is_leaderless(records, node, incarnation) {
         return None;
     }
-    let (term_revision, last) = &records.term;
-    let previous = (*term_revision > 0).then(|| ProcessIdentity {
+    let term_revision = records.term.revision;
+    let last = &records.term.value;
+    let previous = (term_revision > 0).then(|| ProcessIdentity {
         node: last.node.clone(),
         incarnation: last.incarnation,
     });
@@ -106,12 +107,12 @@
         incarnation,
         term: term.term,
     };
-    let leader_revision = records.leader.as_ref().map_or(0, |leader| leader.0);
+    let leader_revision = records.leader.as_ref().map_or(0, |leader| leader.revision);
     Some(ElectionAttempt {
         term: term.term,
         transaction: Transaction {
             preconditions: vec![
-                Precondition::new(TERM_KEY, *term_revision),
+                Precondition::new(TERM_KEY, term_revision),
                 Precondition::new(LEADER_KEY, leader_revision),
             ],
             writes: vec![
@@ -143,7 +144,7 @@
         bound: Micros,
         now: Micros,
     ) -> Option<EarlierLeaders> {
-        if records.term.0 != revision {
+        if records.term.revision != revision {
             return None;
         }
         let previous = self
@@ -171,7 +172,7 @@
     term_revision: u64,
 ) -> Transaction {
     let key = node_key(node);
-    let node_revision = records.nodes.get(node).map_or(0, |known| known.0);
+    let node_revision = records.nodes.get(node).map_or(0, |known| known.revision);
     let writes = vec![
         Write {
             key: LEADER_KEY.to_owned(),
--- a/crates/saltpitch-core/src/records/cancellations.rs
+++ b/crates/saltpitch-core/src/records/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations as a controller learnt of them, for a leader that cannot read them itself.
+//! Cancellations as a controller learned of them, for a leader that cannot read them itself.
 
 use std::collections::VecDeque;
 
@@ -6,6 +6,11 @@
 
 use crate::messages::AckRequest;
 
+/// The most cancellations that a controller remembers for a leader without the state service.
+const MAX_CANCELLATIONS: usize = 10_000;
+/// The most cancellations in one acknowledgement.
+const MAX_CANCELLATIONS_PER_ACK: usize = 1_000;
+
 /// A position in a controller's list of cancellations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AckCursor {
@@ -20,48 +25,64 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancellationAck {
     /// Where the next page starts.
-    pub upto: AckCursor,
+    #[serde(rename = "upto")]
+    pub next: AckCursor,
     /// Whether there is another page. Only the last one completes the acknowledgement.
     pub more: bool,
     /// The ids of the cancelled jobs.
     pub cancelled: Vec<String>,
 }
 
-/// Cancellations in the order in which a node learned of them, which need not be that of their
+/// A job's cancellation; ordered by revision.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Cancellation {
+    /// The revision of the record that cancelled the job.
+    pub(super) revision: u64,
+    /// The job.
+    pub(super) id: String,
+}
+
+/// Cancellations in the order in which a controller learned of them, which need not be that of their
 /// revisions. Bounded: the oldest fall out, and a leader whose records are older than those gets no
-/// word.
+/// acknowledgement.
 #[derive(Clone, Debug, Default)]
 pub struct Cancellations {
-    pub(super) first: u64,
-    pub(super) list: VecDeque<(u64, String)>,
-    forgotten: u64,
+    /// How many entries fell out.
+    first: u64,
+    list: VecDeque<Cancellation>,
+    /// The highest revision of the entries that fell out.
+    forgotten_up_to: u64,
 }
 
-/// The most cancellations that a node remembers for a leader without the store, and the most that
-/// one word carries.
-const MAX_CANCELLATIONS: usize = 10_000;
-const MAX_CANCELLATIONS_PER_ACK: usize = 1_000;
-
 impl Cancellations {
-    pub(super) fn note(&mut self, rev: u64, id: &str) {
-        self.list.push_back((rev, id.to_owned()));
+    /// Adds a cancellation.
+    pub(super) fn note(&mut self, revision: u64, id: &str) {
+        let id = id.to_owned();
+        self.list.push_back(Cancellation { revision, id });
+    }
+
+    /// All entries, by revision.
+    pub(super) fn into_sorted(self) -> Vec<Cancellation> {
+        let mut entries = Vec::from(self.list);
+        entries.sort_unstable();
+        entries
     }
 
-    /// Forgets what is above the bound.
+    /// Forgets the oldest entries above the bound.
     pub fn trim(&mut self) {
         while self.list.len() > MAX_CANCELLATIONS {
-            if let Some((rev, _)) = self.list.pop_front() {
+            if let Some(oldest) = self.list.pop_front() {
                 self.first += 1;
-                self.forgotten = self.forgotten.max(rev);
+                self.forgotten_up_to = self.forgotten_up_to.max(oldest.revision);
             }
         }
     }
 
-    /// What a leader with records as of `rev` has not seen, from `cursor` on. None: too much was
-    /// forgotten to say.
+    /// What a leader with these records has not seen, from its cursor on. `None` if too much was forgotten
+    /// to say.
     pub fn acknowledge(&self, process: u64, request: AckRequest) -> Option<CancellationAck> {
         let AckRequest { revision, cursor } = request;
-        if revision < self.forgotten {
+        if revision < self.forgotten_up_to {
             return None;
         }
         let known = if cursor.process == process {
@@ -72,17 +93,17 @@
         let skip = known.saturating_sub(self.first) as usize;
         let mut entries = self.first.max(known);
         let mut cancelled = Vec::new();
-        for (at, id) in self.list.iter().skip(skip) {
+        for cancellation in self.list.iter().skip(skip) {
             if cancelled.len() >= MAX_CANCELLATIONS_PER_ACK {
                 break;
             }
             entries += 1;
-            if *at > revision {
-                cancelled.push(id.clone());
+            if cancellation.revision > revision {
+                cancelled.push(cancellation.id.clone());
             }
         }
         Some(CancellationAck {
-            upto: AckCursor { process, entries },
+            next: AckCursor { process, entries },
             more: entries < self.first + self.list.len() as u64,
             cancelled,
         })
--- a/crates/saltpitch-core/src/records/delegation.rs
+++ b/crates/saltpitch-core/src/records/delegation.rs
@@ -7,16 +7,16 @@
 use super::JobRecord;
 use crate::job::JobState;
 
-/// The hand-over of one whole job to another cell.
+/// The delegation of one whole job to another cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delegation {
     /// The host cell.
     #[serde(rename = "c")]
     pub cell: String,
-    /// Counts the hand-overs of this job; part of the id that the host is sent.
+    /// Counts the delegations of this job; part of the id that the host is sent.
     #[serde(rename = "n")]
     pub number: u32,
-    /// How far it is.
+    /// The state.
     #[serde(rename = "s")]
     pub state: DelegationState,
     /// The user asked for the job's cancellation, which the host has yet to confirm.
@@ -24,7 +24,7 @@
     pub cancel_requested: bool,
 }
 
-/// How far a delegation is.
+/// The state of a delegation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DelegationState {
@@ -32,9 +32,9 @@
     Offered,
     /// The host has accepted the job: it is never submitted again under this number.
     Accepted,
-    /// The host said that tasks of it run.
+    /// The host reported that tasks of it run.
     Running,
-    /// It has ended: the job is this cell's own again.
+    /// It has ended: the job is the origin's own again.
     Returned,
     /// The record cannot be read: the job is placed nowhere.
     #[serde(skip_serializing)]
@@ -47,7 +47,7 @@
         self.state != DelegationState::Returned
     }
 
-    /// What stands for a delegation that cannot be read.
+    /// The placeholder of a delegation that cannot be read.
     fn damaged() -> Delegation {
         Delegation {
             cell: String::new(),
@@ -75,7 +75,7 @@
 /// A job that this cell runs for another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guest {
-    /// The home cell.
+    /// The origin cell.
     #[serde(rename = "c")]
     pub cell: String,
     /// Whether machines may be rented for it.
@@ -88,9 +88,9 @@
 pub enum CancelStep {
     /// This record: the job is cancelled with it.
     Confirm(JobRecord),
-    /// This record: it asks the host cell to give the job up. The job is not cancelled yet.
+    /// This record: it requests the cancellation from the host cell. The job is not cancelled yet.
     Request(JobRecord),
-    /// Nothing: the host cell has been asked for already.
+    /// Nothing: the cancellation has been requested from the host cell already.
     Await,
 }
 
--- a/crates/saltpitch-core/src/records/keys.rs
+++ b/crates/saltpitch-core/src/records/keys.rs
@@ -8,79 +8,103 @@
 pub const LEADER_KEY: &str = "salt/leader";
 /// The key of the machine types; read where it is there, written by no version in production.
 pub const CATALOG_KEY: &str = "salt/catalog";
-/// Tasks in one chunk record: a full one stays below the smallest value limit.
-pub const CHUNK: u32 = 128;
-/// The most machines in one block record.
-pub const BLOCK: usize = 64;
+/// Tasks in one checkpoint: a full one stays below the smallest value limit.
+pub const TASKS_PER_CHECKPOINT: u32 = 128;
+/// The most machines in the record of one block.
+pub const MACHINES_PER_BLOCK: usize = 64;
+
+const JOB_PREFIX: &str = "salt/j/";
+const CHECKPOINT_PREFIX: &str = "salt/c/";
+const SEGMENT_PREFIX: &str = "salt/l/";
+const MACHINE_BLOCK_PREFIX: &str = "salt/b/";
+const NODE_PREFIX: &str = "salt/n/";
+/// Prefixes of kinds of records that only earlier versions wrote.
+const EARLIER_PREFIXES: [&str; 2] = ["salt/m/", "salt/p/"];
 
 /// The key of a job.
 pub fn job_key(id: &str) -> String {
-    format!("salt/j/{id}")
+    format!("{JOB_PREFIX}{id}")
 }
+
 /// The job whose record is stored at `key`, if it is a job's.
 pub fn job_id(key: &str) -> Option<&str> {
-    key.strip_prefix("salt/j/")
+    key.strip_prefix(JOB_PREFIX)
 }
-/// The key of a checkpoint of one chunk of a job's tasks.
-pub fn chunk_key(id: &str, chunk: u32) -> String {
-    format!("salt/c/{id}/{chunk}")
+
+/// The key of the checkpoint of one range of a job's tasks.
+pub fn checkpoint_key(id: &str, index: u32) -> String {
+    format!("{CHECKPOINT_PREFIX}{id}/{index}")
 }
+
 /// The key of a slot of the placement log.
-pub fn log_key(slot: u32) -> String {
-    format!("salt/l/{slot}")
+pub fn segment_key(slot: u32) -> String {
+    format!("{SEGMENT_PREFIX}{slot}")
 }
+
 /// The key of a block of machines.
-pub fn block_key(block: u32) -> String {
-    format!("salt/b/{block}")
+pub fn machine_block_key(number: u32) -> String {
+    format!("{MACHINE_BLOCK_PREFIX}{number}")
 }
+
 /// The key of a controller's incarnation.
 pub fn node_key(name: &str) -> String {
-    format!("salt/n/{name}")
+    format!("{NODE_PREFIX}{name}")
 }
 
+/// What is stored at a key.
 pub(super) enum Key<'a> {
+    /// The term.
     Term,
+    /// The leader.
     Leader,
+    /// The machine types.
     Catalog,
+    /// A controller's incarnation, by its name.
     Node(&'a str),
+    /// A job, by its id.
     Job(&'a str),
-    Chunk(&'a str, u32),
-    Block(u32),
-    Log(u32),
+    /// A checkpoint, by its job and the index of its range of tasks.
+    Checkpoint(&'a str, u32),
+    /// A block of machines, by its number.
+    MachineBlock(u32),
+    /// A segment of the placement log, by its slot.
+    Segment(u32),
     /// A kind of record that this version does not read.
-    Old,
+    EarlierLayout,
+    /// Nothing that is known.
     Other,
 }
 
-pub(super) fn split(key: &str) -> Key<'_> {
+/// What is stored at a key.
+pub(super) fn parse_key(key: &str) -> Key<'_> {
     match key {
         TERM_KEY => return Key::Term,
         LEADER_KEY => return Key::Leader,
         CATALOG_KEY => return Key::Catalog,
         _ => {}
     }
-    if let Some(id) = key.strip_prefix("salt/j/") {
+    if let Some(id) = job_id(key) {
         return Key::Job(id);
     }
-    if let Some(number) = key.strip_prefix("salt/b/") {
-        return number.parse().map_or(Key::Other, Key::Block);
+    if let Some(number) = key.strip_prefix(MACHINE_BLOCK_PREFIX) {
+        return number.parse().map_or(Key::Other, Key::MachineBlock);
     }
-    if let Some(number) = key.strip_prefix("salt/l/") {
-        return number.parse().map_or(Key::Other, Key::Log);
+    if let Some(slot) = key.strip_prefix(SEGMENT_PREFIX) {
+        return slot.parse().map_or(Key::Other, Key::Segment);
     }
-    if key.starts_with("salt/m/") || key.starts_with("salt/p/") {
-        return Key::Old;
+    if EARLIER_PREFIXES
+        .iter()
+        .any(|prefix| key.starts_with(prefix))
+    {
+        return Key::EarlierLayout;
     }
-    if let Some(name) = key.strip_prefix("salt/n/") {
+    if let Some(name) = key.strip_prefix(NODE_PREFIX) {
         return Key::Node(name);
     }
-    if let Some((id, number)) = key
-        .strip_prefix("salt/c/")
-        .and_then(|rest| rest.rsplit_once('/'))
-    {
-        if let Ok(number) = number.parse() {
-            return Key::Chunk(id, number);
-        }
-    }
-    Key::Other
+    parse_checkpoint_key(key).unwrap_or(Key::Other)
+}
+
+fn parse_checkpoint_key(key: &str) -> Option<Key<'_>> {
+    let (id, index) = key.strip_prefix(CHECKPOINT_PREFIX)?.rsplit_once('/')?;
+    Some(Key::Checkpoint(id, index.parse().ok()?))
 }
--- a/crates/saltpitch-core/src/records/mod.rs
+++ b/crates/saltpitch-core/src/records/mod.rs
@@ -10,22 +10,24 @@
 mod recorded_tasks;
 mod returned_machines;
 mod stored;
+mod versioned;
 
 use serde_json::value::RawValue;
 
 pub use cancellations::{AckCursor, CancellationAck, Cancellations};
 pub use delegation::{CancelStep, Delegation, DelegationState, Guest};
 pub use keys::{
-    block_key, chunk_key, job_id, job_key, log_key, node_key, BLOCK, CATALOG_KEY, CHUNK,
-    LEADER_KEY, PREFIX, TERM_KEY,
+    checkpoint_key, job_id, job_key, machine_block_key, node_key, segment_key, CATALOG_KEY,
+    LEADER_KEY, MACHINES_PER_BLOCK, PREFIX, TASKS_PER_CHECKPOINT, TERM_KEY,
 };
 pub use record_cache::{Change, JobEntry, RecordCache, RecordError};
-pub use recorded_tasks::{Checkpoint, RecordedSegment, TaskState, TaskStates};
+pub use recorded_tasks::{AllocatedMachine, Checkpoint, RecordedSegment, TaskState, TaskStates};
 pub use returned_machines::ReturnedMachines;
 pub use stored::{
-    AllocationRecord, BlockRecord, ChunkRecord, Entry, JobRecord, LeaderRecord, LogRecord,
-    MachineRecord, NodeRecord, TermRecord,
+    AllocationRecord, CheckpointRecord, JobRecord, LeaderRecord, MachineBlockRecord, MachineRecord,
+    NodeRecord, SegmentEntry, SegmentRecord, TermRecord,
 };
+pub use versioned::Versioned;
 
 /// A change of one key in the state service, or one row of a listing.
 #[derive(Clone, Debug)]
--- /dev/null
+++ b/crates/saltpitch-core/src/records/record_cache/machines.rs
@@ -0,0 +1,69 @@
+//! Machines in the cache.
+
+use std::collections::HashSet;
+
+use serde_json::value::RawValue;
+
+use super::{parse, Change, RecordCache, RecordError};
+use crate::records::stored::MachineBlockRecord;
+use crate::records::Versioned;
+
+impl RecordCache {
+    pub(super) fn put_machine_block(
+        &mut self,
+        number: u32,
+        raw: &RawValue,
+        revision: u64,
+    ) -> Result<Change, RecordError> {
+        let known = self.machine_blocks.get(&number);
+        if known.is_some_and(|known| known.covers(revision)) {
+            return Ok(Change::None);
+        }
+        let record: MachineBlockRecord = parse(raw)?;
+        for machine in &record.machines {
+            self.returned_machines.remove(&machine.0);
+        }
+        let names = record.machines.iter().map(|machine| machine.0.clone());
+        let remaining: HashSet<String> = names.collect();
+        let block = Versioned::new(revision, record);
+        let old = self.machine_blocks.insert(number, block);
+        let old_machines = old.iter().flat_map(|old| &old.value.machines);
+        for machine in old_machines.filter(|machine| !remaining.contains(&machine.0)) {
+            // A block that was split leaves its machines to others.
+            if !self.is_machine_on_record(&machine.0) {
+                self.machine_gone(&machine.0);
+            }
+        }
+        Ok(Change::Machines)
+    }
+
+    pub(super) fn delete_machine_block(&mut self, number: u32, revision: u64) -> Change {
+        let known = self.machine_blocks.get(&number);
+        if known.is_none_or(|known| known.covers(revision)) {
+            return Change::None;
+        }
+        if let Some(old) = self.machine_blocks.remove(&number) {
+            for machine in &old.value.machines {
+                self.machine_gone(&machine.0);
+            }
+        }
+        Change::Machines
+    }
+
+    /// The names of the machines on record.
+    pub(super) fn machine_names(&self) -> impl Iterator<Item = &str> {
+        let blocks = self.machine_blocks.values();
+        let machines = blocks.flat_map(|block| &block.value.machines);
+        machines.map(|machine| machine.0.as_str())
+    }
+
+    fn is_machine_on_record(&self, name: &str) -> bool {
+        self.machine_names().any(|on_record| on_record == name)
+    }
+
+    /// The machine was returned: late heartbeats and listings of it mean nothing.
+    pub(super) fn machine_gone(&mut self, name: &str) {
+        self.returned_machines.insert(name);
+        self.images.forget(name);
+    }
+}
--- /dev/null
+++ b/crates/saltpitch-core/src/records/record_cache/tasks.rs
@@ -0,0 +1,167 @@
+//! Tasks in the cache: checkpoints and segments of the placement log.
+
+use serde_json::value::RawValue;
+
+use super::{parse, Change, RecordCache, RecordError};
+use crate::records::recorded_tasks::{AllocatedMachine, Checkpoint, RecordedSegment, TaskState};
+use crate::records::stored::{AllocationRecord, CheckpointRecord, SegmentEntry, SegmentRecord};
+use crate::records::TASKS_PER_CHECKPOINT;
+
+impl RecordCache {
+    /// How many tasks of a job are running and how many have completed, for display.
+    pub fn counts(&self, id: &str) -> (u64, u64) {
+        let tasks = self.tasks.get(id);
+        tasks.map_or((0, 0), |tasks| {
+            (u64::from(tasks.running), u64::from(tasks.done))
+        })
+    }
+
+    pub(super) fn put_checkpoint(
+        &mut self,
+        id: &str,
+        index: u32,
+        raw: &RawValue,
+        revision: u64,
+    ) -> Result<Change, RecordError> {
+        let known = self.checkpoints.get(id);
+        let known = known.and_then(|checkpoints| checkpoints.get(&index));
+        if known.is_some_and(|known| revision <= known.revision) {
+            return Ok(Change::None);
+        }
+        let record: CheckpointRecord = parse(raw)?;
+        let checkpoint = Checkpoint {
+            revision,
+            up_to_segment: record.up_to_segment,
+        };
+        let checkpoints = self.checkpoints.entry(id.to_owned()).or_default();
+        checkpoints.insert(index, checkpoint);
+        self.last_segment = self.last_segment.max(record.up_to_segment);
+        if !self.is_over(id) {
+            self.apply_checkpoint(id, index, record);
+        }
+        Ok(Change::Tasks)
+    }
+
+    pub(super) fn delete_checkpoint(&mut self, id: &str, index: u32, revision: u64) -> Change {
+        if let Some(checkpoints) = self.checkpoints.get_mut(id) {
+            let known = checkpoints.get(&index);
+            if known.is_some_and(|known| known.revision < revision) {
+                checkpoints.remove(&index);
+            }
+            if checkpoints.is_empty() {
+                self.checkpoints.remove(id);
+            }
+        }
+        Change::None
+    }
+
+    pub(super) fn put_segment(
+        &mut self,
+        slot: u32,
+        raw: &RawValue,
+        revision: u64,
+    ) -> Result<Change, RecordError> {
+        let known = self.segments.get(&slot);
+        if known.is_some_and(|known| revision <= known.revision) {
+            return Ok(Change::None);
+        }
+        let record: SegmentRecord = parse(raw)?;
+        let number = record.number;
+        self.last_segment = self.last_segment.max(number);
+        let segment = RecordedSegment {
+            revision,
+            number,
+            task_ranges: mentioned_ranges(&record),
+        };
+        self.apply_segment(record);
+        self.segments.insert(slot, segment);
+        Ok(Change::Tasks)
+    }
+
+    fn apply_checkpoint(&mut self, id: &str, index: u32, record: CheckpointRecord) {
+        let first_task = index.saturating_mul(TASKS_PER_CHECKPOINT);
+        let states = self.tasks.entry(id.to_owned()).or_default();
+        for (offset, state) in (0..).zip(checkpoint_states(record)) {
+            states.set(first_task.saturating_add(offset), state);
+        }
+    }
+
+    fn apply_segment(&mut self, record: SegmentRecord) {
+        for (id, entries) in record.entries {
+            if self.is_over(&id) {
+                continue;
+            }
+            let job = self.jobs.get(&id);
+            let spec = job.and_then(|job| job.record.spec.as_deref());
+            let states = self.tasks.entry(id).or_default();
+            for entry in entries {
+                let task = entry.0;
+                let state = entry_state(entry, record.number);
+                let completed_on = states.set(task, state);
+                if let (Some(allocation), Some(spec)) = (completed_on, spec) {
+                    self.images.used(
+                        &allocation.machine,
+                        allocation.agent_epoch,
+                        &spec.image,
+                        spec.image_mb,
+                    );
+                }
+            }
+        }
+    }
+}
+
+/// The ranges of tasks that a segment mentions, by job and index.
+fn mentioned_ranges(record: &SegmentRecord) -> Vec<(String, u32)> {
+    let mut ranges = Vec::new();
+    for (id, entries) in &record.entries {
+        let tasks = entries.iter().map(|entry| entry.0);
+        let mut of_job: Vec<u32> = tasks.map(|task| task / TASKS_PER_CHECKPOINT).collect();
+        of_job.sort_unstable();
+        of_job.dedup();
+        ranges.extend(of_job.into_iter().map(|index| (id.clone(), index)));
+    }
+    ranges
+}
+
+/// What a checkpoint says of each task of its range.
+fn checkpoint_states(record: CheckpointRecord) -> Vec<TaskState> {
+    let attempts = record.attempts.iter().take(TASKS_PER_CHECKPOINT as usize);
+    let mut states: Vec<TaskState> = attempts
+        .map(|attempt| TaskState {
+            segment: record.up_to_segment,
+            attempt: *attempt,
+            ..TaskState::default()
+        })
+        .collect();
+    for offset in record.done_tasks() {
+        if let Some(state) = states.get_mut(offset as usize) {
+            state.done = true;
+        }
+    }
+    for AllocationRecord(offset, machine, agent_epoch) in record.allocations {
+        if let Some(state) = states.get_mut(offset as usize) {
+            state.allocation = Some(Box::new(AllocatedMachine {
+                machine,
+                agent_epoch,
+            }));
+        }
+    }
+    states
+}
+
+/// What an entry of a segment says of its task.
+fn entry_state(entry: SegmentEntry, segment: u64) -> TaskState {
+    let is_allocated = entry.is_allocated();
+    let SegmentEntry(_, attempt, machine, agent_epoch, done) = entry;
+    let allocation = AllocatedMachine {
+        machine,
+        agent_epoch,
+    };
+    TaskState {
+        segment,
+        attempt,
+        done: done > 0,
+        allocation: is_allocated.then(|| Box::new(allocation)),
+    }
+}
--- a/crates/saltpitch-core/src/records/recorded_tasks.rs
+++ b/crates/saltpitch-core/src/records/recorded_tasks.rs
@@ -1,58 +1,68 @@
-//! What the records say of tasks: the newest of the log's segments and the checkpoints counts.
+//! What the records say of tasks: of the log's segments and the checkpoints, the newest counts.
 
 use crate::job::MAX_TASKS;
 
-/// A task as the newest record of it says.
+/// The machine of a task, as the records show it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AllocatedMachine {
+    /// The machine.
+    pub machine: String,
+    /// The epoch of the machine's agent in which the task was placed.
+    pub agent_epoch: u64,
+}
+
+/// A task as the newest record of it shows it.
 #[derive(Clone, Debug, Default)]
 pub struct TaskState {
-    /// The segment that said so.
+    /// The segment that the state is from.
     pub(super) segment: u64,
     /// The newest attempt.
     pub attempt: u32,
     /// Whether it has completed.
     pub done: bool,
-    /// Machine and epoch.
-    pub allocation: Option<Box<(String, u64)>>,
+    /// Where it is placed.
+    pub allocation: Option<Box<AllocatedMachine>>,
 }
 
 /// The tasks of a job, as far as anything is on record of them.
 #[derive(Clone, Debug, Default)]
 pub struct TaskStates {
-    /// By the task's number.
+    /// By the task's index.
     pub tasks: Vec<TaskState>,
+    /// How many are placed.
     pub(super) running: u32,
+    /// How many have completed.
     pub(super) done: u32,
 }
 
 impl TaskStates {
-    /// Whatever comes late or twice, the newest segment's entry stays. Returns the machine and
-    /// the epoch in which the task has just completed.
-    pub(super) fn set(&mut self, task: u32, new: TaskState) -> Option<(String, u64)> {
-        let at = task as usize;
-        if at >= self.tasks.len() {
+    /// Applies what a record says of a task. Records may come late or twice: the newest segment's
+    /// entry stays. Returns where the task has just completed.
+    pub(super) fn set(&mut self, task: u32, new: TaskState) -> Option<AllocatedMachine> {
+        let index = task as usize;
+        if index >= self.tasks.len() {
             if task >= MAX_TASKS {
                 return None;
             }
-            self.tasks.resize(at + 1, TaskState::default());
+            self.tasks.resize(index + 1, TaskState::default());
         }
-        let old = &mut self.tasks[at];
-        if new.segment < old.segment {
+        let known = &mut self.tasks[index];
+        if new.segment < known.segment {
             return None;
         }
         self.running = self.running + u32::from(new.allocation.is_some())
-            - u32::from(old.allocation.is_some());
-        self.done = self.done + u32::from(new.done) - u32::from(old.done);
-        let completed = new.done && !old.done;
-        let before = std::mem::replace(old, new);
-        before
-            .allocation
-            .filter(|_| completed)
-            .map(|allocation| *allocation)
+            - u32::from(known.allocation.is_some());
+        self.done = self.done + u32::from(new.done) - u32::from(known.done);
+        let has_completed = new.done && !known.done;
+        let old = std::mem::replace(known, new);
+        let allocation = old.allocation.filter(|_| has_completed);
+        allocation.map(|allocation| *allocation)
     }
 
-    /// The machines and epochs in which tasks are placed.
-    pub(super) fn allocations(&self) -> impl Iterator<Item = &(String, u64)> {
-        self.tasks.iter().filter_map(|t| t.allocation.as_deref())
+    /// Where tasks are placed.
+    pub(super) fn allocations(&self) -> impl Iterator<Item = &AllocatedMachine> {
+        let tasks = self.tasks.iter();
+        tasks.filter_map(|task| task.allocation.as_deref())
     }
 }
 
--- a/crates/saltpitch-core/src/records/returned_machines.rs
+++ b/crates/saltpitch-core/src/records/returned_machines.rs
@@ -5,8 +5,8 @@
 /// The most returned machines whose names are remembered.
 const MAX_RETURNED: usize = 50_000;
 
-/// Names of machines that were returned: late sightings of them mean nothing. Bounded, the oldest
-/// fall out: by then nothing of them can be under way any more.
+/// Names of machines that were returned: late heartbeats and listings of them mean nothing. Bounded: the
+/// oldest fall out, since nothing of them can be in flight any more by then.
 #[derive(Clone, Debug, Default)]
 pub struct ReturnedMachines {
     names: HashSet<String>,
@@ -19,6 +19,7 @@
         self.names.contains(name)
     }
 
+    /// The machine is on record, whatever was known before.
     pub(super) fn remove(&mut self, name: &str) {
         if self.names.remove(name) {
             self.order.retain(|n| n != name);
--- a/crates/saltpitch-core/src/records/stored.rs
+++ b/crates/saltpitch-core/src/records/stored.rs
@@ -8,22 +8,23 @@
 use serde::{Deserialize, Serialize};
 
 use super::delegation::{read_delegation, Delegation, Guest};
-use super::CHUNK;
+use super::TASKS_PER_CHECKPOINT;
 use crate::job::{JobSpec, JobState};
 use crate::time::Micros;
 
-/// The token's counter. Its revision is the condition of every write of a leader.
+/// The term. Its number is the leader's fencing token, and its revision a precondition of every write of
+/// the leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// The token of the present leader; only ever raised.
+    /// The fencing token of the present leader; only ever raised.
     pub term: u64,
     /// The controller that took this term.
     pub node: String,
-    /// The incarnation of its process.
+    /// The incarnation of that controller's process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Time of day from which no leader before this one can answer an agent. It is handed on, so
-    /// that a leader who was cut off is still waited for when two others came after it.
+    /// Time of day from which no leader before this one can answer an agent. Each leader passes it on,
+    /// so that a leader that was partitioned is still waited for when two others came after it.
     #[serde(rename = "quiet", default)]
     pub earlier_leaders_fenced_at: Micros,
 }
@@ -40,7 +41,7 @@
     pub term: u64,
 }
 
-/// Written by each process when it starts, and by a leader that resigns: a newer life proves that
+/// Written by each process when it starts, and by a leader that resigns: a newer incarnation proves that
 /// the older one answers nobody.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeRecord {
@@ -61,14 +62,14 @@
     /// Time of day of the submission.
     #[serde(rename = "t", default)]
     pub submitted: Micros,
-    /// ReturnedMachines once the job is over and none of its tasks is left.
+    /// The job's description; `None` once the job is over and none of its tasks is left.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Arc<JobSpec>>,
-    /// Time of day at which a job was found done, from which the times of jobs that need it count.
+    /// Time of day at which a job was found done, from which the waiting time of its dependents counts.
     /// Left out otherwise; earlier versions don't know the field.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub finished: Option<Micros>,
-    /// The job's hand-over to another cell, the last one if there were several. Boxed like the guest: records
+    /// The job's delegation to another cell, the last one if there were several. Boxed like the guest: records
     /// of jobs that are over stay in memory for ever, and few jobs have either.
     #[serde(
         rename = "x",
@@ -77,7 +78,7 @@
         deserialize_with = "read_delegation"
     )]
     pub delegation: Option<Box<Delegation>>,
-    /// Says for which cell the job is run; `None` for this cell's own jobs.
+    /// The cell that the job is run for; `None` for this cell's own jobs.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub guest: Option<Box<Guest>>,
 }
@@ -96,7 +97,7 @@
     }
 
     /// Leaves out what is of no use any more once the job is cancelled: where it might have run, and
-    /// what it needed.
+    /// what it depended on.
     pub fn shorten(&mut self) {
         if let Some(spec) = &mut self.spec {
             let spec = Arc::make_mut(spec);
@@ -118,79 +119,79 @@
     }
 }
 
-/// Where one task may be.
+/// Where one task may be: its index within the checkpoint, the machine, and the agent's epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllocationRecord(pub u32, pub String, pub u64);
 
-/// The state of up to [`CHUNK`] tasks of a job: a checkpoint of what the log says of them.
+/// The state of up to [`TASKS_PER_CHECKPOINT`] tasks of a job, as the log shows them up to a segment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ChunkRecord {
-    /// The log's segment up to which this holds.
+pub struct CheckpointRecord {
+    /// The last segment of the log that this covers.
     #[serde(rename = "l", default)]
-    pub upto: u64,
+    pub up_to_segment: u64,
     /// Highest attempt used, per task.
     #[serde(rename = "a")]
     pub attempts: Vec<u32>,
     /// Completed tasks, as runs: first task and how many.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<(u32, u32)>,
-    /// (task within the chunk, machine, epoch)
+    /// Where tasks may be.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub allocations: Vec<AllocationRecord>,
 }
 
-impl ChunkRecord {
+impl CheckpointRecord {
     /// Adds a completed task; tasks come in order.
     pub fn add_done(&mut self, task: u32) {
         match self.done.last_mut() {
-            Some((first, n)) if *first + *n == task => *n += 1,
+            Some((first, count)) if *first + *count == task => *count += 1,
             _ => self.done.push((task, 1)),
         }
     }
 
-    /// The completed tasks, by their number within the chunk.
+    /// The completed tasks, by their index within the checkpoint.
     pub fn done_tasks(&self) -> impl Iterator<Item = u32> + '_ {
-        self.done
-            .iter()
-            .flat_map(|(first, n)| *first..first.saturating_add((*n).min(CHUNK)))
+        self.done.iter().flat_map(|(first, count)| {
+            *first..first.saturating_add((*count).min(TASKS_PER_CHECKPOINT))
+        })
     }
 }
 
-/// What became of one task: its number, attempt, machine and epoch (empty: nowhere), and whether
-/// it has completed.
+/// The state of one task: its index, attempt, machine and agent epoch (empty and 0 if it has none), and
+/// whether it has completed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry(pub u32, pub u32, pub String, pub u64, pub u8);
+pub struct SegmentEntry(pub u32, pub u32, pub String, pub u64, pub u8);
 
-impl Entry {
+impl SegmentEntry {
     /// Whether the task has a machine.
     pub fn is_allocated(&self) -> bool {
         !self.2.is_empty()
     }
 }
 
-/// A segment of the log: changes of any number of jobs in one value, since changes of keys are
-/// scarce. Segments are written to a ring of keys; one is overwritten only when checkpoints hold
-/// whatever it said of jobs that are not over.
+/// A segment of the placement log: task states of any number of jobs in one value, since writes are
+/// scarce. Segments are written to a ring of keys; one is overwritten only when checkpoints cover
+/// what it says of jobs that are not over.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LogRecord {
+pub struct SegmentRecord {
     /// Its number; numbers only grow.
     #[serde(rename = "n")]
     pub number: u64,
     /// Entries by job.
     #[serde(rename = "e")]
-    pub entries: Vec<(String, Vec<Entry>)>,
+    pub entries: Vec<(String, Vec<SegmentEntry>)>,
 }
 
-/// One machine of a block: name, address, and whether its return to the cloud is intended (nothing
+/// One machine of a block: its name, its address, whether its return to the cloud is intended (nothing
 /// is placed on it again), and the time of day at which it was rented or first seen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord(pub String, pub String, pub bool, pub Micros);
 
-/// Machines of one type, zone and kind. Thousands of machines come and go while changes are scarce,
-/// so many share a record.
+/// A block of machines of one type in one zone, spot machines apart. Thousands of machines come and go
+/// while writes are scarce, so many share a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BlockRecord {
-    /// Type of its machines.
+pub struct MachineBlockRecord {
+    /// The type of its machines.
     #[serde(rename = "t")]
     pub type_name: String,
     /// Their zone.
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -9,7 +9,7 @@
 use super::{Job, JobTimeline, Scheduler, Task};
 use crate::gang::Gang;
 use crate::job::{JobKind, JobNumber, JobSpec, JobState};
-use crate::records::{Checkpoint, JobEntry, RecordCache, CHUNK};
+use crate::records::{Checkpoint, JobEntry, RecordCache, TASKS_PER_CHECKPOINT};
 use crate::time::Micros;
 
 /// A place that the records show of a task.
@@ -70,10 +70,10 @@
         let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
-        if entry.rev <= job.rev {
+        if entry.revision <= job.rev {
             return;
         }
-        job.rev = entry.rev;
+        job.rev = entry.revision;
         if entry.record.state == JobState::Cancelled {
             self.cancel_if_active(number, now);
         }
@@ -144,7 +144,7 @@
             class,
             team: self.quota.number(&spec.team),
             id: id.into(),
-            rev: entry.rev,
+            rev: entry.revision,
             state: match cancelled {
                 true => JobState::Cancelled,
                 false => entry.record.state,
@@ -165,7 +165,7 @@
             idle: (0..spec.tasks).collect(),
             placed: 0,
             done: 0,
-            checkpoints: vec![Checkpoint::default(); tasks.div_ceil(CHUNK as usize)],
+            checkpoints: vec![Checkpoint::default(); tasks.div_ceil(TASKS_PER_CHECKPOINT as usize)],
             gang: Gang::default(),
             not_before: Micros::ZERO,
             parked_at: Micros::ZERO,
@@ -256,7 +256,7 @@
 
 /// Takes over what the records say of a job's tasks. Returns where they were placed.
 fn restore_tasks(job: &mut Job, id: &str, records: &RecordCache) -> Vec<RecordedAllocation> {
-    for (&index, on_record) in records.chunks.get(id).into_iter().flatten() {
+    for (&index, on_record) in records.checkpoints.get(id).into_iter().flatten() {
         if let Some(checkpoint) = job.checkpoints.get_mut(index as usize) {
             *checkpoint = *on_record;
         }
@@ -273,8 +273,8 @@
         if let Some(allocation) = &recorded.allocation {
             allocations.push(RecordedAllocation {
                 task: number,
-                machine: allocation.0.clone(),
-                agent_epoch: allocation.1,
+                machine: allocation.machine.clone(),
+                agent_epoch: allocation.agent_epoch,
             });
         }
     }
--- a/crates/saltpitch-core/src/scheduler/leader_term.rs
+++ b/crates/saltpitch-core/src/scheduler/leader_term.rs
@@ -28,10 +28,10 @@
         previous_leader_fenced_at: Micros,
         now: Micros,
     ) -> LeaderTerm {
-        let (revision, record) = &records.term;
+        let record = &records.term.value;
         LeaderTerm {
             term: record.term,
-            revision: *revision,
+            revision: records.term.revision,
             first_term: record.term,
             previous_leader_fenced_at,
             elected_at: now,
--- a/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
@@ -6,7 +6,7 @@
 use super::transaction::TransactionBuilder;
 use super::{to_json, Persistence, RecordSources};
 use crate::gang::Gang;
-use crate::records::{chunk_key, job_key, AllocationRecord, ChunkRecord};
+use crate::records::{checkpoint_key, job_key, AllocationRecord, CheckpointRecord};
 use crate::scheduler::{Job, Task};
 
 /// Bytes set aside for a checkpoint's conditions and key.
@@ -96,7 +96,7 @@
         builder: &mut TransactionBuilder,
     ) {
         builder.require(job_key(&job.id), job.rev);
-        let key = chunk_key(&job.id, range.index);
+        let key = checkpoint_key(&job.id, range.index);
         let known_revision = job.checkpoints[range.index as usize].revision;
         builder.require(key.clone(), known_revision);
         builder.write(key, Some(value));
@@ -109,10 +109,10 @@
     }
 }
 
-fn checkpoint_record(tasks: &[Task], gang: Gang, up_to_segment: u64) -> ChunkRecord {
-    let mut record = ChunkRecord {
-        upto: up_to_segment,
-        ..ChunkRecord::default()
+fn checkpoint_record(tasks: &[Task], gang: Gang, up_to_segment: u64) -> CheckpointRecord {
+    let mut record = CheckpointRecord {
+        up_to_segment,
+        ..CheckpointRecord::default()
     };
     for (index, task) in (0..).zip(tasks) {
         record.attempts.push(task.attempt);
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_block_writes.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_block_writes.rs
@@ -3,7 +3,7 @@
 use super::machine_blocks::BlockDraft;
 use super::transaction::TransactionBuilder;
 use super::{to_json, Persistence, RecordSources};
-use crate::records::block_key;
+use crate::records::machine_block_key;
 
 /// Bytes set aside for a block's condition and key.
 const BLOCK_OVERHEAD_BYTES: usize = 200;
@@ -54,8 +54,8 @@
         if value.is_none() {
             self.machine_blocks.close_block(number);
         }
-        builder.require(block_key(number), draft.revision);
-        builder.write(block_key(number), value);
+        builder.require(machine_block_key(number), draft.revision);
+        builder.write(machine_block_key(number), value);
         builder.contents.machine_blocks.push(draft.written);
     }
 
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
@@ -6,7 +6,9 @@
 use super::transaction::{CommittedMachine, WrittenBlock};
 use super::RecordSources;
 use crate::machine::Machine;
-use crate::records::{BlockRecord, MachineRecord, RecordCache, BLOCK};
+use crate::records::{
+    MachineBlockRecord, MachineRecord, RecordCache, Versioned, MACHINES_PER_BLOCK,
+};
 use crate::scheduler::SchedulerConfig;
 use crate::time::Micros;
 
@@ -61,7 +63,8 @@
         }
     }
 
-    fn from_record(revision: u64, record: &BlockRecord) -> Block {
+    fn from_record(on_record: &Versioned<MachineBlockRecord>) -> Block {
+        let record = &on_record.value;
         let names = record.machines.iter().map(|machine| machine.0.as_str());
         let sizes = record
             .machines
@@ -75,20 +78,20 @@
             },
             machines: names.map(Arc::from).collect(),
             bytes: sizes.sum(),
-            revision,
+            revision: on_record.revision,
             successors: Vec::new(),
         }
     }
 
     fn has_room_for(&self, bytes: usize, max_bytes: usize) -> bool {
-        self.machines.len() < BLOCK && self.bytes + bytes <= max_bytes
+        self.machines.len() < MACHINES_PER_BLOCK && self.bytes + bytes <= max_bytes
     }
 }
 
 /// A block's record as it is to be written.
 pub(super) struct BlockDraft {
     /// The record.
-    pub(super) record: BlockRecord,
+    pub(super) record: MachineBlockRecord,
     /// The revision that the block's key has.
     pub(super) revision: u64,
     /// The block and its machines.
@@ -122,7 +125,7 @@
         let last_number = records.machine_blocks.keys().next_back();
         MachineBlocks {
             blocks: on_record
-                .map(|(number, block)| (*number, Block::from_record(block.0, &block.1)))
+                .map(|(number, block)| (*number, Block::from_record(block)))
                 .collect(),
             unfilled: HashMap::new(),
             next_number: last_number.map_or(1, |number| number + 1),
@@ -164,7 +167,7 @@
     pub(super) fn reload(&mut self, records: &RecordCache) {
         for (number, block) in &mut self.blocks {
             let on_record = records.machine_blocks.get(number);
-            block.revision = on_record.map_or(0, |record| record.0);
+            block.revision = on_record.map_or(0, |on_record| on_record.revision);
         }
     }
 
@@ -240,7 +243,7 @@
     /// The block's record as it is to be written; `None` if there is no such block.
     pub(super) fn draft(&self, number: u32, sources: &RecordSources) -> Option<BlockDraft> {
         let block = self.blocks.get(&number)?;
-        let mut record = BlockRecord {
+        let mut record = MachineBlockRecord {
             type_name: block.kind.type_name.clone(),
             zone: block.kind.zone.to_string(),
             spot: block.kind.spot,
--- a/crates/saltpitch-core/src/scheduler/persistence/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/mod.rs
@@ -29,7 +29,7 @@
 use super::{Job, SchedulerConfig};
 use crate::job::{JobNumber, JobSpec};
 use crate::machine::Machine;
-use crate::records::{chunk_key, RecordCache};
+use crate::records::{checkpoint_key, RecordCache};
 use crate::time::Micros;
 use crate::token_bucket::TokenBucket;
 
@@ -178,7 +178,7 @@
         }
         for (index, checkpoint) in (0..).zip(&job.checkpoints) {
             if checkpoint.revision > 0 {
-                self.obsolete_keys.push_back(chunk_key(&job.id, index));
+                self.obsolete_keys.push_back(checkpoint_key(&job.id, index));
             }
         }
     }
--- a/crates/saltpitch-core/src/scheduler/persistence/segments.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/segments.rs
@@ -7,7 +7,7 @@
 use super::{to_json, Persistence, RecordSources};
 use crate::gang::Gang;
 use crate::job::JobNumber;
-use crate::records::{job_key, log_key, Entry, LogRecord};
+use crate::records::{job_key, segment_key, SegmentEntry, SegmentRecord};
 use crate::scheduler::{Allocation, Job, Task};
 
 /// The largest segment.
@@ -21,7 +21,7 @@
 
 /// The entries of one segment, collected within its limits.
 struct SegmentDraft {
-    entries: BTreeMap<JobNumber, Vec<Entry>>,
+    entries: BTreeMap<JobNumber, Vec<SegmentEntry>>,
     bytes: usize,
     max_bytes: usize,
     /// Jobs of which allocations are written, each of which is a precondition.
@@ -91,8 +91,8 @@
         }
         let record = self.segment_record(entries, builder, sources);
         let slot = self.placement_log.next_slot();
-        builder.require(log_key(slot), self.placement_log.slot_revision(slot));
-        builder.write(log_key(slot), to_json(&record));
+        builder.require(segment_key(slot), self.placement_log.slot_revision(slot));
+        builder.write(segment_key(slot), to_json(&record));
         builder.contents.segment_slot = Some(slot);
     }
 
@@ -101,7 +101,7 @@
         &mut self,
         builder: &mut TransactionBuilder,
         sources: &mut RecordSources,
-    ) -> BTreeMap<JobNumber, Vec<Entry>> {
+    ) -> BTreeMap<JobNumber, Vec<SegmentEntry>> {
         let mut draft = SegmentDraft::new(builder, sources.config.max_value_bytes);
         while let Some(key) = self.unsaved_tasks.first() {
             if let Some(job) = sources.jobs.get_mut(&key.job) {
@@ -119,11 +119,11 @@
     /// job that was cancelled meanwhile.
     fn segment_record(
         &self,
-        entries: BTreeMap<JobNumber, Vec<Entry>>,
+        entries: BTreeMap<JobNumber, Vec<SegmentEntry>>,
         builder: &mut TransactionBuilder,
         sources: &RecordSources,
-    ) -> LogRecord {
-        let mut record = LogRecord {
+    ) -> SegmentRecord {
+        let mut record = SegmentRecord {
             number: self.placement_log.next_segment(),
             entries: Vec::with_capacity(entries.len()),
         };
@@ -131,7 +131,7 @@
             let Some(job) = sources.jobs.get(&number) else {
                 continue;
             };
-            if job_entries.iter().any(Entry::is_allocated) {
+            if job_entries.iter().any(SegmentEntry::is_allocated) {
                 builder.require(job_key(&job.id), job.rev);
             }
             record.entries.push((job.id.to_string(), job_entries));
@@ -146,8 +146,8 @@
 }
 
 /// What the log says of a task. Its allocation is part of the transaction from now on.
-pub(super) fn task_entry(index: u32, task: &mut Task, gang: Gang) -> Entry {
-    let mut entry = Entry(index, task.attempt, String::new(), 0, u8::from(task.done));
+pub(super) fn task_entry(index: u32, task: &mut Task, gang: Gang) -> SegmentEntry {
+    let mut entry = SegmentEntry(index, task.attempt, String::new(), 0, u8::from(task.done));
     let allocation = task.allocation.as_mut();
     if let Some(allocation) = allocation.filter(|allocation| is_recordable(allocation, gang)) {
         allocation.in_transaction = true;
--- a/crates/saltpitch-core/src/scheduler/persistence/task_keys.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/task_keys.rs
@@ -3,7 +3,7 @@
 use std::ops::Range;
 
 use crate::job::JobNumber;
-use crate::records::CHUNK;
+use crate::records::TASKS_PER_CHECKPOINT;
 
 /// One task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -24,7 +24,7 @@
     pub(super) fn range(self) -> TaskRange {
         TaskRange {
             job: self.job,
-            index: self.task / CHUNK,
+            index: self.task / TASKS_PER_CHECKPOINT,
         }
     }
 }
@@ -41,8 +41,8 @@
 impl TaskRange {
     /// The tasks of this range if the job has `task_count` tasks.
     pub(super) fn tasks(self, task_count: u32) -> Range<u32> {
-        let first = self.index * CHUNK;
-        first..(first + CHUNK).min(task_count)
+        let first = self.index * TASKS_PER_CHECKPOINT;
+        first..(first + TASKS_PER_CHECKPOINT).min(task_count)
     }
 
     /// The keys of the tasks of this range if the job has `task_count` tasks.
--- a/crates/saltpitch-core/src/scheduler/record_commits.rs
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -81,7 +81,7 @@
             return;
         };
         let id: Arc<str> = job.id.clone();
-        let on_record = records.chunks.get(&*id);
+        let on_record = records.checkpoints.get(&*id);
         for (index, checkpoint) in (0..).zip(&mut job.checkpoints) {
             let found = on_record.and_then(|checkpoints| checkpoints.get(&index));
             *checkpoint = found.copied().unwrap_or_default();
--- a/crates/saltpitch-core/src/scheduler/recovery.rs
+++ b/crates/saltpitch-core/src/scheduler/recovery.rs
@@ -17,7 +17,7 @@
 use crate::catalog::{Catalog, MachineType};
 use crate::machine::Machine;
 use crate::quota::Quota;
-use crate::records::RecordCache;
+use crate::records::{checkpoint_key, RecordCache};
 use crate::time::Micros;
 
 impl Scheduler {
@@ -58,7 +58,8 @@
 
     /// The machines on record, with what the records prove of their caches.
     fn restore_machines(&mut self, records: &RecordCache, now: Micros, wall: Micros) {
-        for (number, (_, block)) in &records.machine_blocks {
+        for (number, block) in &records.machine_blocks {
+            let block = &block.value;
             // A type that is no longer offered still holds what it holds: no room, but evidence.
             let kind = self.catalog.get(&block.type_name).cloned();
             let kind = Arc::new(kind.unwrap_or_else(|| MachineType::unknown(&block.type_name)));
@@ -103,14 +104,14 @@
         let job_table = &mut self.job_table;
         self.persistence
             .restore_log(records, &job_table.by_id, &mut job_table.jobs);
-        let over = records.chunks.iter();
+        let over = records.checkpoints.iter();
         let mut over: Vec<_> = over
             .filter(|(id, _)| !self.job_table.by_id.contains_key(id.as_str()))
             .collect();
         // A hash map's order differs from process to process: the same history must give the same writes.
         over.sort_unstable_by_key(|(id, _)| *id);
-        for (id, chunks) in over {
-            let keys = chunks.keys().map(|c| crate::records::chunk_key(id, *c));
+        for (id, checkpoints) in over {
+            let keys = checkpoints.keys().map(|index| checkpoint_key(id, *index));
             self.persistence.delete_keys(keys);
         }
     }
--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -48,7 +48,7 @@
     for (key, value) in stored {
         records.put(key, &raw(value), 1).expect("readable");
     }
-    records.rev = 1;
+    records.revision = 1;
     controller
         .replace_records(records, START, START)
         .expect("the present layout");
@@ -231,7 +231,7 @@
     };
     controller.apply_changes(1, [change], 2, START, START);
     assert!(!controller.records().jobs.contains_key("job-000009"));
-    assert_eq!(controller.records().rev, 2);
+    assert_eq!(controller.records().revision, 2);
     let notices = controller.take_notices();
     assert!(
         matches!(&notices[..], [Notice::UnreadableRecord { key, .. }] if key == "salt/j/job-000009"),
@@ -384,15 +384,19 @@
                 history.change(&mut draw);
             }
         }
-        records.rev = first_page;
+        records.revision = first_page;
         let mut late = controller(&[]);
         late.replace_records(records, START, START)
             .expect("the present layout");
-        let from = late.records().rev;
+        let from = late.records().revision;
         late.apply_changes(from, history.since(from), history.revision(), START, START);
-        let from = follower.records().rev;
+        let from = follower.records().revision;
         follower.apply_changes(from, history.since(from), history.revision(), START, START);
-        assert_eq!(late.records().rev, follower.records().rev, "seed {seed}");
+        assert_eq!(
+            late.records().revision,
+            follower.records().revision,
+            "seed {seed}"
+        );
         assert_eq!(
             summary(late.records()),
             summary(follower.records()),
--- a/crates/saltpitch-core/tests/directed.rs
+++ b/crates/saltpitch-core/tests/directed.rs
@@ -33,13 +33,13 @@
 fn a_silent_machine_is_given_up_only_after_the_old_leaders_bound() {
     let build = |records: &mut RecordCache| {
         let m = MachineRecord("vm-1".to_owned(), String::new(), false, secs(500));
-        let block = BlockRecord {
+        let block = MachineBlockRecord {
             type_name: "plain".to_owned(),
             zone: "east".to_owned(),
             spot: false,
             machines: vec![m],
         };
-        put(records, &block_key(1), &block, 2);
+        put(records, &machine_block_key(1), &block, 2);
         put_placed(records, "vm-1");
     };
     let bound = secs(1_020);
@@ -495,25 +495,25 @@
             let addr = "10.1.0.100:9000".to_owned();
             MachineRecord((*name).to_owned(), addr, false, secs(900))
         };
-        let block = BlockRecord {
+        let block = MachineBlockRecord {
             type_name: "plain".to_owned(),
             zone: "east".to_owned(),
             spot: false,
             machines: names.iter().map(machine).collect(),
         };
-        put(records, &block_key(1), &block, 2);
+        put(records, &machine_block_key(1), &block, 2);
         let mut warm = spec(JobKind::Array, 2, 1);
         warm.image = "warm".to_owned();
         let record = JobRecord::accepted(secs(900), Arc::new(warm));
         put(records, &job_key("job-1"), &record, 3);
-        let placed = Entry(0, 1, "vm-000002".to_owned(), 1, 0);
-        let segment = |no, entry| LogRecord {
+        let placed = SegmentEntry(0, 1, "vm-000002".to_owned(), 1, 0);
+        let segment = |no, entry| SegmentRecord {
             number: no,
             entries: vec![("job-1".to_owned(), vec![entry])],
         };
-        put(records, &log_key(1), &segment(1, placed), 4);
-        let completed = Entry(0, 1, String::new(), 0, u8::from(done));
-        put(records, &log_key(2), &segment(2, completed), 5);
+        put(records, &segment_key(1), &segment(1, placed), 4);
+        let completed = SegmentEntry(0, 1, String::new(), 0, u8::from(done));
+        put(records, &segment_key(2), &segment(2, completed), 5);
         let over = JobRecord::over(JobState::Done, None);
         put(records, &job_key("job-1"), &over, 6);
     };
--- a/crates/saltpitch-core/tests/frame_samples.rs
+++ b/crates/saltpitch-core/tests/frame_samples.rs
@@ -60,7 +60,7 @@
             },
         }),
         ack: Some(CancellationAck {
-            upto: AckCursor {
+            next: AckCursor {
                 process: 6,
                 entries: 1,
             },
@@ -74,7 +74,7 @@
 fn status_with_page() -> PeerStatus {
     PeerStatus {
         ack: Some(CancellationAck {
-            upto: AckCursor {
+            next: AckCursor {
                 process: 6,
                 entries: 1_000,
             },
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -15,8 +15,9 @@
 pub use saltpitch_core::policy::Policy;
 pub use saltpitch_core::quota::TeamLimits;
 pub use saltpitch_core::records::{
-    block_key, chunk_key, job_key, log_key, AllocationRecord, BlockRecord, ChunkRecord, Entry,
-    JobRecord, LogRecord, MachineRecord, RecordCache, TermRecord, TERM_KEY,
+    checkpoint_key, job_key, machine_block_key, segment_key, AllocationRecord, CheckpointRecord,
+    JobRecord, MachineBlockRecord, MachineRecord, RecordCache, SegmentEntry, SegmentRecord,
+    TermRecord, TERM_KEY,
 };
 pub use saltpitch_core::scheduler::{
     CommandOutcome, Effect, Objective, ObjectiveTarget, ScaleOutOutcome, Scheduler,
@@ -119,13 +120,13 @@
 pub fn put_placed(records: &mut RecordCache, machine: &str) {
     let rec = JobRecord::accepted(secs(900), Arc::new(spec(JobKind::Array, 1, 2)));
     put(records, &job_key("job-1"), &rec, 3);
-    let chunk = ChunkRecord {
-        upto: 0,
+    let chunk = CheckpointRecord {
+        up_to_segment: 0,
         attempts: vec![1],
         done: Vec::new(),
         allocations: vec![AllocationRecord(0, machine.to_owned(), 1)],
     };
-    put(records, &chunk_key("job-1", 0), &chunk, 4);
+    put(records, &checkpoint_key("job-1", 0), &chunk, 4);
 }
 
 /// A leader with a store that takes every write at once.
@@ -184,7 +185,7 @@
         };
         put(&mut records, TERM_KEY, &term, 1);
         build(&mut records);
-        records.rev = 10;
+        records.revision = 10;
         let now = secs(1_000);
         let scheduler = Scheduler::new(config, &records, catalog, old_silent_at, now, now);
         SchedulerHarness {
@@ -218,7 +219,7 @@
                 }
             }
         }
-        self.records.rev = self.rev;
+        self.records.revision = self.rev;
     }
 
     fn grant(&mut self, request: &str, zone: &str, count: u32) {
--- a/crates/saltpitch-core/tests/job_failures.rs
+++ b/crates/saltpitch-core/tests/job_failures.rs
@@ -184,13 +184,13 @@
     let recorded = |records: &mut RecordCache| {
         let job = JobRecord::accepted(secs(900), std::sync::Arc::new(spec(JobKind::Array, 100, 2)));
         put(records, &job_key("bad"), &job, 3);
-        let chunk = ChunkRecord {
-            upto: 0,
+        let chunk = CheckpointRecord {
+            up_to_segment: 0,
             attempts: vec![5; 32],
             done: Vec::new(),
             allocations: Vec::new(),
         };
-        put(records, &chunk_key("bad", 0), &chunk, 4);
+        put(records, &checkpoint_key("bad", 0), &chunk, 4);
     };
     let mut site = Site::new(
         SchedulerHarness::with(patient(), recorded, secs(0)),
--- a/crates/saltpitch-core/tests/limits.rs
+++ b/crates/saltpitch-core/tests/limits.rs
@@ -11,7 +11,8 @@
 use saltpitch_core::catalog::{Catalog, Resources};
 use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::records::{
-    block_key, job_key, BlockRecord, JobRecord, MachineRecord, RecordCache, TermRecord, TERM_KEY,
+    job_key, machine_block_key, JobRecord, MachineBlockRecord, MachineRecord, RecordCache,
+    TermRecord, TERM_KEY,
 };
 use saltpitch_core::scheduler::{
     Alert, CommandOutcome, Effect, ListedMachine, Precondition, Scheduler, SchedulerConfig,
@@ -107,7 +108,7 @@
             let raw = RawValue::from_string(value.clone()).expect("json");
             records.put(key, &raw, 1).expect("readable");
         }
-        records.rev = 1;
+        records.revision = 1;
         let now = secs(1_000);
         let scheduler = Scheduler::new(config, &records, catalog(), secs(0), now, now);
         LimitedStore {
@@ -247,7 +248,7 @@
         .iter()
         .map(|n| MachineRecord(n.clone(), "10.1.0.100:9000".to_owned(), false, secs(900)))
         .collect();
-    let block = BlockRecord {
+    let block = MachineBlockRecord {
         type_name: "plain".to_owned(),
         zone: "east".to_owned(),
         spot: false,
@@ -255,14 +256,14 @@
     };
     let value = serde_json::to_string(&block).expect("json");
     assert!(value.len() > 2 * VALUE);
-    let mut d = LimitedStore::new(&[(block_key(1), value)]);
+    let mut d = LimitedStore::new(&[(machine_block_key(1), value)]);
     // All of them are wanted, one has failed.
     d.submit("job-1", spec(480));
     let failed = names[7].clone();
     let there = |d: &LimitedStore| {
         for n in names.iter().filter(|n| **n != failed) {
             let machine_blocks = d.records.machine_blocks.values();
-            let holding = machine_blocks.filter(|b| b.1.machines.iter().any(|m| m.0 == *n));
+            let holding = machine_blocks.filter(|b| b.value.machines.iter().any(|m| m.0 == *n));
             assert!(holding.count() >= 1, "{n} is not on record");
             assert!(
                 !d.records.returned_machines.contains(n),
--- a/crates/saltpitch-core/tests/record_samples.rs
+++ b/crates/saltpitch-core/tests/record_samples.rs
@@ -6,9 +6,9 @@
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
 use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::records::{
-    block_key, chunk_key, job_key, log_key, node_key, AllocationRecord, BlockRecord, ChunkRecord,
-    Entry, JobRecord, LeaderRecord, LogRecord, MachineRecord, NodeRecord, RecordCache, TermRecord,
-    CATALOG_KEY, LEADER_KEY, TERM_KEY,
+    checkpoint_key, job_key, machine_block_key, node_key, segment_key, AllocationRecord,
+    CheckpointRecord, JobRecord, LeaderRecord, MachineBlockRecord, MachineRecord, NodeRecord,
+    RecordCache, SegmentEntry, SegmentRecord, TermRecord, CATALOG_KEY, LEADER_KEY, TERM_KEY,
 };
 use saltpitch_core::Micros;
 use serde::Serialize;
@@ -101,8 +101,8 @@
     MachineRecord(name, format!("10.1.0.{number}:9000"), returning, TIME)
 }
 
-fn block(machines: Vec<MachineRecord>) -> BlockRecord {
-    BlockRecord {
+fn block(machines: Vec<MachineRecord>) -> MachineBlockRecord {
+    MachineBlockRecord {
         type_name: "g8".to_owned(),
         zone: "east".to_owned(),
         spot: true,
@@ -147,29 +147,29 @@
     };
     let mut shortened = cancelled.clone();
     shortened.shorten();
-    let segment = LogRecord {
+    let segment = SegmentRecord {
         number: 2_055,
         entries: vec![
             (
                 "job-000001".to_owned(),
                 vec![
-                    Entry(0, 1, "vm-000001".to_owned(), 1, 0),
-                    Entry(1, 2, String::new(), 0, 0),
+                    SegmentEntry(0, 1, "vm-000001".to_owned(), 1, 0),
+                    SegmentEntry(1, 2, String::new(), 0, 0),
                 ],
             ),
             (
                 "job-000008".to_owned(),
-                vec![Entry(3, 1, String::new(), 0, 1)],
+                vec![SegmentEntry(3, 1, String::new(), 0, 1)],
             ),
         ],
     };
-    let placed = ChunkRecord {
-        upto: 2_056,
+    let placed = CheckpointRecord {
+        up_to_segment: 2_056,
         attempts: vec![1, 2],
         done: Vec::new(),
         allocations: vec![AllocationRecord(1, "vm-000002".to_owned(), 3)],
     };
-    let mut completed = ChunkRecord {
+    let mut completed = CheckpointRecord {
         attempts: vec![1; 5],
         allocations: Vec::new(),
         ..placed.clone()
@@ -207,14 +207,14 @@
             job_key("job-000003"),
             &JobRecord::over(JobState::Cancelled, None),
         ),
-        row(log_key(7), &segment),
-        row(chunk_key("job-000001", 0), &placed),
-        row(chunk_key("job-000008", 1), &completed),
+        row(segment_key(7), &segment),
+        row(checkpoint_key("job-000001", 0), &placed),
+        row(checkpoint_key("job-000008", 1), &completed),
         row(
-            block_key(1),
+            machine_block_key(1),
             &block(vec![machine(1, false), machine(2, true)]),
         ),
-        row(block_key(2), &block(vec![machine(3, false)])),
+        row(machine_block_key(2), &block(vec![machine(3, false)])),
     ]
 }
 
@@ -243,15 +243,18 @@
     let records = view_of(&samples(PRODUCTION));
     assert_eq!(
         (
-            records.term.1.term,
-            records.term.1.earlier_leaders_fenced_at
+            records.term.value.term,
+            records.term.value.earlier_leaders_fenced_at
         ),
         (4, TIME)
     );
-    assert_eq!(records.leader.as_ref().map(|l| l.1.incarnation), Some(9));
+    assert_eq!(
+        records.leader.as_ref().map(|l| l.value.incarnation),
+        Some(9)
+    );
     assert_eq!(records.incarnation_of("n1"), 9);
     assert_eq!(
-        records.catalog.as_ref().map(|c| c.1.types[0].boot),
+        records.catalog.as_ref().map(|c| c.value.types[0].boot),
         Some(Micros::from_secs(45))
     );
     let spec = |id: &str| records.jobs[id].record.spec.as_deref().cloned();
@@ -269,16 +272,19 @@
     assert_eq!(records.counts("job-000008"), (0, 5));
     assert_eq!(records.last_segment, 2_056);
     assert!(
-        records.machine_blocks[&1].1.machines[1].2,
+        records.machine_blocks[&1].value.machines[1].2,
         "its return is intended"
     );
-    assert_eq!(records.machine_blocks[&2].1.machines[0], machine(3, false));
+    assert_eq!(
+        records.machine_blocks[&2].value.machines[0],
+        machine(3, false)
+    );
 }
 
 #[test]
 fn records_from_before_pipelines_are_read() {
     let records = view_of(&samples(BEFORE_PIPELINES));
-    assert_eq!(records.term.1.term, 4);
+    assert_eq!(records.term.value.term, 4);
     assert_eq!(records.incarnation_of("n1"), 9);
     let job = &records.jobs["job-000001"].record;
     assert_eq!(job.spec.as_deref(), Some(&gang_spec()));
@@ -289,7 +295,7 @@
         (1, 0),
         "the checkpoint is the newer one"
     );
-    assert_eq!(records.machine_blocks[&1].1.machines[0].0, "vm-000001");
+    assert_eq!(records.machine_blocks[&1].value.machines[0].0, "vm-000001");
 }
 
 /// Where nothing new is used, what is written is what the version before pipelines wrote, to the byte.
@@ -347,7 +353,10 @@
     records.put("salt/l/1", &raw(older), 6).expect("read");
     let task = &records.tasks["job-000001"].tasks[0];
     assert_eq!(task.attempt, 2);
-    assert_eq!(task.allocation.as_ref().map(|p| &*p.0), Some("vm-000002"));
+    assert_eq!(
+        task.allocation.as_ref().map(|p| &*p.machine),
+        Some("vm-000002")
+    );
     assert_eq!(records.last_segment, 16);
 }
 
--- a/crates/saltpitch-testkit/src/invariants.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -133,7 +133,8 @@
 /// A job that needs a cancelled one is told to be withdrawn by every node that can read the records.
 fn orphaned(w: &Simulation, id: &str, at: Micros) -> Result<(), String> {
     for n in &w.nodes {
-        let able = n.is_up(w.now) && n.controller.is_synced() && n.records().rev == w.store.rev;
+        let able =
+            n.is_up(w.now) && n.controller.is_synced() && n.records().revision == w.store.rev;
         if able && n.records().state(id) != Some(JobState::Cancelled) {
             return Err(format!("orphaned: {id} by {}", n.name));
         }
--- a/crates/saltpitch-testkit/src/nodes.rs
+++ b/crates/saltpitch-testkit/src/nodes.rs
@@ -223,7 +223,7 @@
             let _ = self.controller.replace_records(records, now, now);
             return;
         }
-        let from = self.records().rev;
+        let from = self.records().revision;
         let changes = store
             .changes(from)
             .map(|(revision, key, value)| RecordChange {
@@ -323,6 +323,6 @@
         };
         let _ = records.put(key, &value, entry.rev);
     }
-    records.rev = store.rev;
+    records.revision = store.rev;
     records
 }
--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -164,7 +164,7 @@
     let key = job_key(job);
     let record = taken_back(entry, cell)?;
     let transaction = Transaction {
-        preconditions: vec![Precondition::new(key.clone(), entry.rev)],
+        preconditions: vec![Precondition::new(key.clone(), entry.revision)],
         writes: vec![Write {
             key,
             value: serde_json::to_string(&record).ok(),
--- a/crates/saltpitch/src/record_sync.rs
+++ b/crates/saltpitch/src/record_sync.rs
@@ -70,7 +70,7 @@
 
 /// Waits for changes once and applies them. `failures` counts the watches in a row that failed.
 async fn watch_once(node: &Node, failures: &mut u32) {
-    let from = node.controller().records().rev;
+    let from = node.controller().records().revision;
     match node.store.watch(from, WATCH_WAIT).await {
         WatchOutcome::Changes(changes) => {
             *failures = 0;
@@ -117,7 +117,7 @@
     let Some(revision) = node.store.list(take).await else {
         return false;
     };
-    records.rev = revision;
+    records.revision = revision;
     let (now, wall) = (node.now(), node.clock.wall());
     let replaced = node.controller().replace_records(records, now, wall);
     if let Err(error) = replaced {
@@ -163,7 +163,7 @@
 async fn read_latest_changes(node: &Node) -> bool {
     let (synced, from) = {
         let controller = node.controller();
-        (controller.is_synced(), controller.records().rev)
+        (controller.is_synced(), controller.records().revision)
     };
     if !synced {
         return false;
--- a/crates/saltpitch/src/users.rs
+++ b/crates/saltpitch/src/users.rs
@@ -197,7 +197,7 @@
         };
         let key = job_key(id);
         let value = self.encode_cancelled(record).ok_or(Unavailable)?;
-        let transaction = conditional_write(&key, &value, entry.rev);
+        let transaction = conditional_write(&key, &value, entry.revision);
         let outcome = self.store.commit(&transaction, CANCEL_TIMEOUT).await;
         let TransactionOutcome::Committed(revision) = outcome else {
             return Ok(Cancellation::Ended(outcome));
