--- a/crates/saltpitch-core/src/machine/inbound_partition.rs
+++ b/crates/saltpitch-core/src/machine/inbound_partition.rs
@@ -9,6 +9,18 @@
 /// So many signs in a row are taken for a partition: any one answer or call may be lost.
 const SIGNS: u32 = 2;
 
+/// What one heartbeat shows of the answers to earlier ones.
+#[derive(Clone, Copy, Debug)]
+pub struct HeartbeatSigns {
+    /// The heartbeat's place among the statuses of its epoch.
+    pub sequence: u64,
+    /// The highest fencing token that the agent has seen.
+    pub fencing_token: u64,
+    /// It is the next that the agent sent after one that was answered here; without that answer it would
+    /// have tried another controller.
+    pub follows_answer: bool,
+}
+
 /// A fencing token that an answer carried.
 #[derive(Clone, Copy, Debug)]
 struct AnsweredToken {
@@ -37,30 +49,28 @@
 }
 
 impl InboundPartition {
-    /// An answer with this token was sent to the heartbeat `sequence`, which showed the fencing token `observed`.
-    pub fn answered_with(&mut self, fencing_token: u64, observed: u64, sequence: u64) {
+    /// The heartbeat is answered with this fencing token.
+    pub fn answered_with(&mut self, fencing_token: u64, heartbeat: HeartbeatSigns) {
         let is_higher = |answered: AnsweredToken| answered.fencing_token < fencing_token;
-        if observed < fencing_token && self.unseen_token.is_none_or(is_higher) {
+        let is_news = heartbeat.fencing_token < fencing_token;
+        if is_news && self.unseen_token.is_none_or(is_higher) {
             self.unseen_token = Some(AnsweredToken {
                 fencing_token,
-                sequence,
+                sequence: heartbeat.sequence,
             });
         }
     }
 
-    /// What a heartbeat shows of the answers to earlier ones. `follows_answer`: it is the next that the agent
-    /// sent after one that was answered here; without that answer it would have tried another controller.
+    /// A heartbeat arrived.
     pub fn heartbeat_received(
         &mut self,
-        fencing_token: u64,
-        sequence: u64,
-        follows_answer: bool,
+        heartbeat: HeartbeatSigns,
         heartbeat_freshness: Micros,
         now: Micros,
     ) {
-        let earlier = |answered: &AnsweredToken| answered.sequence < sequence;
+        let earlier = |answered: &AnsweredToken| answered.sequence < heartbeat.sequence;
         if let Some(answered) = self.unseen_token.filter(earlier) {
-            if fencing_token >= answered.fencing_token {
+            if heartbeat.fencing_token >= answered.fencing_token {
                 self.unseen_token = None;
                 self.ignored_answers = 0;
                 self.answer_seen_at = Some(now);
@@ -68,7 +78,7 @@
                 self.ignored_answers += 1;
             }
         }
-        if follows_answer {
+        if heartbeat.follows_answer {
             self.answer_seen_at = Some(now);
         }
         self.reassess(heartbeat_freshness, now);
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -7,7 +7,7 @@
 
 use super::{Job, ObservedState, Scheduler};
 use crate::catalog::Resources;
-use crate::job::{JobKind, JobNumber, JobSpec};
+use crate::job::{JobKind, JobSpec};
 use crate::machine::Machine;
 use crate::time::Micros;
 
@@ -90,17 +90,6 @@
             self.stop(number, task, save.plus(SAVE_MARGIN), now);
         }
     }
-
-    /// Closes a machine to new tasks. Returns the tasks that are placed there.
-    pub(super) fn cordon(&mut self, name: &Arc<str>) -> Vec<(JobNumber, u32)> {
-        let Some(machine) = self.inventory.get_mut(name) else {
-            return Vec::new();
-        };
-        machine.cordon.close();
-        let tasks = machine.allocations.to_vec();
-        self.inventory.update(name);
-        tasks
-    }
 }
 
 /// Whether a task without accelerators runs and can be stopped without loss.
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -11,7 +11,7 @@
 use super::{Allocation, ObservedState, Scheduler};
 use crate::agent::{Command, Heartbeat, TaskState, TaskStatus};
 use crate::job::{JobNumber, JobSpec};
-use crate::machine::{Machine, StatusChanges, StatusContext};
+use crate::machine::{HeartbeatSigns, Machine, StatusChanges, StatusContext};
 use crate::time::Micros;
 
 /// How long the record of a new address may wait: only a later leader needs it, and the cloud's list has it
@@ -80,32 +80,41 @@
         check_answerable(machine, &heartbeat)?;
         machine.lease.renew(now);
         machine.connectivity.heartbeat_received();
-        let follows_answer = self.config.nodes > 1 && machine.agent.follows_answer(&heartbeat);
+        let signs = HeartbeatSigns {
+            sequence: heartbeat.sequence,
+            fencing_token: heartbeat.fencing_token,
+            follows_answer: self.config.nodes > 1 && machine.agent.follows_answer(&heartbeat),
+        };
         self.inventory.heartbeat_received(now);
-        let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
-        let observed_token = heartbeat.fencing_token;
+        let agent_epoch = heartbeat.agent_epoch;
         self.apply_status(&name, heartbeat, true, now);
+        self.note_answer(&name, agent_epoch, signs, now)?;
+        let commands = self.commands_for(&name, Some(signs.sequence));
+        self.dispatch.heartbeat_answered(&name);
+        Ok(commands)
+    }
+
+    /// The heartbeat was taken in whole and is answered, unless its epoch turned out to be over.
+    fn note_answer(
+        &mut self,
+        name: &Arc<str>,
+        agent_epoch: u64,
+        signs: HeartbeatSigns,
+        now: Micros,
+    ) -> Result<(), HeartbeatRejection> {
         let heartbeat_freshness = self.heartbeat_freshness();
-        let Some(machine) = self.inventory.get_mut(&name) else {
+        let Some(machine) = self.inventory.get_mut(name) else {
             return Err(HeartbeatRejection::Returned);
         };
         if agent_epoch < machine.agent.epoch() {
             return Err(HeartbeatRejection::OldSession);
         }
         let inbound = &mut machine.connectivity.inbound;
-        inbound.heartbeat_received(
-            observed_token,
-            sequence,
-            follows_answer,
-            heartbeat_freshness,
-            now,
-        );
-        inbound.answered_with(self.leader_term.term, observed_token, sequence);
-        machine.agent.heartbeat_answered(sequence);
-        self.inventory.update(&name);
-        let commands = self.commands_for(&name, Some(sequence));
-        self.dispatch.heartbeat_answered(&name);
-        Ok(commands)
+        inbound.heartbeat_received(signs, heartbeat_freshness, now);
+        inbound.answered_with(self.leader_term.term, signs);
+        machine.agent.heartbeat_answered(signs.sequence);
+        self.inventory.update(name);
+        Ok(())
     }
 
     /// The machine that this heartbeat is from, which becomes known if it was not.
--- a/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
+++ b/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
@@ -1,4 +1,4 @@
-//! Emptying a machine that is to be taken away, and stopping whole gangs.
+//! Emptying a machine that is to be taken away or returned, and stopping whole gangs.
 
 use std::sync::Arc;
 
@@ -48,6 +48,17 @@
         }
     }
 
+    /// Closes a machine to new tasks. Returns the tasks that are placed there.
+    pub(super) fn cordon(&mut self, name: &Arc<str>) -> Vec<(JobNumber, u32)> {
+        let Some(machine) = self.inventory.get_mut(name) else {
+            return Vec::new();
+        };
+        machine.cordon.close();
+        let tasks = machine.allocations.to_vec();
+        self.inventory.update(name);
+        tasks
+    }
+
     /// Stops a whole gang, all members at once.
     pub(super) fn stop_whole_gang(&mut self, number: JobNumber, grace: Micros, now: Micros) {
         if let Some(job) = self.job_table.get_mut(number) {
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -145,7 +145,7 @@
     /// The cloud answers, and gives whatever it is asked for.
     pub cloud_answers: bool,
     /// The machines that it gave.
-    pub command_ended: Vec<OrderedMachine>,
+    pub ordered_machines: Vec<OrderedMachine>,
 }
 
 /// A machine that the cloud gave.
@@ -199,7 +199,7 @@
             rented: 0,
             asked: Vec::new(),
             cloud_answers: false,
-            command_ended: Vec::new(),
+            ordered_machines: Vec::new(),
         }
     }
 
@@ -224,9 +224,9 @@
     fn grant(&mut self, request: &str, zone: &str, count: u32) {
         let mut names = Vec::new();
         for _ in 0..count {
-            let name = format!("vm-r{:04}", self.command_ended.len());
+            let name = format!("vm-r{:04}", self.ordered_machines.len());
             names.push(name.clone());
-            self.command_ended.push(OrderedMachine {
+            self.ordered_machines.push(OrderedMachine {
                 name,
                 zone: zone.to_owned(),
                 at: self.now,
--- a/crates/saltpitch-core/tests/provisioning_times.rs
+++ b/crates/saltpitch-core/tests/provisioning_times.rs
@@ -34,7 +34,7 @@
             for (number, machine) in self
                 .site
                 .harness
-                .command_ended
+                .ordered_machines
                 .clone()
                 .into_iter()
                 .enumerate()
@@ -48,12 +48,12 @@
         }
     }
 
-    fn command_ended(&self) -> usize {
-        self.site.harness.command_ended.len()
+    fn ordered_machines(&self) -> usize {
+        self.site.harness.ordered_machines.len()
     }
 
     fn ordered_in(&self, zone: &str) -> usize {
-        let all = self.site.harness.command_ended.iter();
+        let all = self.site.harness.ordered_machines.iter();
         all.filter(|m| m.zone == zone).count()
     }
 }
@@ -75,16 +75,16 @@
     let all_but_one: Boots = |machine, _| (machine != 3).then_some(BOOT);
     cloud.seconds(14, all_but_one);
     // Found with this test: those that had just come up were ordered once more.
-    assert_eq!(cloud.command_ended(), 10);
+    assert_eq!(cloud.ordered_machines(), 10);
     cloud.seconds(10, all_but_one);
-    assert_eq!(cloud.command_ended(), 11, "ordered again");
+    assert_eq!(cloud.ordered_machines(), 11, "ordered again");
     cloud.seconds(16, all_but_one);
-    let lost = cloud.site.harness.command_ended[3].name.clone();
+    let lost = cloud.site.harness.ordered_machines[3].name.clone();
     assert!(
         cloud.site.harness.returns.contains(&lost),
         "it costs no more"
     );
-    assert_eq!(cloud.command_ended(), 11, "once");
+    assert_eq!(cloud.ordered_machines(), 11, "once");
 }
 
 /// In one zone nothing boots: after the first machines there are overdue, commands go elsewhere but for
@@ -114,7 +114,7 @@
     cloud.site.harness.submit("web", replicas(10));
     let late: Boots = |_, _| Some(3 * BOOT);
     cloud.seconds(36, late);
-    let first: Vec<String> = cloud.site.harness.command_ended[..10]
+    let first: Vec<String> = cloud.site.harness.ordered_machines[..10]
         .iter()
         .map(|m| m.name.clone())
         .collect();
@@ -126,7 +126,11 @@
         .iter()
         .all(|name| !first.contains(name)));
     // What was ordered twice meanwhile is bounded.
-    assert!(cloud.command_ended() <= 24, "{}", cloud.command_ended());
+    assert!(
+        cloud.ordered_machines() <= 24,
+        "{}",
+        cloud.ordered_machines()
+    );
 }
 
 /// A machine that comes up after it was given up is not used and not forgotten: its return is repeated
@@ -137,7 +141,7 @@
     cloud.site.harness.submit("web", replicas(6));
     let one_very_late: Boots = |machine, _| Some(if machine == 2 { 33 } else { BOOT });
     cloud.seconds(30, one_very_late);
-    let late = cloud.site.harness.command_ended[2].clone();
+    let late = cloud.site.harness.ordered_machines[2].clone();
     cloud.seconds(40, one_very_late);
     let heartbeat = heartbeat(&late.name, &late.zone, 1_000, &[]);
     let answer = cloud
@@ -161,7 +165,7 @@
     let silent_second = |cloud: &mut Cloud| {
         cloud.site.harness.pass(secs(1));
         let now = cloud.site.harness.now;
-        for machine in cloud.site.harness.command_ended.clone() {
+        for machine in cloud.site.harness.ordered_machines.clone() {
             cloud
                 .site
                 .harness
@@ -200,5 +204,5 @@
     };
     cloud.site.harness.submit("web", job);
     cloud.seconds(9, |_, _| None);
-    assert_eq!(cloud.command_ended(), 1_000);
+    assert_eq!(cloud.ordered_machines(), 1_000);
 }
