--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -1,16 +1,10 @@
-//! Heartbeats and answers to direct calls: the status of an agent is compared with what is in memory, which
-//! shows where tasks are and which of them are proven gone.
+//! Heartbeats and answers to direct calls: what the status of an agent changes in what is known of its
+//! machine, and whether a heartbeat is answered.
 
-use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::dispatch::Dispatch;
-use super::inventory::MachineInventory;
-use super::job_table::JobTable;
-use super::task_exits::EndedTask;
-use super::{Allocation, ObservedState, Scheduler};
-use crate::agent::{Command, Heartbeat, TaskState, TaskStatus};
-use crate::job::{JobNumber, JobSpec};
+use super::Scheduler;
+use crate::agent::{Command, Heartbeat};
 use crate::machine::{HeartbeatSigns, Machine, StatusChanges, StatusContext};
 use crate::time::Micros;
 
@@ -36,28 +30,6 @@
     Repeated,
 }
 
-/// What a status shows of a machine's tasks.
-#[derive(Default)]
-struct TaskFindings {
-    /// Allocations that the agent lists.
-    listed: BTreeSet<(JobNumber, u32)>,
-    /// Tasks that the agent lists without an allocation, and those that exited.
-    unowned: Vec<TaskStatus>,
-    /// Tasks that are proven to be off the machine.
-    ended: Vec<EndedTask>,
-    /// Jobs whose image the machine must have.
-    image_users: BTreeMap<JobNumber, Arc<JobSpec>>,
-}
-
-/// Where a status stands among the agent's statuses.
-#[derive(Clone, Copy)]
-struct StatusOrder {
-    agent_epoch: u64,
-    sequence: u64,
-    /// Whether the status came in a heartbeat, not in an answer to a direct call.
-    is_heartbeat: bool,
-}
-
 impl Scheduler {
     /// An agent's heartbeat. The answer is the commands to send back. `is_returned`: the records say that the
     /// machine was returned.
@@ -239,32 +211,6 @@
         };
         self.persistence.machine_changed(machine, due);
     }
-
-    /// Compares the tasks that an agent lists with the machine's allocations.
-    fn reconcile_tasks(
-        &mut self,
-        name: &Arc<str>,
-        status: Heartbeat,
-        is_heartbeat: bool,
-        now: Micros,
-    ) {
-        let Some(machine) = self.inventory.get(name) else {
-            return;
-        };
-        self.steps += 1;
-        let order = StatusOrder {
-            agent_epoch: status.agent_epoch,
-            sequence: status.sequence,
-            is_heartbeat,
-        };
-        let mut findings = TaskFindings::default();
-        findings.take_listed_tasks(machine, status, &mut self.job_table, now);
-        findings.take_allocations(machine, order, &self.job_table);
-        findings.update_machine(name, &mut self.inventory, &mut self.dispatch, now);
-        for ended in findings.ended {
-            self.task_exited(ended, name, now);
-        }
-    }
 }
 
 /// Whether the heartbeat may be answered, which renews the agent's lease.
@@ -284,149 +230,3 @@
     }
     Ok(())
 }
-
-impl TaskFindings {
-    /// Goes through the tasks that the agent lists.
-    fn take_listed_tasks(
-        &mut self,
-        machine: &Machine,
-        status: Heartbeat,
-        job_table: &mut JobTable,
-        now: Micros,
-    ) {
-        // Tasks of a job stand together in a heartbeat: one look-up serves all of them.
-        let mut last: Option<(String, JobNumber)> = None;
-        for task in status.tasks {
-            let number = match &last {
-                Some((id, number)) if *id == task.job => Some(*number),
-                _ => job_table.number_of(&task.job),
-            };
-            let number = number.filter(|number| machine.allocations.contains(*number, task.task));
-            let Some(number) = number else {
-                self.unowned.push(task);
-                continue;
-            };
-            if last.as_ref().is_none_or(|(_, known)| *known != number) {
-                last = Some((task.job.clone(), number));
-            }
-            let job = job_table.get_mut(number);
-            let allocation = job.and_then(|job| job.allocation_mut(task.task));
-            let same_start = |allocation: &&mut Allocation| {
-                allocation.agent_epoch == status.agent_epoch && allocation.attempt == task.attempt
-            };
-            match allocation.filter(same_start) {
-                Some(allocation) => self.take_listed_task(number, task, allocation, now),
-                None => self.unowned.push(task),
-            }
-        }
-    }
-
-    /// Takes in the state of a task whose allocation the agent confirms.
-    fn take_listed_task(
-        &mut self,
-        number: JobNumber,
-        task: TaskStatus,
-        allocation: &mut Allocation,
-        now: Micros,
-    ) {
-        self.listed.insert((number, task.task));
-        allocation.start_sent = true;
-        allocation.observed = match task.state {
-            TaskState::Exited { cause, .. } => {
-                self.ended.push(EndedTask {
-                    job: number,
-                    task: task.task,
-                    cause: Some(cause),
-                });
-                // Listed until the agent is told to forget it, once the outcome is on record.
-                self.unowned.push(task);
-                return;
-            }
-            TaskState::Fetching => ObservedState::Fetching,
-            TaskState::Waiting => ObservedState::Waiting,
-            TaskState::Saving => ObservedState::Saving,
-            TaskState::Running => {
-                if allocation.observed != ObservedState::Running {
-                    allocation.running_since = Some(now);
-                }
-                ObservedState::Running
-            }
-        };
-    }
-
-    /// Goes through the machine's allocations: what the agent lists has its image, what it does not list may
-    /// be proven gone.
-    fn take_allocations(&mut self, machine: &Machine, order: StatusOrder, job_table: &JobTable) {
-        let start_is_settled = order.is_heartbeat
-            && machine.agent.is_fenced()
-            && !machine.commands.has_unacknowledged_start()
-            && !machine.commands.is_in_flight();
-        for (number, task) in machine.allocations.iter() {
-            let Some(job) = job_table.get(number) else {
-                continue;
-            };
-            let Some(allocation) = job.allocation(task) else {
-                continue;
-            };
-            if self.listed.contains(&(number, task)) {
-                if has_image(allocation) {
-                    let spec = || job.spec.clone();
-                    self.image_users.entry(number).or_insert_with(spec);
-                }
-            } else if is_lost(allocation, order, start_is_settled) {
-                self.ended.push(EndedTask {
-                    job: number,
-                    task,
-                    cause: None,
-                });
-            }
-        }
-    }
-
-    /// Takes in what counts for the machine beside its allocations.
-    fn update_machine(
-        &mut self,
-        name: &Arc<str>,
-        inventory: &mut MachineInventory,
-        dispatch: &mut Dispatch,
-        now: Micros,
-    ) {
-        for spec in self.image_users.values() {
-            inventory.image_used(name, &spec.image, spec.image_mb, now);
-        }
-        let Some(machine) = inventory.get_mut(name) else {
-            return;
-        };
-        let allocations = &mut machine.allocations;
-        let unowned_before = allocations.replace_unowned(std::mem::take(&mut self.unowned));
-        // What still runs is to be stopped at once; what has exited is forgotten with the answer to a
-        // heartbeat. Once nothing is left, there may be something to start.
-        let all_gone = !unowned_before.is_empty() && allocations.unowned().is_empty();
-        if allocations.has_running_unowned() || all_gone {
-            dispatch.request(name);
-        }
-    }
-}
-
-/// Whether a task has come so far that its image is on the machine.
-fn has_image(allocation: &Allocation) -> bool {
-    !matches!(
-        allocation.observed,
-        ObservedState::Unseen | ObservedState::Fetching
-    )
-}
-
-/// Whether a task that the agent does not list is proven to be off the machine. `start_is_settled`: no start
-/// but that in the answer to a later heartbeat can still reach the agent.
-fn is_lost(allocation: &Allocation, order: StatusOrder, start_is_settled: bool) -> bool {
-    if allocation.agent_epoch < order.agent_epoch {
-        // Its epoch is over: the agent killed and forgot it.
-        return true;
-    }
-    if allocation.observed != ObservedState::Unseen {
-        return true;
-    }
-    let never_starts =
-        !allocation.start_sent || (start_is_settled && allocation.start_sequence < order.sequence);
-    allocation.stop.is_some() && never_starts
-}
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -1,13 +1,12 @@
-//! The commands that bring an agent's tasks to what they should be: which ones, how direct calls with them
-//! are sent and repeated, and how these ended.
+//! The commands that bring an agent's tasks to what they should be: which ones, and how direct calls with
+//! them are sent and end.
 
 use std::sync::Arc;
 
-use super::job_table::JobTable;
-use super::{Allocation, Effect, Job, ObservedState, Scheduler, SchedulerConfig};
+use super::{Effect, Job, ObservedState, Scheduler};
 use crate::agent::{Command, Heartbeat, TaskState, TaskStatus};
 use crate::gang::Gang;
-use crate::job::{JobKind, JobNumber, JobState};
+use crate::job::{JobKind, JobState};
 use crate::machine::Machine;
 use crate::time::Micros;
 
@@ -19,8 +18,6 @@
 const NOT_SENT_BACKOFF: Micros = Micros::from_millis(700);
 /// How long to wait before the next call after one that was not answered.
 const UNKNOWN_BACKOFF: Micros = Micros::from_secs(1);
-/// A start that is unacknowledged for longer is ended by raising the term.
-const ACKNOWLEDGEMENT_WAIT: Micros = Micros::from_secs(6);
 
 /// How a direct call with commands ended.
 #[derive(Clone, Debug)]
@@ -35,17 +32,6 @@
     Unknown,
 }
 
-/// Which machines need another call, by what was sent to them before.
-#[derive(Default)]
-struct RetryFindings {
-    /// Every command has shown its effect.
-    settled: Vec<Arc<str>>,
-    /// Commands are to be sent once more.
-    retried: Vec<Arc<str>>,
-    /// The term is to be raised: an agent that has seen the new one ignores earlier starts.
-    term_outdated: bool,
-}
-
 impl Scheduler {
     /// The commands that bring this machine's tasks to what they should be. `answering`: the sequence number
     /// of the heartbeat that they answer; none for a direct call.
@@ -205,42 +191,6 @@
         }
         self.inventory.update(name);
     }
-
-    /// Repeats commands that show no effect, and ends starts that stay unacknowledged.
-    pub(super) fn retry_unacknowledged(&mut self, now: Micros) {
-        let findings = self.check_awaited_effects(now);
-        for name in &findings.settled {
-            self.dispatch.effect_seen(name);
-        }
-        for name in &findings.retried {
-            self.dispatch.request(name);
-        }
-        if findings.term_outdated && !self.leader_term.raise_in_flight {
-            self.leader_term.raise_in_flight = true;
-            self.effects.push(Effect::RaiseTerm);
-        }
-    }
-
-    fn check_awaited_effects(&mut self, now: Micros) -> RetryFindings {
-        let mut findings = RetryFindings::default();
-        for name in self.dispatch.awaiting_effect() {
-            self.steps += 1;
-            let machine = self.inventory.get(name);
-            let Some(machine) = machine.filter(|machine| !machine.allocations.is_empty()) else {
-                findings.settled.push(name.clone());
-                continue;
-            };
-            findings.term_outdated |= needs_higher_term(machine, self.leader_term.term, now);
-            let awaits_effect = has_awaited_tasks(machine, &mut self.job_table, &self.config, now)
-                || machine.commands.has_unacknowledged_start();
-            if !awaits_effect {
-                findings.settled.push(name.clone());
-            } else if machine.is_up() && machine.commands.is_ready(now) {
-                findings.retried.push(name.clone());
-            }
-        }
-        findings
-    }
 }
 
 fn stop_command(job: &Job, task: u32) -> Option<Command> {
@@ -280,51 +230,3 @@
         attempt: allocation.attempt,
     })
 }
-
-/// Whether a start has been unacknowledged for so long that the term is raised for it. One that the agent
-/// should ignore already, since the term was raised after it was sent, is no reason to raise it again.
-fn needs_higher_term(machine: &Machine, term: u64, now: Micros) -> bool {
-    let Some(start) = machine.commands.unacknowledged_start() else {
-        return false;
-    };
-    machine.is_up()
-        && !machine.connectivity.is_unresponsive()
-        && !machine.connectivity.inbound.is_suspected()
-        && now.since(start.since) > ACKNOWLEDGEMENT_WAIT
-        && start.fencing_token >= term
-}
-
-/// Whether stops or starts on this machine have yet to show an effect. Tasks that take longer to save than
-/// they were given are stopped at once.
-fn has_awaited_tasks(
-    machine: &Machine,
-    job_table: &mut JobTable,
-    config: &SchedulerConfig,
-    now: Micros,
-) -> bool {
-    let mut has_awaited = false;
-    for (number, task) in machine.allocations.iter() {
-        let allocation = allocation_mut(job_table, number, task);
-        let Some(allocation) = allocation else {
-            continue;
-        };
-        if let Some(stop) = allocation.stop.as_mut() {
-            has_awaited = true;
-            let margin = config.gang_peer.plus(config.heartbeat_interval);
-            if now.since(stop.since) > stop.grace.plus(margin) {
-                stop.grace = Micros::ZERO;
-            }
-        } else if allocation.committed && allocation.observed == ObservedState::Unseen {
-            has_awaited = true;
-        }
-    }
-    has_awaited
-}
-
-fn allocation_mut(
-    job_table: &mut JobTable,
-    number: JobNumber,
-    task: u32,
-) -> Option<&mut Allocation> {
-    job_table.get_mut(number)?.allocation_mut(task)
-}
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -8,6 +8,7 @@
 mod autoscaler;
 mod capacity_planning;
 mod cloud_listing;
+mod command_retries;
 mod commands;
 mod consolidation;
 mod delegation;
@@ -33,6 +34,7 @@
 mod scale_in;
 mod summary;
 mod task_exits;
+mod task_reconciliation;
 mod unreachable_machines;
 mod unresponsive_machines;
 
