--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -32,6 +32,37 @@
     Unknown,
 }
 
+/// A direct call with commands, as far as its outcome has to be told apart by it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SentCommands {
+    /// The machine that was called.
+    pub machine: Arc<str>,
+    /// The epoch that the commands were for.
+    pub agent_epoch: u64,
+    /// The fencing token that they were sent with.
+    pub fencing_token: u64,
+    /// Whether a start was among them.
+    pub has_start: bool,
+}
+
+impl SentCommands {
+    /// Of the fields of [`Effect::SendCommands`].
+    pub fn new(
+        machine: Arc<str>,
+        agent_epoch: u64,
+        fencing_token: u64,
+        commands: &[Command],
+    ) -> SentCommands {
+        let is_start = |command: &Command| matches!(command, Command::Start { .. });
+        SentCommands {
+            machine,
+            agent_epoch,
+            fencing_token,
+            has_start: commands.iter().any(is_start),
+        }
+    }
+}
+
 impl Scheduler {
     /// The commands that bring this machine's tasks to what they should be. `answering`: the sequence number
     /// of the heartbeat that they answer; none for a direct call.
@@ -150,17 +181,10 @@
         });
     }
 
-    /// The answer to [`Effect::SendCommands`]; `starts`: whether a start was among them.
-    pub fn command_ended(
-        &mut self,
-        name: &Arc<str>,
-        agent_epoch: u64,
-        fencing_token: u64,
-        starts: bool,
-        outcome: CommandOutcome,
-        now: Micros,
-    ) {
+    /// The answer to [`Effect::SendCommands`].
+    pub fn command_ended(&mut self, sent: &SentCommands, outcome: CommandOutcome, now: Micros) {
         self.dispatch.command_ended();
+        let name = &sent.machine;
         let heartbeat_freshness = self.heartbeat_freshness();
         let Some(machine) = self.inventory.get_mut(name) else {
             return;
@@ -182,7 +206,8 @@
             }
             CommandOutcome::Unknown => {
                 machine.commands.back_off(UNKNOWN_BACKOFF, now);
-                if starts && machine.agent.epoch() == agent_epoch {
+                if sent.has_start && machine.agent.epoch() == sent.agent_epoch {
+                    let fencing_token = sent.fencing_token;
                     machine.commands.start_unacknowledged(fencing_token, now);
                     self.dispatch.await_effect(name);
                 }
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -61,7 +61,7 @@
 pub use agent_reconciliation::HeartbeatRejection;
 pub use autoscaler::ScaleOutOutcome;
 pub use cloud_listing::ListedMachine;
-pub use commands::CommandOutcome;
+pub use commands::{CommandOutcome, SentCommands};
 pub use delegation::DelegationCandidate;
 pub use interface::{
     Effect, Objective, ObjectiveTarget, Precondition, SchedulerConfig, Transaction, Write,
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -20,7 +20,7 @@
 };
 pub use saltpitch_core::scheduler::{
     CommandOutcome, Effect, Objective, ObjectiveTarget, ScaleOutOutcome, Scheduler,
-    SchedulerConfig, Transaction, TransactionOutcome, Write,
+    SchedulerConfig, SentCommands, Transaction, TransactionOutcome, Write,
 };
 pub use saltpitch_core::Micros;
 pub use serde_json::value::{to_raw_value, RawValue};
@@ -267,17 +267,12 @@
                         commands,
                         ..
                     } => {
-                        let starts = starts(&commands) > 0;
-                        self.commands.push((machine.clone(), commands));
+                        let name = machine.clone();
+                        let sent =
+                            SentCommands::new(machine, agent_epoch, fencing_token, &commands);
+                        self.commands.push((name, commands));
                         let end = CommandOutcome::NotSent;
-                        self.scheduler.command_ended(
-                            &machine,
-                            agent_epoch,
-                            fencing_token,
-                            starts,
-                            end,
-                            self.now,
-                        );
+                        self.scheduler.command_ended(&sent, end, self.now);
                     }
                     Effect::ScaleOut {
                         request,
--- a/crates/saltpitch-core/tests/limits.rs
+++ b/crates/saltpitch-core/tests/limits.rs
@@ -15,7 +15,7 @@
 };
 use saltpitch_core::scheduler::{
     Alert, CommandOutcome, Effect, ListedMachine, Precondition, Scheduler, SchedulerConfig,
-    TransactionOutcome, Write,
+    SentCommands, TransactionOutcome, Write,
 };
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
@@ -218,17 +218,13 @@
                         machine,
                         agent_epoch,
                         fencing_token,
+                        commands,
                         ..
                     } => {
+                        let sent =
+                            SentCommands::new(machine, agent_epoch, fencing_token, &commands);
                         let (now, end) = (self.now, CommandOutcome::NotSent);
-                        self.scheduler.command_ended(
-                            &machine,
-                            agent_epoch,
-                            fencing_token,
-                            false,
-                            end,
-                            now,
-                        );
+                        self.scheduler.command_ended(&sent, end, now);
                     }
                     Effect::ScaleIn { names } => self.scheduler.returned(&names, self.now),
                     _ => {}
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -208,7 +208,7 @@
         fencing_token: u64,
         commands: Vec<Command>,
     ) {
-        let starts = commands.iter().any(|o| matches!(o, Command::Start { .. }));
+        let sent = SentCommands::new(machine.clone(), agent_epoch, fencing_token, &commands);
         let cut = self.cut(n, &machine).max(self.unheard(&machine));
         let hung = self
             .agents
@@ -222,17 +222,10 @@
         });
         let unanswered = lost || late > Micros::from_millis(1_500);
         if unanswered {
-            let machine = machine.clone();
+            let sent = sent.clone();
             self.after(Micros::from_millis(1_500), move |w| {
                 w.tell(n, epoch, move |scheduler, now| {
-                    scheduler.command_ended(
-                        &machine,
-                        agent_epoch,
-                        fencing_token,
-                        starts,
-                        CommandOutcome::Unknown,
-                        now,
-                    );
+                    scheduler.command_ended(&sent, CommandOutcome::Unknown, now);
                 });
             });
         }
@@ -246,7 +239,7 @@
             let d = w.delay();
             w.after(d, move |w| {
                 w.tell(n, epoch, move |scheduler, now| {
-                    scheduler.command_ended(&machine, agent_epoch, fencing_token, starts, r, now);
+                    scheduler.command_ended(&sent, r, now);
                 });
             });
         });
--- a/crates/saltpitch-testkit/src/simulation/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -17,7 +17,8 @@
 use saltpitch_core::records::{job_key, CancelStep, JobRecord, RecordChange, LEADER_KEY, TERM_KEY};
 use saltpitch_core::scheduler::{
     CommandOutcome, Effect, ListedMachine, Objective, ObjectiveTarget, Precondition,
-    ScaleOutOutcome, Scheduler, SchedulerConfig, Transaction, TransactionOutcome, Write,
+    ScaleOutOutcome, Scheduler, SchedulerConfig, SentCommands, Transaction, TransactionOutcome,
+    Write,
 };
 use saltpitch_core::Micros;
 
--- a/crates/saltpitch/src/effects.rs
+++ b/crates/saltpitch/src/effects.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use hyper::Method;
-use saltpitch_core::agent::{Command, Heartbeat};
+use saltpitch_core::agent::Heartbeat;
 use saltpitch_core::records::TERM_KEY;
 use saltpitch_core::scheduler::{
-    CommandOutcome, Effect, Scheduler, Transaction, TransactionOutcome,
+    CommandOutcome, Effect, Scheduler, SentCommands, Transaction, TransactionOutcome,
 };
 use saltpitch_core::Micros;
 
@@ -92,14 +92,12 @@
             fencing_token,
             commands,
         } => {
-            let starts = commands
-                .iter()
-                .any(|command| matches!(command, Command::Start { .. }));
-            tracing::debug!("{machine}: {commands:?}");
+            let sent = SentCommands::new(machine, agent_epoch, fencing_token, &commands);
+            tracing::debug!("{}: {commands:?}", sent.machine);
             let body = agents::encode_commands(fencing_token, Some(agent_epoch), &commands);
             let outcome = send_commands(&node, &addr, body).await;
             deliver(&node, epoch, |scheduler, now| {
-                scheduler.command_ended(&machine, agent_epoch, fencing_token, starts, outcome, now);
+                scheduler.command_ended(&sent, outcome, now);
             });
         }
         Effect::Probe { machine, addr } => probe(&node, epoch, &machine, &addr).await,
