--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -8,6 +8,7 @@
 mod autoscaler;
 mod capacity_planning;
 mod cloud_listing;
+mod command_retries;
 mod commands;
 mod consolidation;
 mod delegation;
@@ -33,6 +34,7 @@
 mod scale_in;
 mod summary;
 mod task_exits;
+mod task_reconciliation;
 mod unreachable_machines;
 mod unresponsive_machines;
 
@@ -59,7 +61,7 @@
 pub use agent_reconciliation::HeartbeatRejection;
 pub use autoscaler::ScaleOutOutcome;
 pub use cloud_listing::ListedMachine;
-pub use commands::CommandOutcome;
+pub use commands::{CommandOutcome, SentCommands};
 pub use delegation::DelegationCandidate;
 pub use interface::{
     Effect, Objective, ObjectiveTarget, Precondition, SchedulerConfig, Transaction, Write,
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -21,7 +21,7 @@
 };
 pub use saltpitch_core::scheduler::{
     CommandOutcome, Effect, Objective, ObjectiveTarget, ScaleOutOutcome, Scheduler,
-    SchedulerConfig, Transaction, TransactionOutcome, Write,
+    SchedulerConfig, SentCommands, Transaction, TransactionOutcome, Write,
 };
 pub use saltpitch_core::Micros;
 pub use serde_json::value::{to_raw_value, RawValue};
@@ -146,7 +146,7 @@
     /// The cloud answers, and gives whatever it is asked for.
     pub cloud_answers: bool,
     /// The machines that it gave.
-    pub command_ended: Vec<OrderedMachine>,
+    pub ordered_machines: Vec<OrderedMachine>,
 }
 
 /// A machine that the cloud gave.
@@ -200,7 +200,7 @@
             rented: 0,
             asked: Vec::new(),
             cloud_answers: false,
-            command_ended: Vec::new(),
+            ordered_machines: Vec::new(),
         }
     }
 
@@ -225,9 +225,9 @@
     fn grant(&mut self, request: &str, zone: &str, count: u32) {
         let mut names = Vec::new();
         for _ in 0..count {
-            let name = format!("vm-r{:04}", self.command_ended.len());
+            let name = format!("vm-r{:04}", self.ordered_machines.len());
             names.push(name.clone());
-            self.command_ended.push(OrderedMachine {
+            self.ordered_machines.push(OrderedMachine {
                 name,
                 zone: zone.to_owned(),
                 at: self.now,
@@ -268,17 +268,12 @@
                         commands,
                         ..
                     } => {
-                        let starts = starts(&commands) > 0;
-                        self.commands.push((machine.clone(), commands));
+                        let name = machine.clone();
+                        let sent =
+                            SentCommands::new(machine, agent_epoch, fencing_token, &commands);
+                        self.commands.push((name, commands));
                         let end = CommandOutcome::NotSent;
-                        self.scheduler.command_ended(
-                            &machine,
-                            agent_epoch,
-                            fencing_token,
-                            starts,
-                            end,
-                            self.now,
-                        );
+                        self.scheduler.command_ended(&sent, end, self.now);
                     }
                     Effect::ScaleOut {
                         request,
