--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -73,7 +73,7 @@
         };
         let machine = self.inventory.get(&name);
         let zone = machine.map(|machine| machine.zone.clone());
-        let Some(allocation) = job.unplace(task, zone.as_ref()) else {
+        let Some(allocation) = job.tasks.unplace(task, zone.as_ref()) else {
             return;
         };
         self.quota.remove(job.team, &job.spec.need);
@@ -130,7 +130,7 @@
             JobState::Cancelled => true,
             JobState::Active | JobState::Done => job.is_complete(),
         };
-        if over && job.placed == 0 {
+        if over && job.tasks.placed() == 0 {
             self.job_table.dequeue(number);
             self.persistence.job_finished(number);
         }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
@@ -99,7 +99,7 @@
                     && !accelerators.is_contested_for(spec, &pool.kind.size)
             })
             .collect();
-        let mut zones = ZoneSpread::new(spec, &job.zones);
+        let mut zones = ZoneSpread::new(spec, job.tasks.zones());
         let mut left = want - reserve_pending(&mut suitable, spec, want, &mut zones);
         let prices = suitable.iter().map(|pool| pool.price_per_task(&spec.need));
         let cheapest = prices.fold(f64::INFINITY, f64::min);
--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -153,12 +153,12 @@
         let (Some(team), Some(used)) = (self.quota.team(job.team), claimed.get(job.team)) else {
             return 0;
         };
-        if is_gang && idle < job.idle.len() as u64 {
+        if is_gang && idle < job.tasks.idle().len() as u64 {
             return 0;
         }
         // A gang at the barrier found the team's limit free for all of it. What is served before it
         // and finds no machine must not keep the machines for its last tasks from being rented.
-        let is_at_barrier = matches!(job.gang, Gang::Holding { .. }) && job.placed > 0;
+        let is_at_barrier = matches!(job.gang, Gang::Holding { .. }) && job.tasks.placed() > 0;
         if is_at_barrier && self.quota.more(job.team, &spec.need) >= idle {
             return idle;
         }
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -46,19 +46,18 @@
 }
 
 impl Job {
-    /// Nothing of it has been placed or done, so that it could go as a whole.
-    fn is_untouched(&self) -> bool {
-        self.placed == 0 && self.done == 0 && self.deferred.is_empty()
-    }
-
     fn may_be_delegated(&self) -> bool {
         let batch = self.spec.kind != JobKind::Service && self.spec.priority < Priority::Production;
-        batch && self.is_active() && self.is_untouched() && self.guest.is_none() && !self.at_fault()
+        batch
+            && self.is_active()
+            && self.tasks.is_untouched()
+            && self.guest.is_none()
+            && !self.at_fault()
     }
 
     /// Since when it has waited here.
     fn waits_locally_since(&self) -> Micros {
-        self.queued.max(self.came_back_at)
+        self.times.queued.max(self.times.came_back_at)
     }
 }
 
@@ -81,7 +80,7 @@
             .map(|job| DelegationCandidate {
                 id: job.id.clone(),
                 spec: job.spec.clone(),
-                submitted: job.submitted,
+                submitted: job.times.submitted,
                 fetch: self.fetch_time(&job.spec),
             })
             .collect()
@@ -107,7 +106,7 @@
         self.job_table.dequeue(number);
         let job = self.job_table.get_mut(number)?;
         job.owner = JobOwner::Reserved;
-        Some(job.rev)
+        Some(job.revision)
     }
 
     /// The delegation was not written: the job goes back to the queue.
@@ -120,7 +119,7 @@
         };
         if job.owner == JobOwner::Reserved {
             job.owner = JobOwner::Here;
-            job.came_back_at = now;
+            job.times.came_back_at = now;
             self.enqueue(number, now);
         }
     }
@@ -199,7 +198,7 @@
             self.job_table.dequeue(number);
         } else if before == JobOwner::Elsewhere {
             job.owner = JobOwner::Here;
-            job.came_back_at = now;
+            job.times.came_back_at = now;
             self.enqueue(number, now);
         }
     }
--- a/crates/saltpitch-core/src/scheduler/dependency_gate.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -47,7 +47,7 @@
         let Some(job) = job.filter(|job| job.is_active()) else {
             return;
         };
-        let (spec, queued) = (job.spec.clone(), job.queued);
+        let (spec, queued) = (job.spec.clone(), job.times.queued);
         self.autoscaler.job_queued(&spec, queued, now);
         self.job_table.enqueue(number);
         self.placement_pass.requested = true;
@@ -68,7 +68,7 @@
             let done = record.filter(|record| record.state == JobState::Done);
             if let Some(done) = done {
                 let done_at = done.finished.map(|at| now.since(wall.since(at)));
-                job.queued = job.queued.max(done_at.unwrap_or_default());
+                job.times.queued = job.times.queued.max(done_at.unwrap_or_default());
                 continue;
             }
             let dependency: Arc<str> = id.as_str().into();
@@ -86,7 +86,7 @@
             if !job.unmet_dependencies.remove(id) {
                 continue;
             }
-            job.queued = job.queued.max(at);
+            job.times.queued = job.times.queued.max(at);
             if job.unmet_dependencies.is_empty() {
                 self.enqueue(number, now);
             }
@@ -128,7 +128,10 @@
     /// When the dependencies of this job must be done for its sake.
     fn due_before(&self, job: &Job) -> Option<Micros> {
         let run_time = self.estimate(job).times(RUN_TIME_MARGIN).plus(HANDOVER);
-        let own = job.spec.deadline.map(|within| job.submitted.plus(within));
+        let own = job
+            .spec
+            .deadline
+            .map(|within| job.times.submitted.plus(within));
         let due = own.into_iter().chain(job.due).min();
         due.map(|due| due.since(run_time))
     }
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -84,7 +84,7 @@
 
     /// Whether what is left of its team's limit holds all idle members.
     fn fits_limit(&self, job: &Job) -> bool {
-        self.quota.more(job.team, &job.spec.need) >= job.idle.len() as u64
+        self.quota.more(job.team, &job.spec.need) >= job.tasks.idle().len() as u64
     }
 
     /// What its team has left is kept for a gang that has waited too long: nothing behind that one takes
@@ -101,7 +101,7 @@
         let left = self.quota.more(job.team, &without_accelerators);
         Some(ReservedQuota {
             team: job.team,
-            accelerators_only: left >= job.idle.len() as u64,
+            accelerators_only: left >= job.tasks.idle().len() as u64,
         })
     }
 
@@ -113,7 +113,7 @@
             |other: &&Job| other.team == job.team && other.spec.kind == JobKind::Service;
         let services = self.job_table.values().filter(is_service);
         let lasting = services.fold(Resources::default(), |sum, service| {
-            sum.plus(&service.spec.need.times(u64::from(service.placed)))
+            sum.plus(&service.spec.need.times(u64::from(service.tasks.placed())))
         });
         let team = self.quota.team(job.team);
         let tasks = u64::from(job.spec.tasks);
@@ -126,7 +126,7 @@
             return;
         };
         let one_zone = job.spec.one_zone;
-        let zone = match job.zones.keys().next().filter(|_| one_zone) {
+        let zone = match job.tasks.zones().keys().next().filter(|_| one_zone) {
             Some(zone) => Some(zone.clone()),
             None if one_zone => self.best_zone(number, now),
             None => None,
@@ -157,11 +157,11 @@
             return;
         };
         // Members that are assumed later join the attempt of those before them.
-        let attempt = match job.placed {
+        let attempt = match job.tasks.placed() {
             0 => job.next_attempt(0),
-            _ => job.highest_attempt(),
+            _ => job.tasks.highest_attempt(),
         };
-        let wanted = job.idle.len() as u64;
+        let wanted = job.tasks.idle().len() as u64;
         for name in self.candidates(number, zone, wanted, now) {
             while let Some((task, agent_epoch)) = self.next_fit(number, &name) {
                 let assignment = Assignment {
@@ -181,7 +181,7 @@
     fn next_fit(&self, number: JobNumber, machine: &Arc<str>) -> Option<(u32, u64)> {
         let job = self.job_table.get(number)?;
         let machine = self.inventory.get(machine)?;
-        let task = *job.idle.first()?;
+        let task = *job.tasks.idle().first()?;
         let fits = job.spec.need.fits(&machine.free()) && Self::zone_allows(job, &machine.zone);
         fits.then_some((task, machine.agent.epoch()))
     }
@@ -193,7 +193,7 @@
         let Some(job) = self.job_table.get(number) else {
             return;
         };
-        let (spec, placed) = (job.spec.clone(), job.placed);
+        let (spec, placed) = (job.spec.clone(), job.tasks.placed());
         let wait = self.gang_hold(&spec);
         match permit(placed, spec.tasks, waiting_since, now, wait) {
             Permit::Allow => self.commit_gang(number, now),
@@ -222,7 +222,7 @@
             return;
         };
         job.gang = Gang::Committing;
-        job.served_at = now;
+        job.times.served_at = now;
         self.gang_barrier.leave(number);
         for task in 0..job.spec.tasks {
             self.persistence.task_placed(number, task, &job.spec, now);
@@ -248,7 +248,7 @@
         let is_blocked = |other: &Job| {
             other.team == job.team
                 && other.spec.kind == JobKind::Array
-                && !other.idle.is_empty()
+                && !other.tasks.idle().is_empty()
                 && !other.at_fault()
                 && self.is_blocked(other, now)
         };
@@ -261,7 +261,7 @@
             return;
         };
         job.gang = Gang::Parked { until: now };
-        if job.placed == 0 {
+        if job.tasks.placed() == 0 {
             return;
         }
         for task in 0..job.spec.tasks {
@@ -278,7 +278,7 @@
         return None;
     }
     match job.gang {
-        Gang::Parked { until } if until <= now && job.placed == 0 => Some(now),
+        Gang::Parked { until } if until <= now && job.tasks.placed() == 0 => Some(now),
         Gang::Holding { since } => Some(since),
         _ => None,
     }
--- a/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
+++ b/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
@@ -66,7 +66,7 @@
         }
         self.stop_all(number, grace, now);
         if let Some(job) = self.job_table.get_mut(number) {
-            if job.placed == 0 {
+            if job.tasks.placed() == 0 {
                 job.gang = Gang::Parked { until: now };
             }
         }
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -1,12 +1,12 @@
 //! Changes of jobs on record: jobs that appear, are cancelled, or are restored by a new leader.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use super::allocations::Assignment;
 use super::delegation::JobOwner;
 use super::failure_history::FailureHistory;
-use super::{Job, JobTimeline, Scheduler, Task};
+use super::{Job, JobBackoff, JobTimeline, JobTimes, Scheduler, TaskSet};
 use crate::gang::Gang;
 use crate::job::{JobKind, JobNumber, JobSpec, JobState};
 use crate::records::{Checkpoint, JobEntry, RecordCache, TASKS_PER_CHECKPOINT};
@@ -70,10 +70,10 @@
         let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
-        if entry.revision <= job.rev {
+        if entry.revision <= job.revision {
             return;
         }
-        job.rev = entry.revision;
+        job.revision = entry.revision;
         if entry.record.state == JobState::Cancelled {
             self.cancel_if_active(number, now);
         }
@@ -144,7 +144,7 @@
             class,
             team: self.quota.number(&spec.team),
             id: id.into(),
-            rev: entry.revision,
+            revision: entry.revision,
             state: match cancelled {
                 true => JobState::Cancelled,
                 false => entry.record.state,
@@ -153,29 +153,16 @@
                 true => JobOwner::Elsewhere,
                 false => JobOwner::Here,
             },
-            came_back_at: Micros::ZERO,
             guest: entry.record.guest.clone(),
-            submitted,
-            queued: submitted,
+            times: JobTimes::new(submitted),
+            backoff: JobBackoff::default(),
             unmet_dependencies: BTreeSet::new(),
             priority: spec.priority,
             due: None,
-            done_at: None,
-            tasks: vec![Task::default(); tasks],
-            idle: (0..spec.tasks).collect(),
-            placed: 0,
-            done: 0,
+            tasks: TaskSet::new(spec.tasks),
             checkpoints: vec![Checkpoint::default(); tasks.div_ceil(TASKS_PER_CHECKPOINT as usize)],
             gang: Gang::default(),
-            not_before: Micros::ZERO,
-            parked_at: Micros::ZERO,
-            served_at: Micros::ZERO,
             failures: FailureHistory::default(),
-            deferred: BTreeSet::new(),
-            search_after: Micros::ZERO,
-            room_awaited_until: None,
-            started: false,
-            zones: BTreeMap::new(),
             rank: u8::MAX,
             spec,
         }
@@ -195,7 +182,7 @@
             let machine = self.inventory.get(recorded.machine.as_str());
             let name = machine.map(|machine| machine.name.clone());
             let job = self.job_table.get(number);
-            let attempt = job.and_then(|job| job.tasks.get(recorded.task as usize));
+            let attempt = job.and_then(|job| job.tasks.get(recorded.task));
             let attempt = attempt.map(|task| task.attempt);
             let Some((name, attempt)) = name.zip(attempt) else {
                 lost_tasks = true;
@@ -220,10 +207,10 @@
         let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
-        if job.spec.kind != JobKind::Gang || job.placed == 0 {
+        if job.spec.kind != JobKind::Gang || job.tasks.placed() == 0 {
             return;
         }
-        if lost_tasks || job.placed < job.spec.tasks {
+        if lost_tasks || job.tasks.placed() < job.spec.tasks {
             job.gang = Gang::Stopping;
             self.stop_all(number, Micros::ZERO, now);
         } else {
@@ -263,13 +250,8 @@
     }
     let mut allocations = Vec::new();
     let recorded = records.tasks.get(id).map_or(&[][..], |known| &known.tasks);
-    for (number, (task, recorded)) in (0..).zip(job.tasks.iter_mut().zip(recorded)) {
-        task.attempt = recorded.attempt;
-        task.done = recorded.done;
-        if task.done {
-            job.idle.remove(&number);
-            job.done += 1;
-        }
+    for (number, recorded) in (0..job.spec.tasks).zip(recorded) {
+        job.tasks.restore(number, recorded.attempt, recorded.done);
         if let Some(allocation) = &recorded.allocation {
             allocations.push(RecordedAllocation {
                 task: number,
@@ -278,7 +260,7 @@
             });
         }
     }
-    if job.spec.kind == JobKind::Array && job.done == 0 {
+    if job.spec.kind == JobKind::Array && job.tasks.done() == 0 {
         let attempts = job.tasks.iter().map(|task| task.attempt);
         job.failures.restore(attempts);
     }
--- a/crates/saltpitch-core/src/scheduler/job_failures.rs
+++ b/crates/saltpitch-core/src/scheduler/job_failures.rs
@@ -55,14 +55,16 @@
             return 0;
         }
         let at_fault = self.failures.tasks_at_fault();
-        let suspect = at_fault.filter(|task| self.idle.contains(task)).count();
-        self.idle.len().saturating_sub(suspect) as u64
+        let suspect = at_fault
+            .filter(|task| self.tasks.idle().contains(task))
+            .count();
+        self.tasks.idle().len().saturating_sub(suspect) as u64
     }
 
     /// How many more tasks may be placed as far as earlier failures go.
     pub(super) fn placeable(&self) -> u64 {
         if self.at_fault() {
-            MAX_PLACED_AT_FAULT.saturating_sub(u64::from(self.placed))
+            MAX_PLACED_AT_FAULT.saturating_sub(u64::from(self.tasks.placed()))
         } else {
             u64::MAX
         }
@@ -75,7 +77,7 @@
         let Some(job) = self.job_table.get_mut(number) else {
             return Micros::ZERO;
         };
-        let Some(allocation) = job.tasks[task as usize].allocation.as_deref() else {
+        let Some(allocation) = job.allocation(task) else {
             return Micros::ZERO;
         };
         let running_since = allocation.running_since;
@@ -89,7 +91,7 @@
         };
         let verdict = job.failures.failed(&failure, now);
         if let Some(wait) = verdict.job_backoff {
-            job.not_before = now.plus(wait);
+            job.backoff.place_after = now.plus(wait);
         }
         if verdict.newly_at_fault {
             self.retries.newly_failing.push(job.id.clone());
@@ -118,7 +120,7 @@
     pub(super) fn task_refused(&mut self, number: JobNumber, machine: &Arc<str>, now: Micros) {
         if let Some(job) = self.job_table.get_mut(number) {
             job.failures.refused(machine, now);
-            job.not_before = job.not_before.max(now.plus(PAUSE_AFTER_REFUSAL));
+            job.backoff.place_after = job.backoff.place_after.max(now.plus(PAUSE_AFTER_REFUSAL));
         }
     }
 
@@ -127,10 +129,9 @@
         let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
-        if !job.idle.remove(&task) {
+        if !job.tasks.defer(task) {
             return;
         }
-        job.deferred.insert(task);
         self.job_table.update_unplaced(number);
         self.retries.push(now.plus(wait), number, task);
     }
@@ -142,13 +143,7 @@
             let Some(job) = self.job_table.get_mut(number) else {
                 continue;
             };
-            let waits = job.deferred.remove(&task);
-            let state = &job.tasks[task as usize];
-            if !waits || state.done || state.allocation.is_some() {
-                continue;
-            }
-            job.idle.insert(task);
-            if job.is_active() {
+            if job.tasks.end_deferral(task) && job.is_active() {
                 self.job_table.update_unplaced(number);
                 self.placement_pass.requested = true;
             }
--- a/crates/saltpitch-core/src/scheduler/job_table/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/mod.rs
@@ -4,8 +4,10 @@
 //! is in `active_by_age` from [`JobTable::enqueue`] to [`JobTable::dequeue`], and in `unplaced` only
 //! while it has idle tasks.
 
+pub(super) mod allocation;
 pub(super) mod classes;
 pub(super) mod job;
+pub(super) mod task_set;
 pub(super) mod timelines;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -91,7 +93,7 @@
     /// The job's tasks may be placed from now on.
     pub(super) fn enqueue(&mut self, number: JobNumber) {
         if let Some(job) = self.jobs.get(&number) {
-            self.active_by_age.insert((job.queued, number));
+            self.active_by_age.insert((job.times.queued, number));
             self.update_unplaced(number);
         }
     }
@@ -101,7 +103,7 @@
         self.unplaced.remove(&number);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.rank = UNRANKED;
-            self.active_by_age.remove(&(job.queued, number));
+            self.active_by_age.remove(&(job.times.queued, number));
         }
     }
 
@@ -110,7 +112,7 @@
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
-        if job.idle.is_empty() {
+        if job.tasks.idle().is_empty() {
             self.unplaced.remove(&number);
         } else if job.is_active() {
             self.unplaced.insert(number);
--- a/crates/saltpitch-core/src/scheduler/job_table/timelines.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/timelines.rs
@@ -23,11 +23,10 @@
 impl JobTimeline {
     /// The timeline of a job so far.
     pub(in crate::scheduler) fn of(job: &Job) -> JobTimeline {
-        let attempts = job.tasks.iter().map(|task| task.attempt).max();
         JobTimeline {
-            released: job.queued.since(job.submitted),
-            last_placed: job.served_at.since(job.submitted),
-            attempts: attempts.unwrap_or(0),
+            released: job.times.queued.since(job.times.submitted),
+            last_placed: job.times.served_at.since(job.times.submitted),
+            attempts: job.tasks.highest_attempt(),
         }
     }
 }
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -69,7 +69,9 @@
 pub use job_table::timelines::JobTimeline;
 pub use persistence::{Alert, TransactionOutcome};
 
-pub(crate) use job_table::job::{Allocation, Job, ObservedState, StopRequest, Task};
+pub(crate) use job_table::allocation::{Allocation, ObservedState, StopRequest};
+pub(crate) use job_table::job::{Job, JobBackoff, JobTimes};
+pub(crate) use job_table::task_set::{Task, TaskSet};
 
 /// The shortest time between two passes over the jobs that wait.
 const SCHEDULE_INTERVAL: Micros = Micros::from_millis(100);
--- a/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
@@ -60,7 +60,7 @@
         let writes_segment = builder.contents.segment_slot.is_some();
         let up_to_segment = self.placement_log.next_segment() - u64::from(!writes_segment);
         let tasks = range.tasks(job.spec.tasks);
-        let tasks = &job.tasks[tasks.start as usize..tasks.end as usize];
+        let tasks = job.tasks.range(tasks);
         to_json(&checkpoint_record(tasks, job.gang, up_to_segment))
     }
 
@@ -76,7 +76,9 @@
             return;
         };
         for index in range.tasks(job.spec.tasks) {
-            let task = &job.tasks[index as usize];
+            let Some(task) = job.tasks.get(index) else {
+                break;
+            };
             if task.attempt > 0 || task.done {
                 let key = TaskKey::new(range.job, index);
                 self.unsaved_tasks.mark(key, sources.clock.polled_at());
@@ -95,7 +97,7 @@
         job: &mut Job,
         builder: &mut TransactionBuilder,
     ) {
-        builder.require(job_key(&job.id), job.rev);
+        builder.require(job_key(&job.id), job.revision);
         let key = checkpoint_key(&job.id, range.index);
         let known_revision = job.checkpoints[range.index as usize].revision;
         builder.require(key.clone(), known_revision);
@@ -103,7 +105,9 @@
         for index in range.tasks(job.spec.tasks) {
             // What the log would say of the task is in the checkpoint as well.
             self.unsaved_tasks.remove(TaskKey::new(range.job, index));
-            task_entry(index, &mut job.tasks[index as usize], job.gang);
+            if let Some(task) = job.tasks.get_mut(index) {
+                task_entry(index, task, job.gang);
+            }
         }
         builder.contents.checkpoints.push(range);
     }
--- a/crates/saltpitch-core/src/scheduler/persistence/commit.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/commit.rs
@@ -164,7 +164,7 @@
             let Some(job) = jobs.get_mut(key.job) else {
                 continue;
             };
-            if let Some(allocation) = &mut job.tasks[key.task as usize].allocation {
+            if let Some(allocation) = job.allocation_mut(key.task) {
                 allocation.in_transaction = false;
             }
             self.unsaved_tasks.task_placed(key, &job.spec, now);
--- a/crates/saltpitch-core/src/scheduler/persistence/committed.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/committed.rs
@@ -118,7 +118,8 @@
 }
 
 fn commit_allocation(task: u32, job: &mut Job, start_on: &mut Vec<Arc<str>>) {
-    let Some(allocation) = &mut job.tasks[task as usize].allocation else {
+    let starts_alone = job.spec.kind != JobKind::Gang;
+    let Some(allocation) = job.allocation_mut(task) else {
         return;
     };
     if !allocation.in_transaction {
@@ -126,7 +127,7 @@
     }
     allocation.in_transaction = false;
     allocation.committed = true;
-    if job.spec.kind != JobKind::Gang {
+    if starts_alone {
         start_on.push(allocation.machine.clone());
     }
 }
--- a/crates/saltpitch-core/src/scheduler/persistence/final_records.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/final_records.rs
@@ -31,9 +31,9 @@
                 JobState::Cancelled => JobState::Cancelled,
                 _ => JobState::Done,
             };
-            let done_at = job.done_at.filter(|_| state == JobState::Done);
+            let done_at = job.times.done_at.filter(|_| state == JobState::Done);
             let finished = done_at.map(|at| sources.clock.wall(at));
-            builder.require(job_key(&job.id), job.rev);
+            builder.require(job_key(&job.id), job.revision);
             let record = JobRecord::over(state, finished);
             builder.write(job_key(&job.id), to_json(&record));
             self.finished_jobs.remove(&number);
--- a/crates/saltpitch-core/src/scheduler/persistence/segments.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/segments.rs
@@ -44,7 +44,7 @@
 
     /// Adds a task's entry; false if it does not fit.
     fn add(&mut self, key: TaskKey, job: &mut Job) -> bool {
-        let allocation = job.tasks[key.task as usize].allocation.as_ref();
+        let allocation = job.allocation(key.task);
         let machine_bytes = allocation.map_or(0, |allocation| allocation.machine.len());
         let job_bytes = if self.entries.contains_key(&key.job) {
             0
@@ -62,8 +62,10 @@
             self.allocating_jobs.insert(key.job);
         }
         self.bytes += bytes;
-        let entry = task_entry(key.task, &mut job.tasks[key.task as usize], job.gang);
-        self.entries.entry(key.job).or_default().push(entry);
+        if let Some(task) = job.tasks.get_mut(key.task) {
+            let entry = task_entry(key.task, task, job.gang);
+            self.entries.entry(key.job).or_default().push(entry);
+        }
         true
     }
 }
@@ -132,7 +134,7 @@
                 continue;
             };
             if job_entries.iter().any(SegmentEntry::is_allocated) {
-                builder.require(job_key(&job.id), job.rev);
+                builder.require(job_key(&job.id), job.revision);
             }
             record.entries.push((job.id.to_string(), job_entries));
         }
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -61,7 +61,7 @@
             let Some(job) = self.job_table.get(queued.number) else {
                 continue;
             };
-            if job.not_before > now || self.placement_pass.is_quota_reserved(job) {
+            if job.backoff.place_after > now || self.placement_pass.is_quota_reserved(job) {
                 continue;
             }
             match job.spec.kind {
@@ -154,10 +154,10 @@
 
     /// Whether one more task of the job may go to this zone, given where the others are.
     pub(super) fn zone_allows(job: &Job, zone: &str) -> bool {
-        if job.spec.one_zone && job.zones.keys().any(|used| &**used != zone) {
+        if job.spec.one_zone && job.tasks.zones().keys().any(|used| &**used != zone) {
             return false;
         }
-        !job.spec.spread || job.zones.get(zone).copied().unwrap_or(0) < job.spec.per_zone()
+        !job.spec.spread || job.tasks.zones().get(zone).copied().unwrap_or(0) < job.spec.per_zone()
     }
 
     /// Places as many idle tasks of an array or a service as go. Returns how many are left over that
@@ -167,7 +167,7 @@
             return 0;
         };
         let spec = job.spec.clone();
-        let idle = job.idle.len() as u64;
+        let idle = job.tasks.idle().len() as u64;
         let mut left = self.quota.more(job.team, &spec.need).min(idle);
         left = left.min(job.placeable());
         if left == 0 {
@@ -182,7 +182,7 @@
                 else {
                     break;
                 };
-                let Some(&task) = job.idle.first() else {
+                let Some(&task) = job.tasks.idle().first() else {
                     return 0;
                 };
                 if !spec.need.fits(&machine.free()) || !Self::zone_allows(job, &machine.zone) {
@@ -190,7 +190,7 @@
                 }
                 let suits = self.ever_suits(&spec, &machine.kind.size)
                     && self.may_share_accelerators(&spec, machine, now);
-                if takes_any && !suits && job.placed > 0 {
+                if takes_any && !suits && job.tasks.placed() > 0 {
                     break;
                 }
                 let assignment = Assignment {
@@ -224,6 +224,6 @@
     }
     let fetch = machine.kind.fetch_time(job.spec.image_mb);
     let limit = fetch.times(IMAGE_WAIT_RATIO);
-    let waited = now.since(job.queued.max(job.parked_at));
+    let waited = now.since(job.times.queued.max(job.times.parked_at));
     image_free_in.is_some_and(|free_in| free_in < limit) && waited < limit
 }
--- a/crates/saltpitch-core/src/scheduler/preemption/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/mod.rs
@@ -41,7 +41,7 @@
         let spec = job.spec.clone();
         // Nothing is stopped for what fails wherever it runs.
         let wanted = wanted.min(job.idle_in_good_standing());
-        if now < job.search_after || wanted == 0 {
+        if now < job.backoff.preempt_after || wanted == 0 {
             return;
         }
         // Lesser work is stopped for work that can still be in time, not for what is late anyway.
@@ -61,7 +61,7 @@
             false => WAIT_AFTER_SUCCESS,
         };
         if let Some(job) = self.job_table.get_mut(queued.number) {
-            job.search_after = now.plus(wait);
+            job.backoff.preempt_after = now.plus(wait);
         }
         let grace = match spec.priority {
             Priority::Production => Grace::None,
--- a/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
@@ -34,12 +34,12 @@
             return false;
         };
         // Searched again while a start there would be sooner than a fetch elsewhere.
-        if let Some(until) = job.room_awaited_until {
-            if now < until || now.since(job.queued) > self.search_time(job) {
+        if let Some(until) = job.backoff.near_image_until {
+            if now < until || now.since(job.times.queued) > self.search_time(job) {
                 return now < until;
             }
         }
-        let (spec, idle) = (job.spec.clone(), job.idle.len() as u64);
+        let (spec, idle) = (job.spec.clone(), job.tasks.idle().len() as u64);
         let ready = self.tasks_ready_near_image(queued, &spec, idle, now);
         let missing = idle.saturating_sub(ready) as usize;
         let options = match missing {
@@ -52,7 +52,7 @@
                 true => WAIT_FOR_CAPACITY,
                 false => Micros::ZERO,
             };
-            job.room_awaited_until = Some(now.plus(wait));
+            job.backoff.near_image_until = Some(now.plus(wait));
         }
         let victims: Vec<VictimTask> = options
             .into_iter()
--- a/crates/saltpitch-core/src/scheduler/queue_order.rs
+++ b/crates/saltpitch-core/src/scheduler/queue_order.rs
@@ -92,7 +92,7 @@
                 continue;
             };
             ranks.push((number, standing.rank));
-            if job.idle.is_empty() {
+            if job.tasks.idle().is_empty() {
                 continue;
             }
             let key = self.queue_key(number, job, &standing, now);
@@ -118,8 +118,8 @@
         // A job at fault makes no claims: those of its team must not lose their quota to it.
         let at_fault = job.at_fault();
         let remaining = match at_fault {
-            true => job.placed,
-            false => job.spec.tasks - job.done,
+            true => job.tasks.placed(),
+            false => job.spec.tasks - job.tasks.done(),
         };
         let claim = job.spec.need.times(u64::from(remaining));
         let claimed = claimed.get_mut(job.team)?;
@@ -128,7 +128,7 @@
         let is_guest = job.guest.is_some();
         let start_by = self.start_by(job, now).filter(|_| !is_guest);
         let is_starved = !is_guest && self.is_starved(job, now);
-        let is_young = now.since(job.queued) < self.config.guarantee_within;
+        let is_young = now.since(job.times.queued) < self.config.guarantee_within;
         let rank = match (job.priority, within_quota) {
             _ if is_guest => rank::GUEST,
             _ if at_fault => rank::REST,
@@ -166,16 +166,16 @@
         } else if job.spec.kind == JobKind::Gang {
             gang_key(job, standing.start_by, now)
         } else {
-            let run_time = job.idle.len() as u64 * self.estimate(job).0;
+            let run_time = job.tasks.idle().len() as u64 * self.estimate(job).0;
             let work = run_time / 1_000 * job.spec.need.cpu;
-            let waited = now.since(job.served_at.max(job.queued)).0 / AGEING.0;
+            let waited = now.since(job.times.waits_since()).0 / AGEING.0;
             work >> waited.min(63)
         };
         QueueKey {
             rank: standing.rank,
             below_high_priority: job.priority < Priority::High,
             remaining_work,
-            queued: job.queued,
+            queued: job.times.queued,
             number,
         }
     }
@@ -191,7 +191,7 @@
             JobKind::Gang => STARVED_GANG,
             JobKind::Array | JobKind::Service => STARVED,
         };
-        !job.idle.is_empty() && now.since(job.served_at.max(job.queued)) > limit
+        !job.tasks.idle().is_empty() && now.since(job.times.waits_since()) > limit
     }
 
     /// The latest start that keeps the next objective that can still be kept. `None`: every objective
@@ -211,22 +211,22 @@
             return of_class.into_iter().chain(of_dependents).min();
         }
         let own = job.spec.deadline;
-        let own = own.map(|within| job.submitted.plus(within).since(run_time));
+        let own = own.map(|within| job.times.submitted.plus(within).since(run_time));
         own.filter(|start_by| *start_by > now)
     }
 
     /// Nothing of this job runs and nothing was placed for long: it may have whatever fits. No job is
     /// to wait beside a machine with room, be it one that is kept for others.
     pub(super) fn is_blocked(&self, job: &Job, now: Micros) -> bool {
-        job.placed == 0 && now.since(job.served_at.max(job.queued)) > BLOCKED
+        job.tasks.placed() == 0 && now.since(job.times.waits_since()) > BLOCKED
     }
 
     /// The source lets a large gang starve while smaller work fills the gaps. Ours ages: after this
     /// wait it is served first among its like and keeps the capacity that it finds.
     pub(super) fn is_aged(&self, job: &Job, now: Micros) -> bool {
         job.spec.kind == JobKind::Gang
-            && job.placed < job.spec.tasks
-            && now.since(job.queued) > GANG_AGED
+            && job.tasks.placed() < job.spec.tasks
+            && now.since(job.times.queued) > GANG_AGED
     }
 }
 
@@ -243,12 +243,12 @@
 /// The latest start by which this objective is kept; `None` if it says nothing of this job any more.
 fn latest_start(job: &Job, target: ObjectiveTarget, run_time: Micros) -> Option<Micros> {
     match target {
-        ObjectiveTarget::Started(_) if job.started => None,
-        ObjectiveTarget::Started(within) => Some(job.queued.plus(within)),
-        ObjectiveTarget::Finished(within) => Some(job.queued.plus(within).since(run_time)),
+        ObjectiveTarget::Started(_) if job.tasks.was_fully_placed() => None,
+        ObjectiveTarget::Started(within) => Some(job.times.queued.plus(within)),
+        ObjectiveTarget::Finished(within) => Some(job.times.queued.plus(within).since(run_time)),
         ObjectiveTarget::Deadline(times) => {
             let deadline = job.spec.deadline?.times(times);
-            Some(job.submitted.plus(deadline).since(run_time))
+            Some(job.times.submitted.plus(deadline).since(run_time))
         }
     }
 }
--- a/crates/saltpitch-core/src/scheduler/record_commits.rs
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -105,7 +105,7 @@
         };
         if job.state == JobState::Active {
             // Done is on record, so nobody can cancel it any more: what depends on it may start.
-            self.dependency_completed(&job.id, job.done_at.unwrap_or(now), now);
+            self.dependency_completed(&job.id, job.times.done_at.unwrap_or(now), now);
         }
         self.gang_barrier.leave(number);
         self.persistence.job_removed(number, &job);
--- a/crates/saltpitch-core/src/scheduler/summary.rs
+++ b/crates/saltpitch-core/src/scheduler/summary.rs
@@ -58,8 +58,8 @@
     /// One line for the log.
     pub fn summary(&self) -> String {
         let active = self.job_table.values().filter(|job| job.is_active());
-        let waiting: usize = active.map(|job| job.idle.len()).sum();
-        let placed: u32 = self.job_table.values().map(|job| job.placed).sum();
+        let waiting: usize = active.map(|job| job.tasks.idle().len()).sum();
+        let placed: u32 = self.job_table.values().map(|job| job.tasks.placed()).sum();
         let usage = self.machine_usage();
         let by_type: Vec<String> = usage.by_type.values().map(TypeUsage::to_string).collect();
         format!(
--- a/crates/saltpitch-core/src/scheduler/task_exits.rs
+++ b/crates/saltpitch-core/src/scheduler/task_exits.rs
@@ -80,9 +80,9 @@
         let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
-        if job.placed == 0 {
+        if job.tasks.placed() == 0 {
             job.gang = Gang::Parked { until: now };
-            job.parked_at = now;
+            job.times.parked_at = now;
         }
     }
 
