--- a/crates/saltpitch/src/cells/listener.rs
+++ b/crates/saltpitch/src/cells/listener.rs
@@ -13,12 +13,11 @@
 use saltpitch_core::Micros;
 use serde_json::Value;
 
-use crate::connection_limit::{Connections, LimitedAcceptor};
+use crate::connection_limit::{listen, Connections, LimitedAcceptor};
 use crate::node::Node;
 use crate::responses::{
     healthy, json, not_ready, read_body, refusal, refusal_with_retry, unavailable,
 };
-use crate::server::listen;
 use crate::store::conditional_write;
 use crate::users::{Cancellation, Unavailable};
 use crate::wire::users::{
--- a/crates/saltpitch/src/connection_limit.rs
+++ b/crates/saltpitch/src/connection_limit.rs
@@ -17,7 +17,7 @@
 
 use crate::mutex::lock;
 
-pub use acceptor::LimitedAcceptor;
+pub use acceptor::{listen, LimitedAcceptor};
 
 /// An agent's connection may be closed when it has been idle for this long: heartbeats are answered at
 /// once, so that no request is in flight on it.
--- a/crates/saltpitch/src/connection_limit/acceptor.rs
+++ b/crates/saltpitch/src/connection_limit/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepting connections within the limit, and closing those that are evicted.
+//! Listening, accepting connections within the limit, and closing those that are evicted.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,9 +8,10 @@
 use std::time::Duration;
 
 use poem::http::uri::Scheme;
-use poem::listener::Acceptor;
+use poem::listener::{Acceptor, TcpAcceptor};
 use poem::web::{LocalAddr, RemoteAddr};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpSocket;
 
 use super::{Connection, Connections};
 use crate::clock::Clock;
@@ -18,6 +19,23 @@
 /// The pause after a connection that could not be accepted, which means that there are no sockets left.
 const FAILED_ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
+/// Bounds of a listener's backlog; the kernel keeps no more than about the latter.
+const MIN_BACKLOG: usize = 8;
+const MAX_BACKLOG: usize = 4_096;
+
+/// Listens with a bounded backlog: connections that wait to be accepted take sockets as well.
+pub fn listen(addr: SocketAddr, backlog: usize) -> io::Result<TcpAcceptor> {
+    let socket = if addr.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
+    socket.set_reuseaddr(true)?;
+    socket.bind(addr)?;
+    let backlog = backlog.clamp(MIN_BACKLOG, MAX_BACKLOG) as u32;
+    TcpAcceptor::from_tokio(socket.listen(backlog)?)
+}
+
 /// Accepts every connection, so that none waits where the kernel counts sockets, and closes at once what
 /// exceeds the limit: an agent then asks another node.
 pub struct LimitedAcceptor<A> {
--- a/crates/saltpitch/src/connection_limit/tests.rs
+++ b/crates/saltpitch/src/connection_limit/tests.rs
@@ -11,26 +11,26 @@
 /// How many connections a leader with this limit refuses in a minute of heartbeats, one from each agent
 /// every 8 s, on a connection that the agent never closes.
 fn refused(limit: usize, agents: u32) -> usize {
-    let all = Connections::new(limit);
+    let connections = Connections::new(limit);
     let mut open: HashMap<SocketAddr, Arc<Connection>> = HashMap::new();
     let mut refused = 0;
     for step in 0..agents * 8 {
         let now = Micros(u64::from(step) * 8_000_000 / u64::from(agents)).plus(USER_IDLE);
         let from = addr(step % agents);
         // Evicted connections are closed by then.
-        let gone = |c: &Arc<Connection>| c.is_closing();
-        for (a, c) in open.extract_if(|_, c| gone(c)) {
-            all.release(a, &c);
+
+        for (address, connection) in open.extract_if(|_, connection| connection.is_closing()) {
+            connections.release(address, &connection);
         }
         if let Entry::Vacant(place) = open.entry(from) {
-            match all.admit(from, now) {
-                Some(c) => drop(place.insert(c)),
+            match connections.admit(from, now) {
+                Some(connection) => drop(place.insert(connection)),
                 None => refused += 1,
             }
         }
-        if let Some(c) = open.get(&from) {
-            c.record_read(now);
-            all.mark_agent(&from);
+        if let Some(connection) = open.get(&from) {
+            connection.record_read(now);
+            connections.mark_agent(&from);
         }
         // Evicted connections stay for a moment.
         assert!(
@@ -53,27 +53,34 @@
 /// active users are not evicted in favour of agents.
 #[test]
 fn half_open_connections_are_evicted_and_active_users_stay() {
-    let all = Connections::new(100);
+    let connections = Connections::new(100);
     let at = |s: u64| Micros::from_secs(1_000 + s);
-    let users: Vec<_> = (0..40).map(|n| all.admit(addr(n), at(0))).collect();
+    let users: Vec<_> = (0..40).map(|n| connections.admit(addr(n), at(0))).collect();
     let _agents: Vec<_> = (40..100)
         .map(|n| {
-            let c = all.admit(addr(n), at(0));
-            all.mark_agent(&addr(n));
-            c
+            let connection = connections.admit(addr(n), at(0));
+            connections.mark_agent(&addr(n));
+            connection
         })
         .collect();
-    assert!(all.is_crowded());
-    assert!(all.admit(addr(200), at(0)).is_none(), "none is idle");
+    assert!(connections.is_crowded());
+    assert!(
+        connections.admit(addr(200), at(0)).is_none(),
+        "none is idle"
+    );
     for n in 200..260 {
         assert!(
-            all.admit(addr(n), at(2)).is_some(),
+            connections.admit(addr(n), at(2)).is_some(),
             "agents' idle connections are evicted"
         );
     }
-    let closing = |c: &Option<Arc<Connection>>| c.as_ref().is_none_or(|c| c.is_closing());
+    let closing = |connection: &Option<Arc<Connection>>| {
+        connection
+            .as_ref()
+            .is_none_or(|connection| connection.is_closing())
+    };
     assert!(!users.iter().any(closing), "users stay");
-    assert!(all.admit(addr(300), at(30)).is_none());
-    assert!(all.admit(addr(301), at(61)).is_some());
+    assert!(connections.admit(addr(300), at(30)).is_none());
+    assert!(connections.admit(addr(301), at(61)).is_some());
     assert!(users.iter().any(closing), "idle for a minute");
 }
--- a/crates/saltpitch/src/server.rs
+++ b/crates/saltpitch/src/server.rs
@@ -1,16 +1,14 @@
 //! Starting a controller: its listeners and the tasks that run until the process ends.
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
 use anyhow::{Context, Result};
-use poem::listener::TcpAcceptor;
 use poem::Server;
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::TcpListener;
 
 use crate::api::Api;
-use crate::connection_limit::LimitedAcceptor;
+use crate::connection_limit::{listen, LimitedAcceptor};
 use crate::node::Node;
 use crate::settings::Settings;
 use crate::{cells, cloud_sync, effects, leadership, peer, record_sync};
@@ -19,9 +17,6 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 /// The percentage of the sockets for connections of users and agents that wait to be accepted.
 const BACKLOG_PERCENT: usize = 10;
-/// Bounds of a listener's backlog; the kernel keeps no more than about the latter.
-const MIN_BACKLOG: usize = 8;
-const MAX_BACKLOG: usize = 4_096;
 
 /// Runs a controller until the process is killed.
 pub async fn serve(settings: Settings) -> Result<()> {
@@ -54,16 +49,3 @@
     tokio::spawn(effects::run_scheduler(node.clone()));
     tokio::spawn(cloud_sync::list_machines(node.clone()));
 }
-
-/// Listens with a bounded backlog: connections that wait to be accepted take sockets as well.
-pub fn listen(addr: SocketAddr, backlog: usize) -> std::io::Result<TcpAcceptor> {
-    let socket = if addr.is_ipv4() {
-        TcpSocket::new_v4()?
-    } else {
-        TcpSocket::new_v6()?
-    };
-    socket.set_reuseaddr(true)?;
-    socket.bind(addr)?;
-    let backlog = backlog.clamp(MIN_BACKLOG, MAX_BACKLOG) as u32;
-    TcpAcceptor::from_tokio(socket.listen(backlog)?)
-}
--- a/crates/saltpitch/src/store.rs
+++ b/crates/saltpitch/src/store.rs
@@ -1,21 +1,23 @@
 //! The client of the state service: reads, watches, transactions and the leadership lease, within this
 //! controller's share of the service's rates.
 
+mod health;
+mod rate_limits;
+
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 use hyper::Method;
 use saltpitch_core::records::{RecordChange, PREFIX};
 use saltpitch_core::scheduler::{Precondition, Transaction, TransactionOutcome, Write};
-use saltpitch_core::token_bucket::TokenBucket;
 use saltpitch_core::Micros;
 
+use self::health::Health;
+use self::rate_limits::{RateLimits, Rates};
 use crate::clock::Clock;
 use crate::http::{CallError, Client, Reply};
 use crate::mutex::lock;
-use crate::rate_shares::leader_change_share;
 use crate::settings::StoreLimits;
 use crate::wire::store as wire;
 pub use crate::wire::store::{Changes, LeaseAttachment};
@@ -27,20 +29,6 @@
 const WATCH_GRACE: Duration = Duration::from_millis(1_500);
 const LEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// So many refusals within the window mean that the service's next limits are in force.
-const REFUSALS_BEFORE_NEXT_LIMITS: usize = 5;
-const REFUSAL_WINDOW: Micros = Micros::from_secs(10);
-
-/// This controller's share of a rate when it serves alone, as the leader, and all followers' together.
-const ONLY_NODE_SHARE: f64 = 0.9;
-const LEADER_SHARE: f64 = 0.5;
-const FOLLOWERS_SHARE: f64 = 0.45;
-
-/// Bounds of the pause between two paced requests, in seconds, and the slowest rate it is derived from.
-const MIN_PACE_S: f64 = 0.02;
-const MAX_PACE_S: f64 = 2.0;
-const MIN_PACED_RATE: f64 = 0.5;
-
 /// The outcome of a watch.
 pub enum WatchOutcome {
     /// What has changed, possibly nothing.
@@ -62,34 +50,6 @@
     Unknown,
 }
 
-/// What this controller may still send.
-struct Budgets {
-    requests: TokenBucket,
-    changes: TokenBucket,
-}
-
-/// Refusals of changes for their rate.
-#[derive(Default)]
-struct RateLimiting {
-    /// The refusals within [`REFUSAL_WINDOW`].
-    refused_at: Vec<Micros>,
-    /// Whether the service's next limits are taken to be in force.
-    next_limits: bool,
-}
-
-/// Requests and changes a second that the service takes.
-struct Rates {
-    requests: f64,
-    changes: f64,
-}
-
-/// When the service last answered, and when it last failed to.
-#[derive(Clone, Copy, Default)]
-struct Health {
-    last_success_at: Option<Micros>,
-    last_failure_at: Option<Micros>,
-}
-
 /// A transaction that writes one record on condition of its revision; revision 0 creates it.
 pub fn conditional_write(key: &str, value: &str, revision: u64) -> Transaction {
     Transaction {
@@ -106,12 +66,7 @@
     http: Arc<Client>,
     addr: SocketAddr,
     clock: Clock,
-    budgets: Mutex<Budgets>,
-    limits: StoreLimits,
-    /// The number of controllers that share the service.
-    controllers: usize,
-    rate_limiting: Mutex<RateLimiting>,
-    leads: AtomicBool,
+    rate_limits: Mutex<RateLimits>,
     health: Mutex<Health>,
 }
 
@@ -124,125 +79,52 @@
         limits: StoreLimits,
         controllers: usize,
     ) -> StoreClient {
-        let budgets = Budgets {
-            requests: TokenBucket::per_second(limits.rps),
-            changes: TokenBucket::per_second(limits.write_rps),
-        };
-        let client = StoreClient {
+        StoreClient {
             http,
             addr,
             clock,
-            budgets: Mutex::new(budgets),
-            limits,
-            controllers: controllers.max(1),
-            rate_limiting: Mutex::default(),
-            leads: AtomicBool::new(false),
+            rate_limits: Mutex::new(RateLimits::new(limits, controllers)),
             health: Mutex::default(),
-        };
-        client.set_leading(false);
-        client
-    }
-
-    /// The leader may use half of the requests, the others the rest between them. Users' changes are
-    /// few but come in bursts, to any controller: each may use what the leader leaves, and the service
-    /// itself refuses what is too much in all.
-    pub fn set_leading(&self, leads: bool) {
-        self.leads.store(leads, Ordering::Relaxed);
-        let share = match (leads, self.controllers) {
-            (_, 1) => ONLY_NODE_SHARE,
-            (true, _) => LEADER_SHARE,
-            (false, controllers) => FOLLOWERS_SHARE / (controllers - 1) as f64,
-        };
-        let mut budgets = lock(&self.budgets);
-        let rates = self.rates();
-        budgets.requests.set_rate(rates.requests * share);
-        budgets
-            .changes
-            .set_rate(rates.changes * (1.0 - leader_change_share(self.controllers)));
-    }
-
-    /// The rates that are taken to be in force.
-    fn rates(&self) -> Rates {
-        if lock(&self.rate_limiting).next_limits {
-            Rates {
-                requests: self.limits.next_rps,
-                changes: self.limits.next_write_rps,
-            }
-        } else {
-            Rates {
-                requests: self.limits.rps,
-                changes: self.limits.write_rps,
-            }
         }
     }
 
-    /// The service refused a change for its rate. Once in a while that is a burst; several in a row mean
-    /// that its next limits have come into force, which happens without notice.
-    fn record_rate_limited(&self) {
-        if !self.detects_next_limits() {
-            return;
-        }
-        let Rates { requests, changes } = self.rates();
-        tracing::info!("the store refuses changes: keeping to its next limits, {requests} requests and {changes} changes a second");
-        self.set_leading(self.leads.load(Ordering::Relaxed));
-    }
-
-    /// Notes a refusal; whether it is the one that shows that the next limits are in force.
-    fn detects_next_limits(&self) -> bool {
-        let now = self.clock.now();
-        let mut limiting = lock(&self.rate_limiting);
-        limiting.refused_at.push(now);
-        let window_start = now.since(REFUSAL_WINDOW);
-        limiting.refused_at.retain(|at| *at >= window_start);
-        let detected =
-            !limiting.next_limits && limiting.refused_at.len() >= REFUSALS_BEFORE_NEXT_LIMITS;
-        limiting.next_limits |= detected;
-        detected
+    /// Changes between a leader's and a follower's share of the rates.
+    pub fn set_leading(&self, leads: bool) {
+        lock(&self.rate_limits).set_leading(leads);
     }
 
     /// The pause between two requests of a kind that may use this fraction of the controller's share.
     pub fn pace(&self, fraction: f64) -> Duration {
-        let rate = self.rates().requests * fraction / self.controllers as f64;
-        let pause_s = (1.0 / rate.max(MIN_PACED_RATE)).clamp(MIN_PACE_S, MAX_PACE_S);
-        Duration::from_secs_f64(pause_s)
+        lock(&self.rate_limits).pace(fraction)
     }
 
     /// Takes one request from the budget.
     fn try_request(&self) -> bool {
-        lock(&self.budgets)
-            .requests
-            .try_spend(1.0, self.clock.now())
+        lock(&self.rate_limits).try_request(self.clock.now())
     }
 
     /// Takes one request with so many changes from the budgets.
     fn try_changes(&self, changes: usize) -> bool {
-        let now = self.clock.now();
-        let mut budgets = lock(&self.budgets);
-        budgets.requests.try_spend(1.0, now)
-            && (changes == 0 || budgets.changes.try_spend(changes as f64, now))
+        lock(&self.rate_limits).try_changes(changes, self.clock.now())
     }
 
-    fn record_health(&self, served: bool) {
-        let now = self.clock.now();
-        let mut health = lock(&self.health);
-        if served {
-            health.last_success_at = Some(now);
-        } else {
-            health.last_failure_at = Some(now);
+    /// The service refused a change for its rate.
+    fn record_refusal(&self) {
+        let mut rate_limits = lock(&self.rate_limits);
+        if rate_limits.record_refusal(self.clock.now()) {
+            let Rates { requests, changes } = rate_limits.rates();
+            tracing::info!("the store refuses changes: keeping to its next limits, {requests} requests and {changes} changes a second");
         }
     }
 
     /// When the service last served this controller.
     pub fn last_success_at(&self) -> Option<Micros> {
-        lock(&self.health).last_success_at
+        lock(&self.health).last_success_at()
     }
 
     /// Whether the last request was served, and that no longer ago than `within`.
     pub fn is_up(&self, within: Micros) -> bool {
-        let health = *lock(&self.health);
-        let recent = |at| self.clock.now().since(at) < within;
-        health.last_success_at.is_some_and(recent)
-            && health.last_success_at >= health.last_failure_at
+        lock(&self.health).is_up(within, self.clock.now())
     }
 
     async fn call(
@@ -254,7 +136,7 @@
     ) -> Result<Reply, CallError> {
         let result = self.http.call(self.addr, method, path, body, limit).await;
         let served = result.as_ref().is_ok_and(|reply| reply.status != 503);
-        self.record_health(served);
+        lock(&self.health).record(served, self.clock.now());
         result
     }
 
@@ -378,7 +260,7 @@
                     TransactionOutcome::Conflict(decoded.failed_keys)
                 }),
             429 => {
-                self.record_rate_limited();
+                self.record_refusal();
                 TransactionOutcome::RateLimited
             }
             503 => TransactionOutcome::Unavailable,
--- /dev/null
+++ b/crates/saltpitch/src/store/rate_limits/tests.rs
@@ -0,0 +1,81 @@
+//! What a controller may send, and when it keeps to the next limits.
+
+use super::*;
+
+fn limits() -> StoreLimits {
+    StoreLimits {
+        rps: 100.0,
+        write_rps: 40.0,
+        max_value_bytes: 16 * 1024,
+        max_transaction_writes: 16,
+        next_rps: 50.0,
+        next_write_rps: 20.0,
+    }
+}
+
+fn at(seconds: u64) -> Micros {
+    Micros::from_secs(1_000 + seconds)
+}
+
+/// Requests that pass in the tenth second, after nine in which everything was spent.
+fn requests_a_second(rate_limits: &mut RateLimits) -> usize {
+    let spend_all = |rate_limits: &mut RateLimits, now: Micros| {
+        (0..1_000).filter(|_| rate_limits.try_request(now)).count()
+    };
+    spend_all(rate_limits, at(9));
+    spend_all(rate_limits, at(10))
+}
+
+#[test]
+fn the_leader_has_half_of_the_requests_and_the_followers_the_rest() {
+    let mut alone = RateLimits::new(limits(), 1);
+    assert_eq!(requests_a_second(&mut alone), 90);
+    let mut follower = RateLimits::new(limits(), 4);
+    assert_eq!(requests_a_second(&mut follower), 15);
+    let mut leader = RateLimits::new(limits(), 4);
+    leader.set_leading(true);
+    assert_eq!(requests_a_second(&mut leader), 50);
+}
+
+#[test]
+fn refusals_far_apart_change_nothing() {
+    let mut rate_limits = RateLimits::new(limits(), 3);
+    for n in 0..20 {
+        assert!(!rate_limits.record_refusal(at(n * 3)), "{n}");
+    }
+    assert_eq!(rate_limits.rates().changes, 40.0);
+}
+
+#[test]
+fn five_refusals_within_ten_seconds_bring_the_next_limits_once() {
+    let mut rate_limits = RateLimits::new(limits(), 1);
+    let detected: Vec<bool> = (0..7).map(|n| rate_limits.record_refusal(at(n))).collect();
+    assert_eq!(detected, [false, false, false, false, true, false, false]);
+    let next = Rates {
+        requests: 50.0,
+        changes: 20.0,
+    };
+    assert_eq!(rate_limits.rates(), next);
+    assert_eq!(requests_a_second(&mut rate_limits), 45);
+    rate_limits.set_leading(true);
+    assert_eq!(rate_limits.rates(), next);
+}
+
+#[test]
+fn a_transaction_spends_a_request_and_its_changes() {
+    let mut rate_limits = RateLimits::new(limits(), 1);
+    assert!(rate_limits.try_changes(0, at(0)));
+    let passed = (0..50)
+        .filter(|_| rate_limits.try_changes(2, at(0)))
+        .count();
+    assert!((1..50).contains(&passed), "{passed}");
+    assert!(rate_limits.try_changes(0, at(0)), "requests are left");
+}
+
+#[test]
+fn the_pause_between_paced_requests_is_bounded() {
+    let rate_limits = RateLimits::new(limits(), 2);
+    assert_eq!(rate_limits.pace(0.1), Duration::from_millis(200));
+    assert_eq!(rate_limits.pace(1.0), Duration::from_millis(20));
+    assert_eq!(rate_limits.pace(0.000_1), Duration::from_secs(2));
+}
--- a/crates/saltpitch/src/users/tests.rs
+++ b/crates/saltpitch/src/users/tests.rs
@@ -9,7 +9,7 @@
 use crate::settings::Settings;
 
 /// A controller whose state service does not answer, and the number of questions that may wait.
-fn silent_site() -> (Arc<Node>, usize) {
+fn node_without_store() -> (Arc<Node>, usize) {
     let text = include_str!("../../../../docs/example-settings.json");
     let settings = Settings::parse(text).expect("the example is valid");
     let node = Arc::new(Node::new(settings));
@@ -25,7 +25,7 @@
 /// wait give their places back.
 #[tokio::test(flavor = "current_thread")]
 async fn questions_beyond_the_bound_are_refused_at_once() {
-    let (node, limit) = silent_site();
+    let (node, limit) = node_without_store();
     assert!(limit >= 16, "{limit}");
     let mut waiting = Vec::new();
     for number in 0..limit {
--- a/crates/saltpitch/src/wire/users.rs
+++ b/crates/saltpitch/src/wire/users.rs
@@ -135,8 +135,8 @@
         return Err(DecodeError::NotAnObject);
     }
     let raw = RawSubmission::deserialize(body)?;
-    let kind = parse_kind(raw.rig.text("rig")?)?;
-    let priority = parse_priority(raw.precedence.text("precedence")?)?;
+    let kind = decode_kind(raw.rig.text("rig")?)?;
+    let priority = decode_priority(raw.precedence.text("precedence")?)?;
     let tasks = raw.legs.task_count("legs")?;
     let need = Resources {
         cpu: raw.cpus.amount("cpus")?,
@@ -169,7 +169,7 @@
     })
 }
 
-fn parse_kind(word: String) -> Result<JobKind, DecodeError> {
+fn decode_kind(word: String) -> Result<JobKind, DecodeError> {
     match word.as_str() {
         "sweep" => Ok(JobKind::Array),
         "ensemble" => Ok(JobKind::Gang),
@@ -178,7 +178,7 @@
     }
 }
 
-fn kind_word(kind: JobKind) -> &'static str {
+fn encode_kind(kind: JobKind) -> &'static str {
     match kind {
         JobKind::Array => "sweep",
         JobKind::Gang => "ensemble",
@@ -186,7 +186,7 @@
     }
 }
 
-fn parse_priority(word: String) -> Result<Priority, DecodeError> {
+fn decode_priority(word: String) -> Result<Priority, DecodeError> {
     match word.as_str() {
         "production" => Ok(Priority::Production),
         "urgent" => Ok(Priority::High),
@@ -199,7 +199,7 @@
     }
 }
 
-fn priority_word(priority: Priority) -> &'static str {
+fn encode_priority(priority: Priority) -> &'static str {
     match priority {
         Priority::Production => "production",
         Priority::High => "urgent",
@@ -230,8 +230,8 @@
         "ref": submission.id,
         "berth": spec.class,
         "crew": spec.team,
-        "rig": kind_word(spec.kind),
-        "precedence": priority_word(spec.priority),
+        "rig": encode_kind(spec.kind),
+        "precedence": encode_priority(spec.priority),
         "legs": spec.tasks,
         "cpus": units(spec.need.cpu),
         "accelerators": units(spec.need.gpu),
