--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -8,9 +8,7 @@
 use clap::Subcommand;
 use saltpitch_cells::ids::{sent_id, MAX_NUMBER};
 use saltpitch_core::job::JobState;
-use saltpitch_core::records::{
-    job_key, Delegation, DelegationState, JobEntry, JobRecord, RecordCache,
-};
+use saltpitch_core::records::{job_key, Delegation, DelegationState, JobRecord, RecordCache};
 use saltpitch_core::scheduler::{Precondition, Transaction, TransactionOutcome, Write};
 
 use crate::clock::Clock;
@@ -53,7 +51,37 @@
     Unreachable,
     /// The command does not apply to the job, or not with these arguments.
     #[error("refused: {0}")]
-    Refused(String),
+    Refused(Refusal),
+}
+
+/// Why a job is not taken back.
+#[derive(Debug, thiserror::Error)]
+pub enum Refusal {
+    /// The operator has not vouched that it runs nowhere.
+    #[error("pass --nothing-runs-there only if you know that no task of the job runs at the peer cell and that none can be started there")]
+    NotVouchedFor,
+    /// It is not delegated, or not known.
+    #[error("{job} is with no other cell")]
+    NotDelegated {
+        /// The job.
+        job: String,
+    },
+    /// It is delegated to another cell than the one named.
+    #[error("the job is with cell {cell:?}")]
+    OtherCell {
+        /// The cell that has it.
+        cell: String,
+    },
+    /// Its record has changed since it was read.
+    #[error("the job's record has changed meanwhile; list again")]
+    RecordChanged,
+}
+
+// Not a source, which would print the reason twice.
+impl From<Refusal> for CommandError {
+    fn from(refusal: Refusal) -> CommandError {
+        CommandError::Refused(refusal)
+    }
 }
 
 impl CommandError {
@@ -82,8 +110,7 @@
             nothing_runs_there,
         } => {
             if !nothing_runs_there {
-                let reason = "pass --nothing-runs-there only if you know that no task of the job runs at the peer cell and that none can be started there";
-                return Err(CommandError::Refused(reason.to_owned()));
+                return Err(Refusal::NotVouchedFor.into());
             }
             give_up(&store, &records, job, cell).await
         }
@@ -164,12 +191,13 @@
 ) -> Result<(), CommandError> {
     let entry = records.jobs.get(job);
     let delegated = entry.filter(|entry| entry.record.is_delegated());
-    let Some(entry) = delegated else {
-        let reason = format!("{job} is with no other cell");
-        return Err(CommandError::Refused(reason));
+    let not_delegated = || Refusal::NotDelegated {
+        job: job.to_owned(),
     };
+    let entry = delegated.ok_or_else(not_delegated)?;
+    let delegation = entry.record.delegation.clone().ok_or_else(not_delegated)?;
     let key = job_key(job);
-    let record = taken_back(entry, cell)?;
+    let record = taken_back(&entry.record, delegation, cell)?;
     let transaction = Transaction {
         preconditions: vec![Precondition::new(key.clone(), entry.revision)],
         writes: vec![Write {
@@ -182,24 +210,21 @@
             println!("{job} is this cell's own again");
             Ok(())
         }
-        TransactionOutcome::Conflict(_) => {
-            let reason = "the job's record has changed meanwhile; list again".to_owned();
-            Err(CommandError::Refused(reason))
-        }
+        TransactionOutcome::Conflict(_) => Err(Refusal::RecordChanged.into()),
         _ => Err(CommandError::Unreachable),
     }
 }
 
-/// The job's record once it is this cell's own again; cancelled, if its user asked for that.
-fn taken_back(entry: &JobEntry, cell: &str) -> Result<JobRecord, CommandError> {
-    let mut record = entry.record.clone();
-    let Some(delegation) = &mut record.delegation else {
-        let reason = "the job is with no other cell".to_owned();
-        return Err(CommandError::Refused(reason));
-    };
+/// A job's record once it is this cell's own again; cancelled, if its user asked for that.
+fn taken_back(
+    record: &JobRecord,
+    mut delegation: Box<Delegation>,
+    cell: &str,
+) -> Result<JobRecord, Refusal> {
     if delegation.cell != cell {
-        let reason = format!("the job is with cell {:?}", delegation.cell);
-        return Err(CommandError::Refused(reason));
+        return Err(Refusal::OtherCell {
+            cell: delegation.cell,
+        });
     }
     if delegation.state == DelegationState::Damaged {
         // Its number is not known: none may be used again.
@@ -207,8 +232,13 @@
         delegation.number = MAX_NUMBER;
     }
     delegation.state = DelegationState::Returned;
+    let mut record = record.clone();
     if delegation.cancel_requested {
         record.state = JobState::Cancelled;
     }
+    record.delegation = Some(delegation);
     Ok(record)
 }
+
+#[cfg(test)]
+mod tests;
