--- a/crates/saltpitch-cells/src/host.rs
+++ b/crates/saltpitch-cells/src/host.rs
@@ -1,4 +1,4 @@
-//! The host cell's side: which of a neighbour's jobs are taken, and as what.
+//! The host cell's side: which of a peer cell's jobs are taken, and as what.
 //!
 //! Every controller decides on its own copy of the records, which the caller has made as new as the
 //! request. Two controllers asked at the same moment may exceed a bound by one job each.
@@ -13,10 +13,10 @@
 use crate::link::{HostStatus, Submission};
 use crate::settings::GuestSettings;
 
-/// How soon a neighbour may ask again when there is no room.
+/// How soon a peer cell may ask again when there is no room.
 const RETRY_AFTER: Micros = Micros::from_secs(5);
 
-/// Why a neighbour's job is not taken.
+/// Why a peer cell's job is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GuestError {
     /// Services stay where they are.
@@ -51,7 +51,7 @@
     }
 }
 
-/// What a neighbour's jobs take of this cell at present.
+/// What a peer cell's jobs take of this cell at present.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GuestLoad {
     /// Active jobs.
@@ -85,7 +85,7 @@
         load
     }
 
-    /// Whether the neighbour may send a job now.
+    /// Whether the peer cell may send a job now.
     pub fn has_room(&self, settings: &GuestSettings) -> bool {
         self.jobs < settings.max_jobs
             && self.tasks < settings.max_tasks
@@ -102,22 +102,22 @@
     Create(JobRecord),
 }
 
-/// The listener that is open for one neighbour, as a function of the records.
+/// The listener that is open for one peer cell, as a function of the records.
 #[derive(Clone, Debug)]
 pub struct HostAdmission {
-    /// The neighbour.
+    /// The peer cell.
     pub cell: String,
     /// On what terms its jobs are taken.
     pub settings: GuestSettings,
 }
 
 impl HostAdmission {
-    /// The id under which the records hold what the neighbour sent as `sent`.
+    /// The id under which the records hold what the peer cell sent as `sent`.
     pub fn guest_id(&self, sent: &str) -> String {
         ids::guest_id(&self.cell, sent)
     }
 
-    /// Whether the neighbour may send a job now.
+    /// Whether the peer cell may send a job now.
     pub fn has_room(&self, records: &RecordCache) -> bool {
         GuestLoad::of(records, &self.cell).has_room(&self.settings)
     }
@@ -134,7 +134,7 @@
         })
     }
 
-    /// Whether a job is to be cancelled on these records. A job that began while the neighbour's request was
+    /// Whether a job is to be cancelled on these records. A job that began while the peer cell's request was
     /// under way stays, so that no work is done twice.
     pub fn cancels(&self, records: &RecordCache, sent: &str, unless_begun: bool) -> bool {
         match self.status(records, sent) {
@@ -182,7 +182,7 @@
         Ok(())
     }
 
-    /// What the neighbour's job becomes here: it belongs to the team for guests and has the lowest priority.
+    /// What the peer cell's job becomes here: it belongs to the team for delegated jobs and has the lowest priority.
     /// Its class is told apart from this cell's own, so that none of their aims counts for it.
     fn adopt(&self, submission: &Submission) -> JobSpec {
         let spec = JobSpec::clone(&submission.spec);
--- a/crates/saltpitch-cells/src/ids.rs
+++ b/crates/saltpitch-cells/src/ids.rs
@@ -1,6 +1,6 @@
 //! The ids under which a delegated job is known.
 //!
-//! Home's id is `job-` and digits. The id sent adds the delegation's number in six digits, so that two
+//! The origin's id is `job-` and digits. The id sent adds the delegation's number in six digits, so that two
 //! delegations of one job are two jobs to the host. The host keeps it as `CELL.ID`, which no user of its
 //! own can name.
 
@@ -28,7 +28,7 @@
     format!("{cell}.{sent}")
 }
 
-/// Home's id of a job that was sent as `sent`.
+/// The origin's id of a job that was sent as `sent`.
 pub fn home_id(sent: &str) -> Option<&str> {
     let end = sent.len().checked_sub(NUMBER_DIGITS)?;
     sent.get(..end).filter(|id| id.len() > PREFIX.len())
--- a/crates/saltpitch-cells/src/link.rs
+++ b/crates/saltpitch-cells/src/link.rs
@@ -5,10 +5,10 @@
 use saltpitch_core::job::JobSpec;
 use saltpitch_core::Micros;
 
-/// A request to the listener that a neighbour has opened for this cell.
+/// A request to the listener that a peer cell has opened for this cell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkRequest {
-    /// `GET /up`: whether guests are taken now.
+    /// `GET /up`: whether delegated jobs are taken now.
     Up,
     /// `POST /v2/runs`.
     Submit(Submission),
@@ -26,7 +26,7 @@
     },
 }
 
-/// A submission to a neighbour.
+/// A submission to a peer cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
     /// The id sent.
@@ -35,7 +35,7 @@
     pub spec: Arc<JobSpec>,
     /// What is left of its deadline.
     pub deadline: Option<Micros>,
-    /// A job that the host does not know is to be recorded as withdrawn, never started: home takes the
+    /// A job that the host does not know is to be recorded as withdrawn, never started: the origin takes the
     /// delegation back, and earlier copies of its submission may still arrive.
     pub closing: bool,
 }
@@ -81,7 +81,7 @@
     pub status: u16,
     /// `Retry-After`, if it was given.
     pub retry_after: Option<Micros>,
-    /// What the neighbour says.
+    /// What the peer cell says.
     pub reason: String,
 }
 
--- a/crates/saltpitch-cells/src/notice.rs
+++ b/crates/saltpitch-cells/src/notice.rs
@@ -9,75 +9,75 @@
 /// One event for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// A job is offered to a neighbour.
+    /// A job is offered to a peer cell.
     Offered {
         /// The job.
         job: String,
-        /// The neighbour.
+        /// The peer cell.
         neighbour: String,
-        /// The id that the neighbour is sent.
+        /// The id that the peer cell is sent.
         sent_id: String,
     },
     /// A delegation's record was written.
     Written {
         /// The job.
         job: String,
-        /// The neighbour.
+        /// The peer cell.
         neighbour: String,
         /// The change.
         transition: Transition,
     },
-    /// The host has withdrawn a job; home waits until its tasks must be gone.
+    /// The host has withdrawn a job; the origin waits until its tasks must be gone.
     Withdrawn {
         /// The job.
         job: String,
-        /// The neighbour.
+        /// The peer cell.
         neighbour: String,
-        /// How long home waits.
+        /// How long the origin waits.
         wait: Micros,
     },
     /// A job is fetched back.
-    Recalled {
+    Reclaimed {
         /// The job.
         job: String,
-        /// The neighbour.
+        /// The peer cell.
         neighbour: String,
     },
     /// The host did not take a job.
     Refused {
         /// The job.
         job: String,
-        /// The neighbour.
+        /// The peer cell.
         neighbour: String,
         /// The HTTP status.
         status: u16,
-        /// What the neighbour said.
+        /// What the peer cell said.
         reason: String,
     },
     /// The host does not know a job that it had accepted.
     LostByHost {
         /// The job.
         job: String,
-        /// The neighbour.
+        /// The peer cell.
         neighbour: String,
     },
     /// An answer that cannot be read was passed over.
     Malformed {
-        /// The neighbour.
+        /// The peer cell.
         neighbour: String,
         /// What is wrong with it.
         reason: String,
     },
     /// A delegation names a cell that the settings don't, or cannot be read.
-    Stuck {
+    Blocked {
         /// The job.
         job: String,
         /// Why nothing can be done about it.
         reason: &'static str,
     },
-    /// The link to a neighbour has failed, or works again.
+    /// The link to a peer cell has failed, or works again.
     Link {
-        /// The neighbour.
+        /// The peer cell.
         neighbour: String,
         /// Whether it answers.
         answers: bool,
@@ -89,7 +89,7 @@
     pub fn is_error(&self) -> bool {
         matches!(
             self,
-            Notice::LostByHost { .. } | Notice::Malformed { .. } | Notice::Stuck { .. }
+            Notice::LostByHost { .. } | Notice::Malformed { .. } | Notice::Blocked { .. }
         )
     }
 }
@@ -115,7 +115,7 @@
                 let seconds = wait.as_secs_f64();
                 write!(f, "{job} is withdrawn at cell {neighbour}; its tasks count as gone in {seconds:.0} s")
             }
-            Notice::Recalled { job, neighbour } => {
+            Notice::Reclaimed { job, neighbour } => {
                 write!(f, "{job} is fetched back from cell {neighbour}")
             }
             Notice::Refused {
@@ -131,7 +131,7 @@
             Notice::Malformed { neighbour, reason } => {
                 write!(f, "cell {neighbour} sent an unreadable answer: {reason}")
             }
-            Notice::Stuck { job, reason } => write!(f, "{job} is placed nowhere: {reason}"),
+            Notice::Blocked { job, reason } => write!(f, "{job} is placed nowhere: {reason}"),
             Notice::Link { neighbour, answers } => match answers {
                 true => write!(f, "the link to cell {neighbour} works"),
                 false => write!(f, "the link to cell {neighbour} fails"),
--- a/crates/saltpitch-cells/src/origin/messages.rs
+++ b/crates/saltpitch-cells/src/origin/messages.rs
@@ -62,9 +62,9 @@
 ) -> Option<LinkRequest> {
     Some(match request {
         Request::Status => LinkRequest::Status { id },
-        Request::Abort | Request::Recall => LinkRequest::Abort {
+        Request::Abort | Request::Reclaim => LinkRequest::Abort {
             id,
-            unless_begun: request == Request::Recall,
+            unless_begun: request == Request::Reclaim,
         },
         Request::Submit | Request::Close => {
             let spec = record.spec.clone()?;
--- a/crates/saltpitch-cells/src/origin/mod.rs
+++ b/crates/saltpitch-cells/src/origin/mod.rs
@@ -1,8 +1,9 @@
-//! The home cell's side: which jobs are offered, asked for, taken back and written.
+//! The origin cell's side: which jobs are offered, asked for, taken back and written.
 //!
 //! A [`Delegator`] lives as long as one leadership. Everything that safety rests on is in the jobs' records and
 //! in what this leadership itself has sent; a later one starts with the records alone.
 
+mod answers;
 mod messages;
 mod offers;
 pub mod step;
@@ -12,23 +13,23 @@
 use std::net::SocketAddr;
 
 use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use saltpitch_core::controller::DelegationAccess;
-use saltpitch_core::records::{Delegation, DelegationState, JobEntry, RecordCache, TERM_KEY};
+use saltpitch_core::records::{Delegation, DelegationState, RecordCache, TERM_KEY};
 use saltpitch_core::scheduler::{Precondition, Scheduler, TransactionOutcome};
 use saltpitch_core::Micros;
 
 use crate::ids;
-use crate::link::{HostStatus, LinkAnswer, LinkRequest, Refusal};
+use crate::link::LinkRequest;
 use crate::notice::Notice;
 use crate::peer_link::Link;
-use crate::settings::{CellsSettings, LendSettings};
+use crate::settings::{CellsSettings, DelegationSettings};
 
 use messages::{open_delegation, written_record};
 
 pub use messages::link_request;
 
-pub use step::{CancelTimes, Knowledge, Request, Step, Submissions, Transition};
+pub use step::{CancelTimes, ObservedDelegation, Request, Step, Submissions, Transition};
 pub use writes::{RecordWrite, Settled, Writes};
 
 /// How often the host is asked about a job that it has.
@@ -46,16 +47,16 @@
 pub enum CellEffect {
     /// Carry out a transaction and answer with [`Delegator::write_ended`].
     Write(RecordWrite),
-    /// Call a neighbour and answer with [`Delegator::call_ended`].
+    /// Call a peer cell and answer with [`Delegator::call_ended`].
     Call(LinkCall),
 }
 
-/// A call to a neighbour.
+/// A call to a peer cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkCall {
     /// Says which call an answer belongs to.
     pub id: u64,
-    /// The neighbour.
+    /// The peer cell.
     pub cell: String,
     /// Where to.
     pub address: SocketAddr,
@@ -63,11 +64,11 @@
     pub request: LinkRequest,
 }
 
-/// A neighbour that work is lent to.
+/// A peer cell that work is lent to.
 #[derive(Debug)]
 struct Neighbour {
     name: String,
-    settings: LendSettings,
+    settings: DelegationSettings,
     link: Link,
 }
 
@@ -76,46 +77,46 @@
 struct PendingCall {
     neighbour: usize,
     /// `None` for `GET /up`.
-    about: Option<Subject>,
+    about: Option<CallSubject>,
 }
 
 /// What a call is about.
 #[derive(Clone, Debug)]
-struct Subject {
+struct CallSubject {
     job: String,
     /// Of the delegation.
     number: u32,
     request: Request,
 }
 
-/// What this leadership knows of one delegation, and until when home has had room for it.
+/// What this leadership knows of one delegation, and until when the origin has had room for it.
 #[derive(Debug, Default)]
-struct Tracked {
+struct TrackedDelegation {
     cell: String,
     number: u32,
-    known: Knowledge,
+    known: ObservedDelegation,
     called: bool,
     room_since: Option<Micros>,
-    told_stuck: bool,
+    reported_blocked: bool,
 }
 
-impl Tracked {
+impl TrackedDelegation {
     /// What is known of a delegation that was found on record.
-    fn of(delegation: &Delegation) -> Tracked {
-        Tracked {
+    fn of(delegation: &Delegation) -> TrackedDelegation {
+        TrackedDelegation {
             cell: delegation.cell.clone(),
             number: delegation.number,
-            ..Tracked::default()
+            ..TrackedDelegation::default()
         }
     }
 }
 
-/// The home cell's side of all delegations, for one leadership.
+/// The origin cell's side of all delegations, for one leadership.
 #[derive(Debug)]
 pub struct Delegator {
     cancel: Micros,
     neighbours: Vec<Neighbour>,
-    tracked: BTreeMap<String, Tracked>,
+    tracked: BTreeMap<String, TrackedDelegation>,
     writes: Writes,
     calls: BTreeMap<u64, PendingCall>,
     next_call: u64,
@@ -128,7 +129,7 @@
     /// The delegations of a leadership that begins. `cancel` is the time within which this cell removes
     /// the tasks of a cancelled job.
     pub fn new(settings: &CellsSettings, cancel: Micros, seed: u64) -> Delegator {
-        let lends = settings.neighbour.iter().filter_map(|neighbour| {
+        let delegating = settings.neighbour.iter().filter_map(|neighbour| {
             let settings = neighbour.lend.clone()?;
             let link = Link::new(settings.addresses.clone(), settings.calls_per_s);
             Some(Neighbour {
@@ -137,7 +138,7 @@
                 link,
             })
         });
-        let neighbours: Vec<Neighbour> = lends.collect();
+        let neighbours: Vec<Neighbour> = delegating.collect();
         let rates = neighbours.iter().map(|other| other.settings.changes_per_s);
         let changes_per_s = rates.sum();
         Delegator {
@@ -194,7 +195,7 @@
                 continue;
             }
             if let Some((_, delegation)) = open_delegation(records, job) {
-                let tracked = Tracked::of(delegation);
+                let tracked = TrackedDelegation::of(delegation);
                 self.tracked.insert(job.to_owned(), tracked);
             }
         }
@@ -221,7 +222,13 @@
     }
 
     /// Whether there is something to be done about a delegation now.
-    fn has_step(&self, job: &str, tracked: &Tracked, records: &RecordCache, now: Micros) -> bool {
+    fn has_step(
+        &self,
+        job: &str,
+        tracked: &TrackedDelegation,
+        records: &RecordCache,
+        now: Micros,
+    ) -> bool {
         let Some((_, delegation)) = open_delegation(records, job) else {
             return false;
         };
@@ -254,14 +261,14 @@
         let neighbour = self.neighbour(&delegation.cell);
         let times = self.cancel_times(&delegation.cell);
         let Some((neighbour, times)) = neighbour.zip(times) else {
-            self.stuck(job, delegation);
+            self.report_blocked(job, delegation);
             return None;
         };
         let known = &self.tracked.get(job)?.known;
         match step::next_step(delegation, known, times, now) {
             Step::Wait(_) => None,
-            Step::Stuck => {
-                self.stuck(job, delegation);
+            Step::Blocked => {
+                self.report_blocked(job, delegation);
                 None
             }
             Step::Write(transition) => {
@@ -276,31 +283,30 @@
                 }
                 None
             }
-            Step::Call(request) => self.call(job, entry, delegation, neighbour, request, now, wall),
+            Step::Call(request) => {
+                let id = ids::sent_id(job, delegation.number)?;
+                let message = link_request(id, &entry.record, request, wall)?;
+                let subject = CallSubject {
+                    job: job.to_owned(),
+                    number: delegation.number,
+                    request,
+                };
+                self.call(neighbour, subject, message, now)
+            }
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
+    /// Calls the peer cell about a delegation, if its link may be called now.
     fn call(
         &mut self,
-        job: &str,
-        entry: &JobEntry,
-        delegation: &Delegation,
         neighbour: usize,
-        request: Request,
+        subject: CallSubject,
+        message: LinkRequest,
         now: Micros,
-        wall: Micros,
     ) -> Option<CellEffect> {
-        let id = ids::sent_id(job, delegation.number)?;
-        let message = link_request(id, &entry.record, request, wall)?;
         let address = self.neighbours[neighbour].link.take_call(now)?;
-        let tracked = self.tracked.get_mut(job)?;
+        let tracked = self.tracked.get_mut(&subject.job)?;
         tracked.called = true;
-        let subject = Subject {
-            job: job.to_owned(),
-            number: delegation.number,
-            request,
-        };
         Some(self.send(neighbour, address, Some(subject), message))
     }
 
@@ -308,7 +314,7 @@
         &mut self,
         neighbour: usize,
         address: SocketAddr,
-        about: Option<Subject>,
+        about: Option<CallSubject>,
         request: LinkRequest,
     ) -> CellEffect {
         self.next_call += 1;
@@ -322,136 +328,6 @@
         })
     }
 
-    /// A call ended.
-    pub fn call_ended(&mut self, id: u64, answer: LinkAnswer, now: Micros) {
-        let Some(call) = self.calls.remove(&id) else {
-            return;
-        };
-        self.note_link(call.neighbour, &answer, now);
-        match call.about {
-            None => self.note_readiness(call.neighbour, &answer, now),
-            Some(subject) => self.answered(call.neighbour, &subject, answer, now),
-        }
-    }
-
-    /// What an answer says about the link as such.
-    fn note_link(&mut self, neighbour: usize, answer: &LinkAnswer, now: Micros) {
-        let Neighbour { name, link, .. } = &mut self.neighbours[neighbour];
-        let fails = matches!(answer, LinkAnswer::NotSent | LinkAnswer::NoAnswer);
-        let changed = match fails {
-            true => link.failed(&mut self.random, now),
-            false => link.answered(),
-        };
-        let name = name.clone();
-        if changed {
-            self.notify(Notice::Link {
-                neighbour: name.clone(),
-                answers: !fails,
-            });
-        }
-        if let LinkAnswer::Malformed(reason) = answer {
-            self.notify(Notice::Malformed {
-                neighbour: name,
-                reason: reason.clone(),
-            });
-        }
-    }
-
-    fn note_readiness(&mut self, neighbour: usize, answer: &LinkAnswer, now: Micros) {
-        let link = &mut self.neighbours[neighbour].link;
-        match answer {
-            LinkAnswer::Ready => link.is_ready(now),
-            LinkAnswer::Refused(refusal) => link.takes_no_guests(refusal.retry_after, now),
-            _ => {}
-        }
-    }
-
-    fn answered(&mut self, neighbour: usize, subject: &Subject, answer: LinkAnswer, now: Micros) {
-        let spread = ASK_INTERVAL.times(self.random.random_range(0.75..1.25));
-        let Subject {
-            job,
-            number,
-            request,
-        } = subject;
-        let tracked = self.tracked.get_mut(job);
-        let Some(tracked) = tracked.filter(|tracked| tracked.number == *number) else {
-            return;
-        };
-        tracked.called = false;
-        let known = &mut tracked.known;
-        known.ask_at = now.plus(spread);
-        let submission = matches!(request, Request::Submit | Request::Close);
-        match answer {
-            LinkAnswer::Status(status) => self.heard(neighbour, job, status, now),
-            LinkAnswer::Refused(refusal) => {
-                known.submissions.sent |= submission;
-                known.refused |= submission && refusal.is_definite();
-                self.refused(neighbour, job, submission, &refusal, now);
-            }
-            LinkAnswer::NotSent => {
-                // A job of which no copy can arrive need not wait for the link.
-                known.refused |= submission && known.submissions.never_sent();
-            }
-            LinkAnswer::Closed => known.closed = request == &Request::Close,
-            LinkAnswer::NoAnswer | LinkAnswer::Ready => known.submissions.sent |= submission,
-            LinkAnswer::Malformed(_) => {
-                known.submissions.sent |= submission;
-                known.ask_at = now.plus(DOUBT_INTERVAL);
-            }
-            LinkAnswer::NotFound => {
-                known.submissions.sent |= submission;
-                known.ask_at = now.plus(DOUBT_INTERVAL);
-                if !submission {
-                    let neighbour = self.neighbours[neighbour].name.clone();
-                    let job = job.to_owned();
-                    self.notify(Notice::LostByHost { job, neighbour });
-                }
-            }
-        }
-    }
-
-    /// The host's status of a job.
-    fn heard(&mut self, neighbour: usize, job: &str, status: HostStatus, now: Micros) {
-        let name = self.neighbours[neighbour].name.clone();
-        let wait = self.neighbours[neighbour].settings.cancel().with_drift();
-        let Some(tracked) = self.tracked.get_mut(job) else {
-            return;
-        };
-        let known = &mut tracked.known;
-        known.accepted = true;
-        known.status = Some(status);
-        known.wanted_back &= status == HostStatus::Pending;
-        if status == HostStatus::Withdrawn && known.withdrawn_at.is_none() {
-            known.withdrawn_at = Some(now);
-            self.notify(Notice::Withdrawn {
-                job: job.to_owned(),
-                neighbour: name,
-                wait,
-            });
-        }
-    }
-
-    fn refused(
-        &mut self,
-        neighbour: usize,
-        job: &str,
-        submission: bool,
-        refusal: &Refusal,
-        now: Micros,
-    ) {
-        let Neighbour { name, link, .. } = &mut self.neighbours[neighbour];
-        if submission {
-            link.takes_no_guests(refusal.retry_after, now);
-        }
-        let notice = Notice::Refused {
-            job: job.to_owned(),
-            neighbour: name.clone(),
-            status: refusal.status,
-            reason: refusal.reason.clone(),
-        };
-        self.notify(notice);
-    }
-
     /// A transaction ended. If it was carried out, the records that [`Delegator::poll`] is given next show
     /// it.
     pub fn write_ended(
@@ -490,11 +366,11 @@
         self.neighbours.iter().position(|other| other.name == name)
     }
 
-    fn stuck(&mut self, job: &str, delegation: &Delegation) {
+    fn report_blocked(&mut self, job: &str, delegation: &Delegation) {
         let Some(tracked) = self.tracked.get_mut(job) else {
             return;
         };
-        if std::mem::replace(&mut tracked.told_stuck, true) {
+        if std::mem::replace(&mut tracked.reported_blocked, true) {
             return;
         }
         let reason = match delegation.state {
@@ -502,7 +378,7 @@
             _ => "the settings name no such cell to lend to",
         };
         let job = job.to_owned();
-        self.notify(Notice::Stuck { job, reason });
+        self.notify(Notice::Blocked { job, reason });
     }
 
     fn notify(&mut self, notice: Notice) {
--- a/crates/saltpitch-cells/src/origin/offers.rs
+++ b/crates/saltpitch-cells/src/origin/offers.rs
@@ -1,4 +1,4 @@
-//! Which jobs are lent, and which are fetched back.
+//! Which jobs are load, and which are fetched back.
 
 use std::sync::Arc;
 
@@ -9,27 +9,27 @@
 use saltpitch_core::Micros;
 
 use super::messages::open_delegation;
-use super::{CellEffect, Delegator, Tracked, Transition};
+use super::{CellEffect, Delegator, TrackedDelegation, Transition};
 use crate::ids;
 use crate::link::{HostStatus, LinkRequest};
 use crate::notice::Notice;
-use crate::settings::LendSettings;
+use crate::settings::DelegationSettings;
 
-/// Jobs that a neighbour may have been offered without having accepted them, at most: what a link that is
+/// Jobs that a peer cell may have been offered without having accepted them, at most: what a link that is
 /// cut at this moment can keep from both cells.
 const MAX_UNACCEPTED: usize = 2;
 /// Candidates that are looked at in one pass.
 const MAX_CANDIDATES: usize = 64;
 
-/// What a neighbour has of this cell's jobs.
+/// What a peer cell has of this cell's jobs.
 #[derive(Clone, Copy, Debug, Default)]
-struct Lent {
+struct DelegatedLoad {
     jobs: usize,
     tasks: u64,
     unaccepted: usize,
 }
 
-impl Lent {
+impl DelegatedLoad {
     fn add(&mut self, spec: &JobSpec, accepted: bool) {
         self.jobs += 1;
         self.tasks += u64::from(spec.tasks);
@@ -38,19 +38,19 @@
 }
 
 impl Delegator {
-    /// Offers jobs that have waited for long, as far as the neighbours take them.
+    /// Offers jobs that have waited for long, as far as the peer cells take them.
     pub(super) fn plan_offers(&mut self, access: &mut DelegationAccess<'_>, now: Micros) {
         let Some(announcements) = access.announcements.clone() else {
             return;
         };
         for neighbour in 0..self.neighbours.len() {
             let after = self.neighbours[neighbour].settings.after();
-            let mut lent = self.lent_to(&self.neighbours[neighbour].name, access.records);
+            let mut load = self.delegated_to(&self.neighbours[neighbour].name, access.records);
             let candidates = access
                 .scheduler
                 .delegation_candidates(after, MAX_CANDIDATES, now);
             for candidate in candidates {
-                if !self.lends(neighbour, &candidate, lent, access.records, now) {
+                if !self.may_offer(neighbour, &candidate, load, access.records, now) {
                     continue;
                 }
                 self.neighbours[neighbour].link.wants_up();
@@ -61,18 +61,18 @@
                     break;
                 }
                 if self.offer(neighbour, &candidate, access, &announcements) {
-                    lent.add(&candidate.spec, false);
+                    load.add(&candidate.spec, false);
                 }
             }
         }
     }
 
-    /// Whether this job goes to this neighbour, as far as home can tell.
-    fn lends(
+    /// Whether this job goes to this peer cell, as far as the origin can tell.
+    fn may_offer(
         &self,
         neighbour: usize,
         candidate: &DelegationCandidate,
-        lent: Lent,
+        load: DelegatedLoad,
         records: &RecordCache,
         now: Micros,
     ) -> bool {
@@ -86,17 +86,17 @@
         known
             && !self.writes.concerns(&candidate.id)
             && number <= settings.max_moves
-            && lent.unaccepted < MAX_UNACCEPTED
-            && lent.jobs < settings.max_jobs
-            && lent.tasks + tasks <= settings.max_tasks
+            && load.unaccepted < MAX_UNACCEPTED
+            && load.jobs < settings.max_jobs
+            && load.tasks + tasks <= settings.max_tasks
             && suits(&candidate.spec, settings)
             && is_worth_moving(candidate, settings)
             && deadline_is_ahead(candidate, now)
     }
 
-    /// What a neighbour has, offers under way included.
-    fn lent_to(&self, name: &str, records: &RecordCache) -> Lent {
-        let mut lent = Lent::default();
+    /// What a peer cell has, offers under way included.
+    fn delegated_to(&self, name: &str, records: &RecordCache) -> DelegatedLoad {
+        let mut load = DelegatedLoad::default();
         for (job, _) in self
             .tracked
             .iter()
@@ -108,12 +108,12 @@
             };
             let accepted = open_delegation(records, job)
                 .is_some_and(|(_, delegation)| delegation.state != DelegationState::Offered);
-            lent.add(spec, accepted);
+            load.add(spec, accepted);
         }
-        lent
+        load
     }
 
-    /// Begins to write that a job goes to a neighbour; false if something of it is placed.
+    /// Begins to write that a job goes to a peer cell; false if something of it is placed.
     fn offer(
         &mut self,
         neighbour: usize,
@@ -136,7 +136,7 @@
             state: DelegationState::Offered,
             cancel_requested: false,
         };
-        let mut tracked = Tracked::of(&delegation);
+        let mut tracked = TrackedDelegation::of(&delegation);
         tracked.known.submissions.offered_here = true;
         self.tracked.insert(job.to_owned(), tracked);
         let record = JobRecord {
@@ -159,7 +159,7 @@
         true
     }
 
-    /// Asks neighbours whether they take guests, where something would be lent.
+    /// Asks peer cells whether they take delegated jobs, where something would be load.
     pub(super) fn ask_up(&mut self, now: Micros) -> Vec<CellEffect> {
         let mut effects = Vec::new();
         for neighbour in 0..self.neighbours.len() {
@@ -175,26 +175,26 @@
         effects
     }
 
-    /// Fetches jobs back of which nothing runs, where home has had room for them for long enough; all of
+    /// Fetches jobs back of which nothing runs, where the origin has had room for them for long enough; all of
     /// them, once a controller does not know delegations: it may lead next, and would place what it finds.
     pub(super) fn plan_returns(&mut self, access: &mut DelegationAccess<'_>, now: Micros) {
         let ends = access.announcements.is_none();
         let jobs: Vec<String> = self.tracked.keys().cloned().collect();
         for job in jobs {
-            let recalls = ends || self.is_wanted_back(&job, access, now);
+            let reclaims = ends || self.is_wanted_back(&job, access, now);
             let Some(tracked) = self.tracked.get_mut(&job) else {
                 continue;
             };
             let known = &mut tracked.known;
             let told = known.wanted_back;
-            known.wanted_back |= recalls;
+            known.wanted_back |= reclaims;
             known.ends |= ends;
-            if !recalls || told {
+            if !reclaims || told {
                 continue;
             }
             known.ask_at = now;
             let neighbour = tracked.cell.clone();
-            self.notify(Notice::Recalled { job, neighbour });
+            self.notify(Notice::Reclaimed { job, neighbour });
         }
     }
 
@@ -210,7 +210,7 @@
         let Some(neighbour) = self.neighbour(&delegation.cell) else {
             return false;
         };
-        let recall_after = self.neighbours[neighbour].settings.recall_after();
+        let reclaim_after = self.neighbours[neighbour].settings.reclaim_after();
         let Some(tracked) = self.tracked.get_mut(job) else {
             return false;
         };
@@ -225,7 +225,7 @@
             return false;
         }
         let since = *tracked.room_since.get_or_insert(now);
-        now.since(since) >= recall_after
+        now.since(since) >= reclaim_after
     }
 }
 
@@ -235,15 +235,15 @@
     last.saturating_add(1)
 }
 
-/// Whether the neighbour has what the job is bound to.
-fn suits(spec: &Arc<JobSpec>, settings: &LendSettings) -> bool {
+/// Whether the peer cell has what the job is bound to.
+fn suits(spec: &Arc<JobSpec>, settings: &DelegationSettings) -> bool {
     let has = |name: &String| settings.machine_types.contains(name);
     let types = spec.types.as_ref();
     spec.zone.is_none() && types.is_none_or(|types| types.iter().any(has))
 }
 
 /// Whether the job runs for long enough, and for longer than its image takes to fetch.
-fn is_worth_moving(candidate: &DelegationCandidate, settings: &LendSettings) -> bool {
+fn is_worth_moving(candidate: &DelegationCandidate, settings: &DelegationSettings) -> bool {
     let run = candidate.spec.estimate;
     run >= settings.min_run() && run >= candidate.fetch
 }
--- a/crates/saltpitch-cells/src/origin/step.rs
+++ b/crates/saltpitch-cells/src/origin/step.rs
@@ -10,7 +10,7 @@
 /// A change of a delegation's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// The job goes to the neighbour.
+    /// The job goes to the peer cell.
     Offer,
     /// The host has accepted it.
     Accept,
@@ -49,7 +49,7 @@
     /// Have it withdrawn.
     Abort,
     /// Have it withdrawn if nothing of it has begun.
-    Recall,
+    Reclaim,
 }
 
 /// What to do next.
@@ -62,7 +62,7 @@
     /// Send this request.
     Call(Request),
     /// Nothing can be done: the record cannot be read.
-    Stuck,
+    Blocked,
 }
 
 /// The submissions of one delegation that this leadership has sent.
@@ -83,7 +83,7 @@
 
 /// What this leadership knows of one delegation beyond its record.
 #[derive(Clone, Debug, Default)]
-pub struct Knowledge {
+pub struct ObservedDelegation {
     /// The submissions sent.
     pub submissions: Submissions,
     /// The host has accepted the job, or calls it so by a status.
@@ -96,9 +96,9 @@
     pub status: Option<HostStatus>,
     /// When the host was first heard to have withdrawn it.
     pub withdrawn_at: Option<Micros>,
-    /// Home wants it back if nothing of it has begun.
+    /// The origin wants it back if nothing of it has begun.
     pub wanted_back: bool,
-    /// Home wants it back whether it has begun or not.
+    /// The origin wants it back whether it has begun or not.
     pub ends: bool,
     /// Not before then is the host asked again.
     pub ask_at: Micros,
@@ -107,7 +107,7 @@
 /// The times within which cancelled tasks are gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelTimes {
-    /// At home.
+    /// At the origin.
     pub home: Micros,
     /// At the host.
     pub host: Micros,
@@ -119,8 +119,8 @@
         self.host.with_drift()
     }
 
-    /// From hearing that until its user may be told: the tasks must be gone within home's time from then.
-    pub fn until_told(self) -> Micros {
+    /// From hearing that until its user may be told: the tasks must be gone within the origin's time from then.
+    pub fn until_confirmable(self) -> Micros {
         self.until_gone().since(self.home)
     }
 }
@@ -128,12 +128,12 @@
 /// What to do next about a delegation.
 pub fn next_step(
     delegation: &Delegation,
-    known: &Knowledge,
+    known: &ObservedDelegation,
     times: CancelTimes,
     now: Micros,
 ) -> Step {
     if delegation.state == DelegationState::Damaged {
-        return Step::Stuck;
+        return Step::Blocked;
     }
     if known.status == Some(HostStatus::Done) {
         return Step::Write(Transition::Complete);
@@ -150,7 +150,7 @@
 /// The host has withdrawn the job: it is free once its tasks must be gone.
 fn after_withdrawal(delegation: &Delegation, at: Micros, times: CancelTimes, now: Micros) -> Step {
     let (wait, transition) = match delegation.cancel_requested {
-        true => (times.until_told(), Transition::Cancel),
+        true => (times.until_confirmable(), Transition::Cancel),
         false => (times.until_gone(), Transition::Return),
     };
     let free_at = at.plus(wait);
@@ -161,7 +161,7 @@
 }
 
 /// The host may not have heard of the job yet.
-fn while_offered(delegation: &Delegation, known: &Knowledge, now: Micros) -> Step {
+fn while_offered(delegation: &Delegation, known: &ObservedDelegation, now: Micros) -> Step {
     if known.accepted {
         return Step::Write(Transition::Accept);
     }
@@ -182,7 +182,7 @@
 }
 
 /// The host has the job.
-fn while_accepted(delegation: &Delegation, known: &Knowledge, now: Micros) -> Step {
+fn while_accepted(delegation: &Delegation, known: &ObservedDelegation, now: Micros) -> Step {
     let runs = known.status == Some(HostStatus::Running);
     if runs && delegation.state == DelegationState::Accepted {
         return Step::Write(Transition::Run);
@@ -193,7 +193,7 @@
     let request = if known.ends || delegation.cancel_requested {
         Request::Abort
     } else if known.wanted_back {
-        Request::Recall
+        Request::Reclaim
     } else {
         Request::Status
     };
--- a/crates/saltpitch-cells/src/peer_link.rs
+++ b/crates/saltpitch-cells/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! How a neighbour has answered lately, and when it may be called.
+//! How a peer cell has answered lately, and when it may be called.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use rand::Rng;
 use saltpitch_core::Micros;
 
-/// Calls to one neighbour that may be under way at a time: the sockets that the link may take.
+/// Calls to one peer cell that may be under way at a time: the sockets that the link may take.
 pub const MAX_CALLS: usize = 4;
 /// The pause after the first failure of the link; it doubles with each further one.
 const FIRST_PAUSE: Micros = Micros::from_secs(1);
@@ -16,12 +16,12 @@
 const MAX_DOUBLINGS: u32 = 5;
 /// Failures in a row before the log is told.
 const FAILURES_UNTIL_NOTICE: u32 = 3;
-/// How long after its last positive answer a neighbour counts as taking guests.
+/// How long after its last positive answer a peer cell counts as taking delegated jobs.
 const READY_FOR: Micros = Micros::from_secs(3);
-/// How long no job is offered after the neighbour said that it takes none, unless it says otherwise.
+/// How long no job is offered after the peer cell said that it takes none, unless it says otherwise.
 const OFFER_PAUSE: Micros = Micros::from_secs(5);
 
-/// The link to one neighbour.
+/// The link to one peer cell.
 #[derive(Debug)]
 pub struct Link {
     addresses: Vec<SocketAddr>,
@@ -99,12 +99,12 @@
         self.failures == FAILURES_UNTIL_NOTICE
     }
 
-    /// The neighbour said that it takes guests.
+    /// The peer cell said that it takes delegated jobs.
     pub fn is_ready(&mut self, now: Micros) {
         self.ready_at = Some(now);
     }
 
-    /// The neighbour said that it takes no guests at present.
+    /// The peer cell said that it takes no delegated jobs at present.
     pub fn takes_no_guests(&mut self, retry_after: Option<Micros>, now: Micros) {
         self.ready_at = None;
         self.no_offers_until = now.plus(retry_after.unwrap_or_default().max(OFFER_PAUSE));
@@ -116,19 +116,19 @@
         ready && self.failures == 0 && now >= self.no_offers_until
     }
 
-    /// There is something to offer: the neighbour is to be asked whether it takes guests.
+    /// There is something to offer: the peer cell is to be asked whether it takes delegated jobs.
     pub fn wants_up(&mut self) {
         self.wants_up = true;
     }
 
-    /// Whether to ask now if guests are taken.
+    /// Whether to ask now if delegated jobs are taken.
     pub fn asks_up(&self, now: Micros) -> bool {
         let asked_lately = |at: Micros| now.since(at) < READY_FOR.times(0.5);
         let due = !self.asked_up_at.is_some_and(asked_lately);
         self.wants_up && due && now >= self.no_offers_until
     }
 
-    /// The neighbour is being asked.
+    /// The peer cell is being asked.
     pub fn asked_up(&mut self, now: Micros) {
         self.wants_up = false;
         self.asked_up_at = Some(now);
--- a/crates/saltpitch-cells/src/settings.rs
+++ b/crates/saltpitch-cells/src/settings.rs
@@ -89,27 +89,27 @@
     /// Whether and how work is lent to it.
     #[serde(default)]
     #[garde(dive)]
-    pub lend: Option<LendSettings>,
+    pub lend: Option<DelegationSettings>,
     /// Whether and how work is taken from it.
     #[serde(default)]
     #[garde(dive)]
     pub guests: Option<GuestSettings>,
 }
 
-/// How work is lent to a neighbour.
+/// How work is lent to a peer cell.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct LendSettings {
-    /// The listeners that the neighbour's controllers have opened for this cell.
+pub struct DelegationSettings {
+    /// The listeners that the peer cell's controllers have opened for this cell.
     #[garde(length(min = 1, max = 32))]
     pub addresses: Vec<SocketAddr>,
-    /// The time within which the neighbour removes the tasks of a cancelled job.
+    /// The time within which the peer cell removes the tasks of a cancelled job.
     #[garde(range(min = 0.1, max = 86_400.0), custom(finite))]
     pub cancel_s: f64,
-    /// The machine types that the neighbour has.
+    /// The machine types that the peer cell has.
     #[garde(length(min = 1, max = 100))]
     pub machine_types: Vec<String>,
-    /// How long a job waits at home before it is lent.
+    /// How long a job waits at the origin before it is lent.
     #[serde(default = "default_after_s")]
     #[garde(range(min = 1.0, max = 86_400.0), custom(finite))]
     pub after_s: f64,
@@ -117,7 +117,7 @@
     #[serde(default = "default_min_run_s")]
     #[garde(range(min = 0.0, max = 86_400.0), custom(finite))]
     pub min_run_s: f64,
-    /// How long home must have had room for a lent job that does not run before it is fetched back.
+    /// How long the origin must have had room for a lent job that does not run before it is fetched back.
     #[serde(default = "default_recall_after_s")]
     #[garde(range(min = 1.0, max = 86_400.0), custom(finite))]
     pub recall_after_s: f64,
@@ -131,24 +131,24 @@
     /// The most tasks lent at a time.
     #[garde(range(min = 1, max = 10_000_000))]
     pub max_tasks: u64,
-    /// Calls a second to the neighbour.
+    /// Calls a second to the peer cell.
     #[serde(default = "default_calls_per_s")]
     #[garde(range(min = 0.1, max = 1_000.0), custom(finite))]
     pub calls_per_s: f64,
-    /// Changes a second in this cell's state service that delegations to the neighbour may take.
+    /// Changes a second in this cell's state service that delegations to the peer cell may take.
     #[serde(default = "default_changes_per_s")]
     #[garde(range(min = 0.1, max = 1_000.0), custom(finite))]
     pub changes_per_s: f64,
 }
 
-/// How work is taken from a neighbour.
+/// How work is taken from a peer cell.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct GuestSettings {
-    /// Where each controller listens for the neighbour, by the controller's name.
+    /// Where each controller listens for the peer cell, by the controller's name.
     #[garde(length(min = 1, max = 100))]
     pub listen: BTreeMap<String, SocketAddr>,
-    /// The team that the neighbour's jobs belong to. It must have no guarantee.
+    /// The team that the peer cell's jobs belong to. It must have no guarantee.
     #[garde(length(min = 1, max = 200))]
     pub team: String,
     /// Whether machines may be rented for them.
@@ -214,24 +214,24 @@
     ))
 }
 
-impl LendSettings {
-    /// See [`LendSettings::cancel_s`].
+impl DelegationSettings {
+    /// See [`DelegationSettings::cancel_s`].
     pub fn cancel(&self) -> Micros {
         Micros::from_secs_f64(self.cancel_s)
     }
 
-    /// See [`LendSettings::after_s`].
+    /// See [`DelegationSettings::after_s`].
     pub fn after(&self) -> Micros {
         Micros::from_secs_f64(self.after_s)
     }
 
-    /// See [`LendSettings::min_run_s`].
+    /// See [`DelegationSettings::min_run_s`].
     pub fn min_run(&self) -> Micros {
         Micros::from_secs_f64(self.min_run_s)
     }
 
-    /// See [`LendSettings::recall_after_s`].
-    pub fn recall_after(&self) -> Micros {
+    /// See [`DelegationSettings::recall_after_s`].
+    pub fn reclaim_after(&self) -> Micros {
         Micros::from_secs_f64(self.recall_after_s)
     }
 }
@@ -249,7 +249,7 @@
         Ok(settings)
     }
 
-    /// The neighbour of this name.
+    /// The peer cell of this name.
     pub fn neighbour(&self, name: &str) -> Option<&NeighbourSettings> {
         self.neighbour.iter().find(|other| other.name == name)
     }
@@ -349,10 +349,10 @@
 
     /// A delegation is committed on condition of the term, the job and all announcements.
     fn check_transaction(&self, site: &Site<'_>) -> Result<(), SettingsError> {
-        let lends = self.neighbour.iter().any(|other| other.lend.is_some());
+        let delegating = self.neighbour.iter().any(|other| other.lend.is_some());
         let needed = site.controllers + 2;
         let allowed = site.max_transaction_writes.saturating_mul(4);
-        if lends && needed > allowed {
+        if delegating && needed > allowed {
             let reason = format!(
                 "needs transactions with {needed} conditions, and `cluster.state.txn_ops` allows {allowed}"
             );
--- a/crates/saltpitch-cells/tests/host_admission.rs
+++ b/crates/saltpitch-cells/tests/host_admission.rs
@@ -1,4 +1,4 @@
-//! Which of a neighbour's jobs a host takes, and as what.
+//! Which of a peer cell's jobs a host takes, and as what.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/saltpitch-cells/tests/steps.rs
+++ b/crates/saltpitch-cells/tests/steps.rs
@@ -1,11 +1,13 @@
-//! What is done next about a delegation, ids, and which guests are taken.
+//! What is done next about a delegation, ids, and which delegated jobs are taken.
 
 use std::sync::Arc;
 
 use saltpitch_cells::ids::{guest_id, home_id, sent_id};
 use saltpitch_cells::link::{HostStatus, LinkRequest};
 use saltpitch_cells::origin::link_request;
-use saltpitch_cells::origin::step::{next_step, CancelTimes, Knowledge, Request, Step, Transition};
+use saltpitch_cells::origin::step::{
+    next_step, CancelTimes, ObservedDelegation, Request, Step, Transition,
+};
 use saltpitch_core::catalog::Resources;
 use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::records::{Delegation, DelegationState, JobRecord};
@@ -33,13 +35,13 @@
     }
 }
 
-fn next(delegation: &Delegation, known: &Knowledge) -> Step {
+fn next(delegation: &Delegation, known: &ObservedDelegation) -> Step {
     next_step(delegation, known, TIMES, NOW)
 }
 
 /// Offered by this leadership; `sent`: a submission has left.
-fn offered(sent: bool) -> Knowledge {
-    let mut known = Knowledge::default();
+fn offered(sent: bool) -> ObservedDelegation {
+    let mut known = ObservedDelegation::default();
     known.submissions.offered_here = true;
     known.submissions.sent = sent;
     known
@@ -48,7 +50,7 @@
 #[test]
 fn a_refused_offer_is_taken_back_only_if_no_submission_can_arrive() {
     let offer = delegation(DelegationState::Offered);
-    let refused = |known: Knowledge| Knowledge {
+    let refused = |known: ObservedDelegation| ObservedDelegation {
         refused: true,
         ..known
     };
@@ -63,10 +65,10 @@
     );
     // An earlier leader may have sent some.
     assert_eq!(
-        next(&offer, &refused(Knowledge::default())),
+        next(&offer, &refused(ObservedDelegation::default())),
         Step::Call(Request::Close)
     );
-    let closed = Knowledge {
+    let closed = ObservedDelegation {
         closed: true,
         ..refused(offered(true))
     };
@@ -79,7 +81,7 @@
 
 #[test]
 fn an_abort_is_sent_only_after_the_submission_was_answered() {
-    let wanted = Knowledge {
+    let wanted = ObservedDelegation {
         ends: true,
         ..offered(true)
     };
@@ -92,31 +94,34 @@
         Step::Call(Request::Abort)
     );
     assert_eq!(
-        next(&cancelled(DelegationState::Running), &Knowledge::default()),
+        next(
+            &cancelled(DelegationState::Running),
+            &ObservedDelegation::default()
+        ),
         Step::Call(Request::Abort)
     );
-    let recalled = Knowledge {
+    let recalled = ObservedDelegation {
         wanted_back: true,
-        ..Knowledge::default()
+        ..ObservedDelegation::default()
     };
     assert_eq!(
         next(&delegation(DelegationState::Accepted), &recalled),
-        Step::Call(Request::Recall)
+        Step::Call(Request::Reclaim)
     );
 }
 
 #[test]
 fn a_withdrawn_job_is_free_once_its_tasks_must_be_gone() {
-    let heard = |ago: u64| Knowledge {
+    let heard = |ago: u64| ObservedDelegation {
         withdrawn_at: Some(NOW.since(Micros::from_secs(ago))),
         status: Some(HostStatus::Withdrawn),
-        ..Knowledge::default()
+        ..ObservedDelegation::default()
     };
     let running = delegation(DelegationState::Running);
     assert!(matches!(next(&running, &heard(0)), Step::Wait(_)));
     assert!(matches!(next(&running, &heard(66)), Step::Wait(_)));
     assert_eq!(next(&running, &heard(67)), Step::Write(Transition::Return));
-    // Its user may be told as soon as the tasks are gone within home's time from then.
+    // Its user may be told as soon as the tasks are gone within the origin's time from then.
     let cancelled = cancelled(DelegationState::Running);
     assert!(matches!(next(&cancelled, &heard(22)), Step::Wait(_)));
     assert_eq!(
@@ -127,11 +132,11 @@
 
 #[test]
 fn a_final_answer_counts_whatever_was_wanted() {
-    let done = Knowledge {
+    let done = ObservedDelegation {
         status: Some(HostStatus::Done),
         wanted_back: true,
         ends: true,
-        ..Knowledge::default()
+        ..ObservedDelegation::default()
     };
     for state in [
         DelegationState::Offered,
@@ -145,7 +150,7 @@
     }
     assert_eq!(
         next(&delegation(DelegationState::Damaged), &done),
-        Step::Stuck
+        Step::Blocked
     );
 }
 
@@ -201,7 +206,7 @@
     let sent = |request: Request, wall: Micros| {
         link_request("job-1000001".to_owned(), &record(), request, wall).expect("described")
     };
-    for (request, expected) in [(Request::Recall, true), (Request::Abort, false)] {
+    for (request, expected) in [(Request::Reclaim, true), (Request::Abort, false)] {
         let LinkRequest::Abort { unless_begun, .. } = sent(request, NOW) else {
             panic!("{request:?} is an abort");
         };
--- a/crates/saltpitch/src/cells/state.rs
+++ b/crates/saltpitch/src/cells/state.rs
@@ -28,8 +28,8 @@
 impl Cells {
     /// Nothing is delegated yet.
     pub fn new(settings: CellsSettings) -> Cells {
-        let lends = settings.neighbour.iter().filter_map(|n| n.lend.as_ref());
-        let addresses = lends.map(|lend| lend.addresses.len()).sum();
+        let delegating = settings.neighbour.iter().filter_map(|n| n.lend.as_ref());
+        let addresses = delegating.map(|lend| lend.addresses.len()).sum();
         Cells {
             settings,
             client: Client::new(addresses),
