--- a/crates/saltpitch-core/src/lib.rs
+++ b/crates/saltpitch-core/src/lib.rs
@@ -47,6 +47,7 @@
 pub mod messages;
 #[warn(missing_docs)]
 pub mod placement;
+#[warn(missing_docs)]
 pub mod policy;
 pub mod preemption;
 pub mod quota;
--- /dev/null
+++ b/crates/saltpitch-core/src/policy/rules.rs
@@ -0,0 +1,122 @@
+//! The rules that a policy consists of, and the variables that they may use.
+
+use std::fmt;
+
+/// The value of an expression.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Value {
+    /// A number.
+    Number(f64),
+    /// True or false.
+    Bool(bool),
+    /// A text.
+    Text(String),
+}
+
+/// The type of an expression.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ValueType {
+    /// A number.
+    Number,
+    /// True or false.
+    Bool,
+    /// A text.
+    Text,
+}
+
+impl fmt::Display for ValueType {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ValueType::Number => "a number",
+            ValueType::Bool => "true or false",
+            ValueType::Text => "text",
+        })
+    }
+}
+
+/// A rule: its name, what values it may have, and the variables that it may use.
+pub(super) struct Rule {
+    /// The name.
+    pub(super) name: &'static str,
+    /// The type of its value.
+    pub(super) value_type: ValueType,
+    /// The least value, of a number.
+    pub(super) min: f64,
+    /// The most, of a number.
+    pub(super) max: f64,
+    /// The groups of variables that have values when the rule is evaluated.
+    pub(super) scopes: &'static [&'static str],
+}
+
+impl Rule {
+    const fn number(
+        name: &'static str,
+        min: f64,
+        max: f64,
+        scopes: &'static [&'static str],
+    ) -> Rule {
+        Rule {
+            name,
+            value_type: ValueType::Number,
+            min,
+            max,
+            scopes,
+        }
+    }
+
+    const fn flag(name: &'static str, scopes: &'static [&'static str]) -> Rule {
+        Rule {
+            name,
+            value_type: ValueType::Bool,
+            min: 0.0,
+            max: 1.0,
+            scopes,
+        }
+    }
+
+    /// The rule with this name.
+    pub(super) fn find(name: &str) -> Option<&'static Rule> {
+        RULES.iter().find(|rule| rule.name == name)
+    }
+}
+
+const SECONDS_PER_HOUR: f64 = 3_600.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
+
+/// All rules.
+pub(super) const RULES: &[Rule] = &[
+    Rule::number("idle_keep_s", 0.0, SECONDS_PER_DAY, &["type", "cluster"]),
+    Rule::number("gang_wait_s", 0.1, SECONDS_PER_HOUR, &["job", "cluster"]),
+    Rule::flag("use_spot", &["job", "cluster"]),
+    Rule::number("dear_ratio", 1.0, 1e6, &["job", "cluster"]),
+    Rule::flag("consolidate", &["cluster"]),
+    Rule::number("drain_s", 1.0, SECONDS_PER_DAY, &["cluster"]),
+];
+
+/// All variables; what precedes the point is the group.
+const VARIABLES: &[(&str, ValueType)] = &[
+    ("job.class", ValueType::Text),
+    ("job.team", ValueType::Text),
+    ("job.kind", ValueType::Text),
+    ("job.priority", ValueType::Text),
+    ("job.tasks", ValueType::Number),
+    ("job.cpus", ValueType::Number),
+    ("job.gpus", ValueType::Number),
+    ("job.mem_gb", ValueType::Number),
+    ("job.estimate_s", ValueType::Number),
+    ("type.name", ValueType::Text),
+    ("type.cpus", ValueType::Number),
+    ("type.gpus", ValueType::Number),
+    ("type.mem_gb", ValueType::Number),
+    ("type.price", ValueType::Number),
+    ("type.boot_s", ValueType::Number),
+    ("type.spot", ValueType::Bool),
+    ("cluster.machines", ValueType::Number),
+    ("cluster.jobs", ValueType::Number),
+];
+
+/// The type of a variable, if there is such a variable.
+pub(super) fn variable_type(name: &str) -> Option<ValueType> {
+    let variable = VARIABLES.iter().find(|(known, _)| *known == name);
+    variable.map(|(_, value_type)| *value_type)
+}
--- a/crates/saltpitch-core/src/scheduler/persistence/alerts.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/alerts.rs
@@ -3,6 +3,7 @@
 use std::fmt;
 
 use super::Persistence;
+use crate::policy::PolicyFault;
 use crate::scheduler::SchedulerConfig;
 use crate::time::Micros;
 
@@ -14,10 +15,10 @@
 const REPEAT_AFTER: Micros = Micros::from_secs(30);
 
 /// One fault.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq)]
 pub enum Alert {
     /// A rule of the operators' policy failed and its default is used.
-    Policy(String),
+    Policy(PolicyFault),
     /// Few segments of the placement log can be written before one that is still needed.
     LogNearlyFull {
         /// How many can.
@@ -39,7 +40,7 @@
 impl fmt::Display for Alert {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Alert::Policy(message) => f.write_str(message),
+            Alert::Policy(fault) => fault.fmt(f),
             Alert::LogNearlyFull { free, ring } => write!(
                 f,
                 "the placement log is nearly full: {free} of {ring} segments are free"
--- a/crates/saltpitch-core/src/scheduler/record_commits.rs
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -113,7 +113,7 @@
 
     /// Faults that have not been reported yet, or not lately.
     pub fn take_alerts(&mut self, now: Micros) -> Vec<Alert> {
-        let policy_faults = std::mem::take(&mut self.config.policy.faults);
+        let policy_faults = self.config.policy.take_faults();
         let mut alerts: Vec<Alert> = policy_faults.into_iter().map(Alert::Policy).collect();
         alerts.extend(self.persistence.take_log_alert(&self.config, now));
         alerts
