--- a/crates/saltpitch-core/src/catalog.rs
+++ b/crates/saltpitch-core/src/catalog.rs
@@ -4,54 +4,66 @@
 
 use crate::time::Micros;
 
+/// The boot time that is assumed of a type that the catalogue does not list.
+const UNKNOWN_BOOT_TIME: Micros = Micros::from_secs(60);
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
 /// Amounts in thousandths: of a processor, of an accelerator, of a gigabyte.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
+    /// Processors.
     #[serde(rename = "c")]
     pub cpu: u64,
+    /// Accelerators.
     #[serde(rename = "g", default)]
     pub gpu: u64,
+    /// Memory.
     #[serde(rename = "m")]
     pub mem: u64,
 }
 
 impl Resources {
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpu <= room.cpu && self.gpu <= room.gpu && self.mem <= room.mem
+    /// Whether this much fits into `capacity`.
+    pub fn fits(&self, capacity: &Resources) -> bool {
+        self.cpu <= capacity.cpu && self.gpu <= capacity.gpu && self.mem <= capacity.mem
     }
 
-    pub fn plus(&self, o: &Resources) -> Resources {
+    /// The sum of both.
+    pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
-            cpu: self.cpu.saturating_add(o.cpu),
-            gpu: self.gpu.saturating_add(o.gpu),
-            mem: self.mem.saturating_add(o.mem),
+            cpu: self.cpu.saturating_add(other.cpu),
+            gpu: self.gpu.saturating_add(other.gpu),
+            mem: self.mem.saturating_add(other.mem),
         }
     }
 
-    pub fn minus(&self, o: &Resources) -> Resources {
+    /// The difference, or zero where `other` is more.
+    pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
-            cpu: self.cpu.saturating_sub(o.cpu),
-            gpu: self.gpu.saturating_sub(o.gpu),
-            mem: self.mem.saturating_sub(o.mem),
+            cpu: self.cpu.saturating_sub(other.cpu),
+            gpu: self.gpu.saturating_sub(other.gpu),
+            mem: self.mem.saturating_sub(other.mem),
         }
     }
 
-    pub fn times(&self, n: u64) -> Resources {
+    /// This much for each of `count` tasks.
+    pub fn times(&self, count: u64) -> Resources {
         Resources {
-            cpu: self.cpu.saturating_mul(n),
-            gpu: self.gpu.saturating_mul(n),
-            mem: self.mem.saturating_mul(n),
+            cpu: self.cpu.saturating_mul(count),
+            gpu: self.gpu.saturating_mul(count),
+            mem: self.mem.saturating_mul(count),
         }
     }
 
-    /// How many tasks of this need go into `room`.
-    pub fn count_in(&self, room: &Resources) -> u64 {
-        let part = |need: u64, have: u64| have.checked_div(need).unwrap_or(u64::MAX);
-        part(self.cpu, room.cpu)
-            .min(part(self.gpu, room.gpu))
-            .min(part(self.mem, room.mem))
+    /// How many tasks that need this much fit into `capacity`.
+    pub fn count_in(&self, capacity: &Resources) -> u64 {
+        let tasks = |need: u64, available: u64| available.checked_div(need).unwrap_or(u64::MAX);
+        tasks(self.cpu, capacity.cpu)
+            .min(tasks(self.gpu, capacity.gpu))
+            .min(tasks(self.mem, capacity.mem))
     }
 
+    /// Whether this is nothing.
     pub fn is_zero(&self) -> bool {
         *self == Resources::default()
     }
@@ -60,15 +72,21 @@
 /// One type of machine, as the cloud offers it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
+    /// The name.
     pub name: String,
+    /// What a machine has for tasks.
     pub size: Resources,
-    /// Thousandths of a gigabyte.
+    /// The size of a machine's image cache, in thousandths of a gigabyte.
     pub cache_mb: u64,
+    /// How fast a machine fetches images, in thousandths of a gigabyte a second.
     pub fetch_mb_per_s: u64,
-    /// Thousandths of a unit of money an hour.
+    /// The price of an ordinary machine, in thousandths of a unit of money an hour.
     pub price: u64,
+    /// The price of a spot machine, in the same unit.
     pub spot_price: u64,
+    /// How long a machine takes from the request until it is up.
     pub boot: Micros,
+    /// The zones in which the type is offered.
     pub zones: Vec<String>,
 }
 
@@ -82,11 +100,12 @@
             fetch_mb_per_s: 1,
             price: 0,
             spot_price: 0,
-            boot: Micros::from_secs(60),
+            boot: UNKNOWN_BOOT_TIME,
             zones: Vec::new(),
         }
     }
 
+    /// The price of a spot or an ordinary machine.
     pub fn price_of(&self, spot: bool) -> u64 {
         if spot {
             self.spot_price
@@ -95,19 +114,23 @@
         }
     }
 
-    /// About how long an image of this size takes to arrive.
+    /// About how long a machine takes to fetch an image of this size.
     pub fn fetch_time(&self, image_mb: u64) -> Micros {
-        Micros(image_mb.saturating_mul(1_000_000) / self.fetch_mb_per_s.max(1))
+        let rate = self.fetch_mb_per_s.max(1);
+        Micros(image_mb.saturating_mul(MICROS_PER_SECOND) / rate)
     }
 }
 
+/// The machine types that the cloud offers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
+    /// The types.
     pub types: Vec<MachineType>,
 }
 
 impl Catalog {
+    /// The type with this name.
     pub fn get(&self, name: &str) -> Option<&MachineType> {
-        self.types.iter().find(|t| t.name == name)
+        self.types.iter().find(|kind| kind.name == name)
     }
 }
--- a/crates/saltpitch-core/src/job.rs
+++ b/crates/saltpitch-core/src/job.rs
@@ -1,8 +1,8 @@
-//! What users ask for: a job's description, its checks and its life.
+//! Jobs as users submit them: the description, whether it can ever run, and the state.
 
 use serde::{Deserialize, Serialize};
 
-use crate::catalog::{Catalog, Resources};
+use crate::catalog::{Catalog, MachineType, Resources};
 use crate::quota::TeamLimits;
 use crate::time::Micros;
 
@@ -12,52 +12,73 @@
 /// A job's number within the memory of one leader; never stored or sent.
 pub type JobNumber = u32;
 
+/// How the tasks of a job belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
-    /// Independent tasks, each of which runs to completion.
+    /// A job array: independent tasks, each of which runs to completion.
     Array,
-    /// All tasks run at the same time or none does.
+    /// A gang: all tasks run at the same time or none does.
     Gang,
-    /// Replicas that run until the job is cancelled.
+    /// A service: replicas that run until the job is cancelled.
     Service,
 }
 
+/// The priority of a job, the lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
+    /// Below normal.
     Low,
+    /// The usual priority.
     Normal,
+    /// Above normal.
     High,
+    /// Serves customers: before everything else, and capacity is kept warm for it.
     Production,
 }
 
 /// A job's description. It never changes once the job is accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// The class that service-level objectives are set for.
     pub class: String,
+    /// The team whose quota the job counts against.
     pub team: String,
+    /// How the tasks belong together.
     pub kind: JobKind,
+    /// The priority.
     pub priority: Priority,
+    /// How many tasks the job has.
     pub tasks: u32,
     /// What each task takes of its machine.
     pub need: Resources,
+    /// The machine types that tasks may run on; `None` for all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
+    /// The zone that tasks have to run in; `None` for any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// Whether all tasks have to run in the same zone.
     #[serde(default)]
     pub one_zone: bool,
+    /// Whether the tasks are to be spread over zones, at most half of them in one.
     #[serde(default)]
     pub spread: bool,
+    /// Whether tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
+    /// The image that tasks are started from.
     pub image: String,
-    /// Thousandths of a gigabyte.
+    /// The image's size, in thousandths of a gigabyte.
     pub image_mb: u64,
+    /// How long a task runs, by its owner's estimate.
     pub estimate: Micros,
+    /// The interval between a task's checkpoints; zero if it saves none.
     pub checkpoint: Micros,
+    /// How long a task takes to save its progress when it is stopped.
     pub save: Micros,
+    /// When the job should be done, counted from its submission.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Micros>,
     /// Jobs that have to be done before any task of this one starts. Left out where there are none:
@@ -69,50 +90,54 @@
 /// Why a job can never run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Infeasible {
+    /// The settings name no such team.
     #[error("unknown team")]
     Team,
+    /// No machine type that the job allows is large enough for a task.
     #[error("no allowed machine type holds a task")]
     Size,
+    /// What has to run at the same time is more than the team's limit.
     #[error("the job needs more than its team's limit")]
     Limit,
 }
 
 impl JobSpec {
-    /// Whether a machine of this type, zone and kind may run a task of this job.
+    /// Whether a task of this job may run on a machine of this type, zone and kind.
     pub fn allows(&self, type_name: &str, zone: &str, spot: bool) -> bool {
-        (self.spot || !spot)
-            && self.zone.as_deref().is_none_or(|z| z == zone)
-            && self
-                .types
-                .as_ref()
-                .is_none_or(|ts| ts.iter().any(|t| t == type_name))
+        (self.spot || !spot) && self.allows_zone(zone) && self.allows_type(type_name)
     }
 
-    /// Whether the job could run on an empty site with every machine there is.
+    fn allows_type(&self, type_name: &str) -> bool {
+        let allowed = self.types.as_ref();
+        allowed.is_none_or(|types| types.iter().any(|allowed| allowed == type_name))
+    }
+
+    fn allows_zone(&self, zone: &str) -> bool {
+        self.zone.as_deref().is_none_or(|allowed| allowed == zone)
+    }
+
+    /// Whether the job could run on an empty site with every machine that is offered.
     pub fn can_ever_run(&self, catalog: &Catalog, teams: &[TeamLimits]) -> Result<(), Infeasible> {
-        let team = teams
-            .iter()
-            .find(|t| t.name == self.team)
-            .ok_or(Infeasible::Team)?;
-        let held = catalog.types.iter().any(|t| {
-            self.need.fits(&t.size)
-                && self.types.as_ref().is_none_or(|ts| ts.contains(&t.name))
-                && t.zones
-                    .iter()
-                    .any(|z| self.zone.as_ref().is_none_or(|want| want == z))
-        });
-        if !held {
+        let team = teams.iter().find(|team| team.name == self.team);
+        let team = team.ok_or(Infeasible::Team)?;
+        if !catalog.types.iter().any(|kind| self.fits_type(kind)) {
             return Err(Infeasible::Size);
         }
-        let whole = match self.kind {
+        let at_the_same_time = match self.kind {
             JobKind::Array => self.need,
             JobKind::Gang | JobKind::Service => self.need.times(u64::from(self.tasks)),
         };
-        if team.allows(&whole) {
-            Ok(())
-        } else {
-            Err(Infeasible::Limit)
+        if !team.allows(&at_the_same_time) {
+            return Err(Infeasible::Limit);
         }
+        Ok(())
+    }
+
+    /// Whether a machine type that the job allows holds a task in a zone that the job allows.
+    fn fits_type(&self, kind: &MachineType) -> bool {
+        self.need.fits(&kind.size)
+            && self.allows_type(&kind.name)
+            && kind.zones.iter().any(|zone| self.allows_zone(zone))
     }
 
     /// The most tasks that may be in one zone at a time.
@@ -130,16 +155,20 @@
     }
 }
 
-/// Where a job stands, as users are told.
+/// A job's state, as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
+    /// Waiting or running.
     Active,
+    /// All tasks have completed.
     Done,
+    /// Cancelled by a user, or with a job that it depends on.
     Cancelled,
 }
 
 impl JobState {
+    /// Whether the state never changes any more.
     pub fn is_final(self) -> bool {
         self != JobState::Active
     }
--- a/crates/saltpitch-core/src/lib.rs
+++ b/crates/saltpitch-core/src/lib.rs
@@ -30,12 +30,14 @@
 
 #[warn(missing_docs)]
 pub mod agent;
+#[warn(missing_docs)]
 pub mod catalog;
 #[warn(missing_docs)]
 pub mod controller;
 pub mod gang;
 #[warn(missing_docs)]
 pub mod images;
+#[warn(missing_docs)]
 pub mod job;
 #[warn(missing_docs)]
 pub mod leadership;
@@ -50,11 +52,13 @@
 #[warn(missing_docs)]
 pub mod policy;
 pub mod preemption;
+#[warn(missing_docs)]
 pub mod quota;
 #[warn(missing_docs)]
 pub mod records;
 pub mod scheduler;
 pub mod time;
+#[warn(missing_docs)]
 pub mod token_bucket;
 
 pub use time::Micros;
--- a/crates/saltpitch-core/src/policy/mod.rs
+++ b/crates/saltpitch-core/src/policy/mod.rs
@@ -18,7 +18,7 @@
 use std::collections::BTreeSet;
 
 pub use error::{EvaluationError, PolicyError, PolicyErrorReason, PolicyFault, Position};
-pub use rules::{Value, ValueType};
+pub use rules::{rule, Value, ValueType};
 
 use check::{checked_rules, RuleSet};
 use evaluate::{check_range, evaluate};
--- a/crates/saltpitch-core/src/policy/rules.rs
+++ b/crates/saltpitch-core/src/policy/rules.rs
@@ -34,6 +34,22 @@
     }
 }
 
+/// The names of the rules.
+pub mod rule {
+    /// How long an idle machine is kept, in seconds.
+    pub const IDLE_KEEP: &str = "idle_keep_s";
+    /// How long the members of an incomplete gang keep their capacity, in seconds.
+    pub const GANG_WAIT: &str = "gang_wait_s";
+    /// Whether a job that may use spot machines does.
+    pub const USE_SPOT: &str = "use_spot";
+    /// Batch work that is not urgent gets no machines that cost more than this many times the cheapest.
+    pub const MAX_PRICE_RATIO: &str = "dear_ratio";
+    /// Whether replicas are moved off expensive or nearly empty machines.
+    pub const CONSOLIDATE: &str = "consolidate";
+    /// How soon batch work is to be under way, in seconds.
+    pub const BATCH_COMPLETION_TARGET: &str = "drain_s";
+}
+
 /// A rule: its name, what values it may have, and the variables that it may use.
 pub(super) struct Rule {
     /// The name.
@@ -85,12 +101,17 @@
 
 /// All rules.
 pub(super) const RULES: &[Rule] = &[
-    Rule::number("idle_keep_s", 0.0, SECONDS_PER_DAY, &["type", "cluster"]),
-    Rule::number("gang_wait_s", 0.1, SECONDS_PER_HOUR, &["job", "cluster"]),
-    Rule::flag("use_spot", &["job", "cluster"]),
-    Rule::number("dear_ratio", 1.0, 1e6, &["job", "cluster"]),
-    Rule::flag("consolidate", &["cluster"]),
-    Rule::number("drain_s", 1.0, SECONDS_PER_DAY, &["cluster"]),
+    Rule::number(rule::IDLE_KEEP, 0.0, SECONDS_PER_DAY, &["type", "cluster"]),
+    Rule::number(rule::GANG_WAIT, 0.1, SECONDS_PER_HOUR, &["job", "cluster"]),
+    Rule::flag(rule::USE_SPOT, &["job", "cluster"]),
+    Rule::number(rule::MAX_PRICE_RATIO, 1.0, 1e6, &["job", "cluster"]),
+    Rule::flag(rule::CONSOLIDATE, &["cluster"]),
+    Rule::number(
+        rule::BATCH_COMPLETION_TARGET,
+        1.0,
+        SECONDS_PER_DAY,
+        &["cluster"],
+    ),
 ];
 
 /// All variables; what precedes the point is the group.
--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -159,10 +159,10 @@
         // A gang at the barrier found the team's limit free for all of it. What is served before it
         // and finds no machine must not keep the machines for its last tasks from being rented.
         let is_at_barrier = matches!(job.gang, Gang::Holding { .. }) && job.tasks.placed() > 0;
-        if is_at_barrier && self.quota.more(job.team, &spec.need) >= idle {
+        if is_at_barrier && self.quota.tasks_allowed(job.team, &spec.need) >= idle {
             return idle;
         }
-        let want = team.more(used, &spec.need).min(idle);
+        let want = team.tasks_allowed(used, &spec.need).min(idle);
         if is_gang && want < idle {
             return 0;
         }
@@ -174,7 +174,7 @@
         let spec = self.job_table.get(queued.number)?.spec.clone();
         let may_use_spot = self.spot_wanted(&spec);
         let max_price_ratio = if spec.kind == JobKind::Array {
-            self.dear_ratio(&spec)
+            self.max_price_ratio(&spec)
         } else {
             f64::INFINITY
         };
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -135,7 +135,7 @@
             JobKind::Array => 1,
             JobKind::Gang | JobKind::Service => u64::from(spec.tasks),
         };
-        if self.queue_is_long(now) || self.quota.more(team, &spec.need) < at_a_time {
+        if self.queue_is_long(now) || self.quota.tasks_allowed(team, &spec.need) < at_a_time {
             return false;
         }
         self.has_free_room(&spec) || self.cloud_may_have_room(&spec, now)
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -84,7 +84,7 @@
 
     /// Whether what is left of its team's limit holds all idle members.
     fn fits_limit(&self, job: &Job) -> bool {
-        self.quota.more(job.team, &job.spec.need) >= job.tasks.idle().len() as u64
+        self.quota.tasks_allowed(job.team, &job.spec.need) >= job.tasks.idle().len() as u64
     }
 
     /// What its team has left is kept for a gang that has waited too long: nothing behind that one takes
@@ -98,7 +98,7 @@
             gpu: 0,
             ..job.spec.need
         };
-        let left = self.quota.more(job.team, &without_accelerators);
+        let left = self.quota.tasks_allowed(job.team, &without_accelerators);
         Some(ReservedQuota {
             team: job.team,
             accelerators_only: left >= job.tasks.idle().len() as u64,
@@ -117,7 +117,7 @@
         });
         let team = self.quota.team(job.team);
         let tasks = u64::from(job.spec.tasks);
-        team.is_some_and(|team| team.more(&lasting, &job.spec.need) >= tasks)
+        team.is_some_and(|team| team.tasks_allowed(&lasting, &job.spec.need) >= tasks)
     }
 
     /// Assumes the gang's idle members, one by one, on the present snapshot.
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -168,7 +168,7 @@
         };
         let spec = job.spec.clone();
         let idle = job.tasks.idle().len() as u64;
-        let mut left = self.quota.more(job.team, &spec.need).min(idle);
+        let mut left = self.quota.tasks_allowed(job.team, &spec.need).min(idle);
         left = left.min(job.placeable());
         if left == 0 {
             return 0;
--- a/crates/saltpitch-core/src/scheduler/policy_bindings.rs
+++ b/crates/saltpitch-core/src/scheduler/policy_bindings.rs
@@ -3,54 +3,68 @@
 use super::Scheduler;
 use crate::catalog::MachineType;
 use crate::job::{JobKind, JobSpec, Priority};
-use crate::policy::Value;
+use crate::policy::{rule, Value};
 use crate::time::Micros;
 
-fn units(milli: u64) -> Value {
-    Value::Number(milli as f64 / 1e3)
+/// A variable in whole units of what is kept in thousandths.
+fn from_thousandths(amount: u64) -> Value {
+    Value::Number(amount as f64 / 1e3)
 }
 
-fn type_value(t: &MachineType, spot: bool, name: &str) -> Option<Value> {
+/// The variables of a machine type.
+fn type_variable(kind: &MachineType, spot: bool, name: &str) -> Option<Value> {
     Some(match name {
-        "type.name" => Value::Text(t.name.clone()),
-        "type.cpus" => units(t.size.cpu),
-        "type.gpus" => units(t.size.gpu),
-        "type.mem_gb" => units(t.size.mem),
-        "type.price" => units(t.price_of(spot)),
-        "type.boot_s" => Value::Number(t.boot.as_secs_f64()),
+        "type.name" => Value::Text(kind.name.clone()),
+        "type.cpus" => from_thousandths(kind.size.cpu),
+        "type.gpus" => from_thousandths(kind.size.gpu),
+        "type.mem_gb" => from_thousandths(kind.size.mem),
+        "type.price" => from_thousandths(kind.price_of(spot)),
+        "type.boot_s" => Value::Number(kind.boot.as_secs_f64()),
         "type.spot" => Value::Bool(spot),
         _ => return None,
     })
 }
 
-fn job_value(s: &JobSpec, name: &str) -> Option<Value> {
-    let word = |w: &str| Value::Text(w.to_owned());
+/// The variables of a job.
+fn job_variable(spec: &JobSpec, name: &str) -> Option<Value> {
     Some(match name {
-        "job.class" => Value::Text(s.class.clone()),
-        "job.team" => Value::Text(s.team.clone()),
-        "job.kind" => word(match s.kind {
-            JobKind::Array => "array",
-            JobKind::Gang => "gang",
-            JobKind::Service => "service",
-        }),
-        "job.priority" => word(match s.priority {
-            Priority::Production => "production",
-            Priority::High => "high",
-            Priority::Normal => "normal",
-            Priority::Low => "low",
-        }),
-        "job.tasks" => Value::Number(f64::from(s.tasks)),
-        "job.cpus" => units(s.need.cpu),
-        "job.gpus" => units(s.need.gpu),
-        "job.mem_gb" => units(s.need.mem),
-        "job.estimate_s" => Value::Number(s.estimate.as_secs_f64()),
+        "job.class" => Value::Text(spec.class.clone()),
+        "job.team" => Value::Text(spec.team.clone()),
+        "job.kind" => Value::Text(kind_name(spec.kind).to_owned()),
+        "job.priority" => Value::Text(priority_name(spec.priority).to_owned()),
+        "job.tasks" => Value::Number(f64::from(spec.tasks)),
+        "job.cpus" => from_thousandths(spec.need.cpu),
+        "job.gpus" => from_thousandths(spec.need.gpu),
+        "job.mem_gb" => from_thousandths(spec.need.mem),
+        "job.estimate_s" => Value::Number(spec.estimate.as_secs_f64()),
         _ => return None,
     })
 }
 
+/// What policies call a kind of job.
+fn kind_name(kind: JobKind) -> &'static str {
+    match kind {
+        JobKind::Array => "array",
+        JobKind::Gang => "gang",
+        JobKind::Service => "service",
+    }
+}
+
+/// What policies call a priority.
+fn priority_name(priority: Priority) -> &'static str {
+    match priority {
+        Priority::Production => "production",
+        Priority::High => "high",
+        Priority::Normal => "normal",
+        Priority::Low => "low",
+    }
+}
+
 impl Scheduler {
-    fn cluster(&self) -> impl Fn(&str) -> Option<Value> {
-        let (machines, jobs) = (self.inventory.len() as f64, self.job_table.len() as f64);
+    /// The variables of the site.
+    fn cluster_variables(&self) -> impl Fn(&str) -> Option<Value> {
+        let machines = self.inventory.len() as f64;
+        let jobs = self.job_table.len() as f64;
         move |name| match name {
             "cluster.machines" => Some(Value::Number(machines)),
             "cluster.jobs" => Some(Value::Number(jobs)),
@@ -58,39 +72,48 @@
         }
     }
 
-    /// Evaluates the rules that don't hang on a single job.
+    /// Evaluates the rules that do not depend on a job.
     pub(super) fn apply_policy(&mut self) {
-        let cluster = self.cluster();
+        let cluster = self.cluster_variables();
         let policy = &mut self.config.policy;
-        let batch_target = Micros::from_secs_f64(policy.number("drain_s", &cluster));
+        let batch_target = policy.number(rule::BATCH_COMPLETION_TARGET, &cluster);
+        let batch_target = Micros::from_secs_f64(batch_target);
         self.autoscaler.set_batch_completion_target(batch_target);
-        for g in self.inventory.groups_mut() {
-            let scope = |n: &str| type_value(&g.kind, g.spot, n).or_else(|| cluster(n));
-            let idle_keep = policy.number("idle_keep_s", &scope);
-            g.set_idle_keep(Micros::from_secs_f64(idle_keep));
+        for group in self.inventory.groups_mut() {
+            let variables =
+                |name: &str| type_variable(&group.kind, group.spot, name).or_else(|| cluster(name));
+            let idle_keep = policy.number(rule::IDLE_KEEP, &variables);
+            group.set_idle_keep(Micros::from_secs_f64(idle_keep));
         }
     }
 
+    /// The value of a number that may depend on a job.
+    fn job_number(&mut self, rule: &'static str, spec: &JobSpec) -> f64 {
+        let cluster = self.cluster_variables();
+        let variables = |name: &str| job_variable(spec, name).or_else(|| cluster(name));
+        self.config.policy.number(rule, &variables)
+    }
+
+    /// How long the members of an incomplete gang keep their capacity.
     pub(super) fn gang_hold(&mut self, spec: &JobSpec) -> Micros {
-        let cluster = self.cluster();
-        let scope = |n: &str| job_value(spec, n).or_else(|| cluster(n));
-        Micros::from_secs_f64(self.config.policy.number("gang_wait_s", &scope))
+        Micros::from_secs_f64(self.job_number(rule::GANG_WAIT, spec))
     }
 
+    /// Whether spot machines are used for a job.
     pub(super) fn spot_wanted(&mut self, spec: &JobSpec) -> bool {
-        let cluster = self.cluster();
-        let scope = |n: &str| job_value(spec, n).or_else(|| cluster(n));
-        spec.spot && self.config.policy.flag("use_spot", &scope)
+        let cluster = self.cluster_variables();
+        let variables = |name: &str| job_variable(spec, name).or_else(|| cluster(name));
+        spec.spot && self.config.policy.flag(rule::USE_SPOT, &variables)
     }
 
-    pub(super) fn dear_ratio(&mut self, spec: &JobSpec) -> f64 {
-        let cluster = self.cluster();
-        let scope = |n: &str| job_value(spec, n).or_else(|| cluster(n));
-        self.config.policy.number("dear_ratio", &scope)
+    /// Machines that cost more than this many times the cheapest are rented for urgent work only.
+    pub(super) fn max_price_ratio(&mut self, spec: &JobSpec) -> f64 {
+        self.job_number(rule::MAX_PRICE_RATIO, spec)
     }
 
+    /// Whether replicas are moved off expensive or nearly empty machines.
     pub(super) fn consolidates(&mut self) -> bool {
-        let cluster = self.cluster();
-        self.config.policy.flag("consolidate", &cluster)
+        let cluster = self.cluster_variables();
+        self.config.policy.flag(rule::CONSOLIDATE, &cluster)
     }
 }
--- a/crates/saltpitch-testkit/src/simulation/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -114,7 +114,8 @@
             let simple = !j.spec.spread && there == 0;
             let team = self.teams.iter().find(|t| t.name == j.spec.team);
             let sum = used.get(j.spec.team.as_str()).copied().unwrap_or_default();
-            let allowed = team.is_some_and(|t| t.more(&sum, &j.spec.need) >= u64::from(want));
+            let allowed =
+                team.is_some_and(|t| t.tasks_allowed(&sum, &j.spec.need) >= u64::from(want));
             let fits = |zone: Option<&str>| -> u64 {
                 free.iter()
                     .filter(|(m, _)| zone.is_none_or(|z| z == m.zone))
