--- a/crates/saltpitch-core/src/agent.rs
+++ b/crates/saltpitch-core/src/agent.rs
@@ -39,7 +39,7 @@
     Running,
     /// It was stopped and saves its progress.
     Saving,
-    /// It is over. Listed until the agent is told to forget it.
+    /// It is over. Listed until a command lets the agent forget it.
     Exited {
         /// Why it is over.
         cause: ExitCause,
@@ -87,7 +87,7 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What an agent is told to do. Each is safe to repeat.
+/// What an agent is to do. Each command is safe to repeat.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Start an attempt of a task.
--- a/crates/saltpitch-core/src/machine/cordon.rs
+++ b/crates/saltpitch-core/src/machine/cordon.rs
@@ -1,4 +1,4 @@
-//! Whether a machine is closed to new tasks until it goes back.
+//! Whether a machine is closed to new tasks until it is returned.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 }
 
 impl Cordon {
-    /// Whether nothing new is placed here; the machine goes back once it is empty.
+    /// Whether nothing new is placed here; the machine is returned once it is empty.
     pub fn is_active(&self) -> bool {
         self.active
     }
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -32,7 +32,7 @@
     Unknown,
 }
 
-/// A direct call with commands, as far as its outcome has to be told apart by it.
+/// What is kept of a direct call with commands until its outcome is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentCommands {
     /// The machine that was called.
--- a/crates/saltpitch-core/src/scheduler/consolidation.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -37,8 +37,8 @@
 }
 
 impl Scheduler {
-    /// Empties the machines whose replicas cost most, a few at a time, if the others have room for them
-    /// where their images are. Nothing may be waiting: free capacity is not taken from anybody.
+    /// Empties the machines whose replicas cost most, a few at a time, if they fit on others that
+    /// have their images. Nothing may be waiting: free capacity is not taken from anybody.
     pub(super) fn consolidate(&mut self, now: Micros) {
         if !self.job_table.unplaced().is_empty() {
             self.placement_pass.last_waiting_at = now;
@@ -160,8 +160,8 @@
         && now.since(allocation.since) > SETTLED_AFTER
 }
 
-/// Whether the machine is in use, has the image, costs less than the source, and has room beside the moves
-/// that are planned.
+/// Whether the machine is in use, has the image, costs less than the source, and has capacity left
+/// beside the moves that are planned.
 fn is_target(machine: &Machine, spec: &JobSpec, source: &Source, moves: &[PlannedMove]) -> bool {
     let planned_here = moves
         .iter()
--- a/crates/saltpitch-core/src/scheduler/inventory.rs
+++ b/crates/saltpitch-core/src/scheduler/inventory.rs
@@ -1,7 +1,7 @@
 //! The machines that the scheduler knows, and the indexes by which it finds them.
 //!
-//! A machine's own state is changed through [`MachineInventory::get_mut`]; whoever changes something that
-//! counts for placement calls [`MachineInventory::update`] afterwards.
+//! A machine's own state is changed through [`MachineInventory::get_mut`]; a caller that changes something
+//! that counts for placement calls [`MachineInventory::update`] afterwards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/saltpitch-core/src/scheduler/recovery.rs
+++ b/crates/saltpitch-core/src/scheduler/recovery.rs
@@ -17,9 +17,12 @@
 use crate::catalog::{Catalog, MachineType};
 use crate::machine::Machine;
 use crate::quota::Quota;
-use crate::records::{checkpoint_key, RecordCache};
+use crate::records::{checkpoint_key, MachineRecord, RecordCache};
 use crate::time::Micros;
 
+/// How long the record of a block waits for other changes after a machine in two blocks was taken out of it.
+const DUPLICATE_RECORD_DELAY: Micros = Micros::from_secs(1);
+
 impl Scheduler {
     /// Takes over with what the records say. `previous_leader_fenced_at`: from then on no earlier leader can
     /// answer an agent.
@@ -64,36 +67,43 @@
             let kind = self.catalog.get(&block.type_name).cloned();
             let kind = Arc::new(kind.unwrap_or_else(|| MachineType::unknown(&block.type_name)));
             let zone: Arc<str> = block.zone.as_str().into();
-            for rec in &block.machines {
+            for MachineRecord(name, addr, is_returning, created_at) in &block.machines {
+                if self.merge_duplicate(name, *number, now) {
+                    continue;
+                }
                 let mut machine =
-                    Machine::new(&rec.0, kind.clone(), zone.clone(), block.spot, &rec.1, now);
-                machine.lifecycle.set_recorded();
+                    Machine::new(name, kind.clone(), zone.clone(), block.spot, addr, now);
                 machine.block = Some(*number);
-                machine
-                    .lifecycle
-                    .set_created_at(now.since(wall.since(rec.3)));
-                if rec.2 {
+                machine.lifecycle.set_recorded();
+                let age = wall.since(*created_at);
+                machine.lifecycle.set_created_at(now.since(age));
+                if *is_returning {
                     machine.lifecycle.restore_return();
                 }
-                if let Some(first) = self.inventory.get_mut(&machine.name) {
-                    let from = first.block.replace(*number);
-                    if let Some(from) = from.filter(|f| f != number) {
-                        self.persistence.remove_duplicate_machine(
-                            &machine.name,
-                            from,
-                            now.plus(Micros::from_secs(1)),
-                        );
-                    }
-                    continue;
-                }
                 let name = machine.name.clone();
                 self.inventory.add(machine);
                 self.inventory.update_reachability(&name);
-                self.restore_images(&rec.0, records, now);
+                self.restore_images(&name, records, now);
             }
         }
     }
 
+    /// Whether the machine is known from an earlier block: a leader ended while it split that one. The later
+    /// block has the machine.
+    fn merge_duplicate(&mut self, name: &str, block: u32, now: Micros) -> bool {
+        let Some(machine) = self.inventory.get_mut(name) else {
+            return false;
+        };
+        let earlier = machine.block.replace(block);
+        let name = machine.name.clone();
+        if let Some(earlier) = earlier.filter(|earlier| *earlier != block) {
+            let due = now.plus(DUPLICATE_RECORD_DELAY);
+            self.persistence
+                .remove_duplicate_machine(&name, earlier, due);
+        }
+        true
+    }
+
     /// The jobs on record, and what is left of those that are over.
     fn restore_jobs(&mut self, records: &RecordCache, now: Micros, wall: Micros) {
         let mut ids: Vec<&String> = records.jobs.keys().collect();
--- a/crates/saltpitch-core/src/scheduler/task_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/task_reconciliation.rs
@@ -117,7 +117,7 @@
                     task: task.task,
                     cause: Some(cause),
                 });
-                // Listed until the agent is told to forget it, once the outcome is on record.
+                // Listed until a command lets the agent forget it, once the outcome is on record.
                 self.unowned.push(task);
                 return;
             }
