--- a/crates/saltpitch-core/src/gang.rs
+++ b/crates/saltpitch-core/src/gang.rs
@@ -5,11 +5,17 @@
 /// Where a gang stands between submission and its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Gang {
-    /// Holds nothing. Not looked at before `until`, unless an event wakes it.
-    Parked { until: Micros },
-    /// Some members are assumed and hold their room since then.
-    Holding { since: Micros },
-    /// Quorum: the members' places go on record together.
+    /// Holds nothing.
+    Parked {
+        /// It is not looked at before then.
+        until: Micros,
+    },
+    /// Some members are assumed and hold their capacity.
+    Holding {
+        /// Since when it has waited at the barrier.
+        since: Micros,
+    },
+    /// Quorum: the members' allocations go on record together.
     Committing,
     /// The allow loop ran: every start has been released.
     Allowed,
@@ -30,15 +36,18 @@
     group_exists && known >= min_count
 }
 
+/// What the Permit barrier says of a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
+    /// All members are assumed: they may start.
     Allow,
+    /// The assumed members keep their capacity and wait for the others.
     Wait,
-    /// The wait is over: drop the room and park the gang whole.
+    /// The wait is over: release the capacity and park the gang as a whole.
     Drop,
 }
 
-/// Permit: assumed members hold their room until their count reaches `min_count`.
+/// Permit: assumed members hold their capacity until their count reaches `min_count`.
 pub fn permit(assumed: u32, min_count: u32, since: Micros, now: Micros, wait: Micros) -> Permit {
     if assumed >= min_count {
         Permit::Allow
--- a/crates/saltpitch-core/src/lib.rs
+++ b/crates/saltpitch-core/src/lib.rs
@@ -28,37 +28,25 @@
 //! commanded to forget the task. When all tasks are done, so is the job, and its record shrinks to a few
 //! bytes.
 
-#[warn(missing_docs)]
+#![warn(missing_docs)]
+
 pub mod agent;
-#[warn(missing_docs)]
 pub mod catalog;
-#[warn(missing_docs)]
 pub mod controller;
 pub mod gang;
-#[warn(missing_docs)]
 pub mod images;
-#[warn(missing_docs)]
 pub mod job;
-#[warn(missing_docs)]
 pub mod leadership;
-#[warn(missing_docs)]
 pub mod machine;
-#[warn(missing_docs)]
 pub mod machine_index;
-#[warn(missing_docs)]
 pub mod messages;
-#[warn(missing_docs)]
 pub mod placement;
-#[warn(missing_docs)]
 pub mod policy;
 pub mod preemption;
-#[warn(missing_docs)]
 pub mod quota;
-#[warn(missing_docs)]
 pub mod records;
 pub mod scheduler;
 pub mod time;
-#[warn(missing_docs)]
 pub mod token_bucket;
 
 pub use time::Micros;
--- a/crates/saltpitch-core/src/policy/mod.rs
+++ b/crates/saltpitch-core/src/policy/mod.rs
@@ -4,8 +4,8 @@
 //! use. A fault at run time (a division by zero, a value out of range) is reported once and the built-in
 //! rule is used instead.
 //!
-//! A text goes through [`lexer`] and [`parser`] to [`expression`]s, which [`check`] compares with the
-//! [`rules`] and [`evaluate`] gives values.
+//! A text goes through `lexer` and `parser` to `expression`s, which `check` compares with the
+//! `rules` and `evaluate` gives values.
 
 mod check;
 mod error;
--- a/crates/saltpitch-core/src/preemption.rs
+++ b/crates/saltpitch-core/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Which tasks to stop so that a more urgent one finds room: the cheapest loss first.
+//! Which tasks to stop so that a more urgent one finds capacity: the cheapest loss first.
 
 use crate::catalog::Resources;
 use crate::time::Micros;
@@ -6,14 +6,16 @@
 /// A task that may be stopped, and what stopping it loses.
 #[derive(Clone, Debug)]
 pub struct Victim<T> {
+    /// The task.
     pub id: T,
+    /// What it takes of its machine.
     pub need: Resources,
-    /// Work lost, in processor-microseconds.
+    /// Work lost, in thousandths of a processor times milliseconds.
     pub loss: u64,
 }
 
-/// The cheapest set of victims on one machine that frees `need`, or None. `free` is what is free
-/// there now or will be once the tasks already being stopped are gone.
+/// The cheapest set of victims on one machine that frees `need`, and their loss; `None` if all of them are
+/// not enough. `free` is what is free there now or will be once the tasks already being stopped are gone.
 pub fn choose<T: Copy>(
     need: &Resources,
     free: Resources,
@@ -22,31 +24,29 @@
     if need.fits(&free) {
         return Some((0, Vec::new()));
     }
-    victims.sort_by_key(|v| v.loss);
-    let mut room = free;
-    let mut taken = Vec::new();
-    for (i, v) in victims.iter().enumerate() {
-        room = room.plus(&v.need);
-        taken.push(i);
-        if need.fits(&room) {
+    victims.sort_by_key(|victim| victim.loss);
+    let mut freed = free;
+    let mut chosen: Vec<&Victim<T>> = Vec::new();
+    for victim in victims.iter() {
+        freed = freed.plus(&victim.need);
+        chosen.push(victim);
+        if need.fits(&freed) {
             break;
         }
     }
-    if !need.fits(&room) {
+    if !need.fits(&freed) {
         return None;
     }
-    // What turned out not to be needed stays, dearest first.
-    let mut keep: Vec<usize> = Vec::new();
-    for &i in taken.iter().rev() {
-        let without = room.minus(&victims[i].need);
+    // Victims that turned out not to be needed are spared, the most expensive first.
+    for at in (0..chosen.len()).rev() {
+        let without = freed.minus(&chosen[at].need);
         if need.fits(&without) {
-            room = without;
-            keep.push(i);
+            freed = without;
+            chosen.remove(at);
         }
     }
-    taken.retain(|i| !keep.contains(i));
-    let loss = taken.iter().map(|&i| victims[i].loss).sum();
-    Some((loss, taken.into_iter().map(|i| victims[i].id).collect()))
+    let loss = chosen.iter().map(|victim| victim.loss).sum();
+    Some((loss, chosen.into_iter().map(|victim| victim.id).collect()))
 }
 
 /// Work lost when `lost` of a task's run time has to be done again.
--- a/crates/saltpitch-core/src/scheduler/autoscaler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/mod.rs
@@ -1,7 +1,7 @@
 //! Scaling out and in: what is asked of the cloud, what it refused, and how long machines take to come up.
 //!
 //! The scheduler reports demand ([`Autoscaler::job_queued`]) and what the cloud and the machines do. In each
-//! pass it takes a [`CapacityPlan`](capacity_plan::CapacityPlan) of what is pending, reserves capacity in it
+//! pass it takes a [`CapacityPlan`] of what is pending, reserves capacity in it
 //! for the waiting jobs in the order of service, and hands it back to [`Autoscaler::plan_requests`] for the
 //! machines that are missing.
 
--- a/crates/saltpitch-core/src/scheduler/interface.rs
+++ b/crates/saltpitch-core/src/scheduler/interface.rs
@@ -112,7 +112,7 @@
 pub enum Effect {
     /// Answer with [`super::Scheduler::committed`].
     Commit(Transaction),
-    /// Read the records anew and answer with [`super::Scheduler::refreshed`].
+    /// Read the records anew and answer with [`super::Scheduler::records_reloaded`].
     ReloadRecords,
     /// Answer with [`super::Scheduler::command_ended`].
     SendCommands {
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -1,5 +1,12 @@
-//! The leader's memory and its loops: tasks against machines, machines against need, records
-//! against memory. Each loop compares what is wanted with what is, so repeating one is harmless.
+//! The scheduler: which task runs on which machine, and how many machines there are.
+//!
+//! [`Scheduler`] holds the components and passes events, answers and effects between them. Each component
+//! owns its state: `job_table` jobs and queues, `inventory` machines, `persistence` what is not yet on
+//! record, `autoscaler` what is asked of the cloud, `dispatch` direct calls to agents. The loops compare
+//! what is wanted with what is, so that repeating one is harmless: tasks against machines
+//! (`placement_pass`, `preemption`, `gang_barrier`), heartbeats against allocations
+//! (`agent_reconciliation`, `agent_health`), capacity against need (`capacity_planning`, `scale_in`),
+//! records against memory (`record_commits`).
 
 mod accelerator_sharing;
 mod agent_health;
@@ -158,6 +165,7 @@
         }
     }
 
+    /// The transaction that raises the term was not carried out.
     pub fn term_raise_failed(&mut self) {
         self.leader_term.raise_in_flight = false;
     }
@@ -255,7 +263,7 @@
         counts
     }
 
-    /// Room that `need` takes on a machine, for tests and rules.
+    /// What the team's placed tasks take, for tests.
     pub fn used_by(&self, team: &str) -> Resources {
         self.quota.used(self.quota.number(team))
     }
