--- a/crates/saltpitch-core/src/scheduler/agent_health.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_health.rs
@@ -141,7 +141,7 @@
         // by themselves.
         let may_be_up = machine.lifecycle.is_unregistered()
             && machine.lifecycle.is_recorded()
-            && machine.lifecycle.created_at() < self.leader_term.elected_at;
+            && machine.lifecycle.created_at() < self.leader_term.elected_at();
         let needs_probe = may_be_up
             || (is_expected && silence > interval.times(MISSED_HEARTBEAT))
             || connectivity.inbound.is_suspected();
@@ -258,7 +258,7 @@
         let Some(machine) = machine.filter(|machine| !machine.allocations.is_empty()) else {
             return now.plus(self.config.lease);
         };
-        let earlier_leaders_until = self.leader_term.previous_leader_fenced_at;
+        let earlier_leaders_until = self.leader_term.previous_leader_fenced_at();
         let others_fenced_at = machine.agent.fenced_at().unwrap_or(earlier_leaders_until);
         let duration = self.config.lease.with_drift();
         let lease_end = machine.lease.expires_at(others_fenced_at, duration);
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -42,7 +42,7 @@
         if is_returned || self.inventory.was_returned(&heartbeat.machine) {
             return Err(HeartbeatRejection::Returned);
         }
-        if heartbeat.fencing_token > self.leader_term.term {
+        if heartbeat.fencing_token > self.leader_term.term() {
             return Err(HeartbeatRejection::NewerToken);
         }
         let name = self.register_agent(&heartbeat, now)?;
@@ -83,7 +83,7 @@
         }
         let inbound = &mut machine.connectivity.inbound;
         inbound.heartbeat_received(signs, heartbeat_freshness, now);
-        inbound.answered_with(self.leader_term.term, signs);
+        inbound.answered_with(self.leader_term.term(), signs);
         machine.agent.heartbeat_answered(signs.sequence);
         self.inventory.update(name);
         Ok(())
@@ -165,7 +165,7 @@
     ) {
         let context = StatusContext {
             is_heartbeat,
-            first_term: self.leader_term.first_term,
+            first_term: self.leader_term.first_term(),
             lease: self.config.lease,
             heartbeat_freshness: self.heartbeat_freshness(),
             now,
@@ -189,7 +189,7 @@
             self.address_changed(name, now);
         }
         if changes.registered || changes.fenced {
-            self.placement_pass.requested = true;
+            self.placement_pass.request();
         }
         if changes.registered {
             self.note_provisioned(name, now);
--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -86,7 +86,7 @@
         if allocation.committed || allocation.in_transaction {
             self.persistence.task_ended(number, task, now);
         }
-        self.placement_pass.requested = true;
+        self.placement_pass.request();
     }
 
     /// Stops every placed task of a job; those whose start was never sent are released at once.
--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -28,7 +28,7 @@
         self.autoscaler.discard_unsent_requests();
         if !self.too_many_unreachable(now) {
             let plan = self.capacity_plan(now);
-            let term = self.leader_term.term;
+            let term = self.leader_term.term();
             self.autoscaler.plan_requests(&plan, term, now);
         }
         self.scale_in_idle(now);
@@ -218,6 +218,6 @@
 
     /// What decides whether machines have come up in time.
     pub(super) fn provisioning_clock(&self, now: Micros) -> ProvisioningClock {
-        ProvisioningClock::new(&self.config, self.leader_term.elected_at, now)
+        ProvisioningClock::new(&self.config, self.leader_term.elected_at(), now)
     }
 }
--- a/crates/saltpitch-core/src/scheduler/cloud_listing.rs
+++ b/crates/saltpitch-core/src/scheduler/cloud_listing.rs
@@ -64,7 +64,7 @@
                 self.remove_machine(name, now);
             }
         }
-        self.placement_pass.requested = true;
+        self.placement_pass.request();
     }
 
     /// The cloud's list. What is on it is there, or was a while ago; absence proves nothing. `is_returned`:
--- a/crates/saltpitch-core/src/scheduler/command_retries.rs
+++ b/crates/saltpitch-core/src/scheduler/command_retries.rs
@@ -32,8 +32,7 @@
         for name in &findings.retried {
             self.dispatch.request(name);
         }
-        if findings.term_outdated && !self.leader_term.raise_in_flight {
-            self.leader_term.raise_in_flight = true;
+        if findings.term_outdated && self.leader_term.begin_raise() {
             self.effects.push(Effect::RaiseTerm);
         }
     }
@@ -47,7 +46,7 @@
                 findings.settled.push(name.clone());
                 continue;
             };
-            findings.term_outdated |= needs_higher_term(machine, self.leader_term.term, now);
+            findings.term_outdated |= needs_higher_term(machine, self.leader_term.term(), now);
             let awaits_effect = has_awaited_tasks(machine, &mut self.job_table, &self.config, now)
                 || machine.commands.has_unacknowledged_start();
             if !awaits_effect {
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -161,7 +161,7 @@
         if !machine.is_up() || machine.addr.is_empty() {
             return;
         }
-        let term = self.leader_term.term;
+        let term = self.leader_term.term();
         let has_seen_term = machine.agent.has_seen_token(term);
         let commands = self.commands_for(name, None);
         if commands.is_empty() && has_seen_term {
--- a/crates/saltpitch-core/src/scheduler/consolidation.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -41,9 +41,9 @@
     /// have their images. Nothing may be waiting: free capacity is not taken from anybody.
     pub(super) fn consolidate(&mut self, now: Micros) {
         if !self.job_table.unplaced().is_empty() {
-            self.placement_pass.last_waiting_at = now;
+            self.placement_pass.jobs_wait(now);
         }
-        if now.since(self.placement_pass.last_waiting_at) < CALM || !self.consolidates() {
+        if now.since(self.placement_pass.last_waiting_at()) < CALM || !self.consolidates() {
             return;
         }
         let sources = self.consolidation_sources(now);
--- a/crates/saltpitch-core/src/scheduler/dependency_gate.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -50,7 +50,7 @@
         let (spec, queued) = (job.spec.clone(), job.times.queued);
         self.autoscaler.job_queued(&spec, queued, now);
         self.job_table.enqueue(number);
-        self.placement_pass.requested = true;
+        self.placement_pass.request();
     }
 
     /// Notes which of the job's dependencies are not done on record. Done is final, so that much may be
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -74,7 +74,7 @@
         };
         if !self.fits_limit(job) {
             if let Some(reserved) = self.reserved_quota(job, now) {
-                self.placement_pass.reserved_quota.push(reserved);
+                self.placement_pass.reserve(reserved);
             }
             return self.park(queued.number, now);
         }
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -120,7 +120,7 @@
         } else {
             self.check_complete(number);
         }
-        self.placement_pass.requested = true;
+        self.placement_pass.request();
     }
 
     /// The job as its record describes it, without tasks placed or done.
@@ -234,7 +234,7 @@
         self.job_table.dequeue(number);
         self.stop_all(number, Micros::ZERO, now);
         self.check_complete(number);
-        self.placement_pass.requested = true;
+        self.placement_pass.request();
         if let Some(id) = self.job_table.get(number).map(|job| job.id.clone()) {
             self.dependency_cancelled(&id, now);
         }
--- a/crates/saltpitch-core/src/scheduler/job_failures.rs
+++ b/crates/saltpitch-core/src/scheduler/job_failures.rs
@@ -145,7 +145,7 @@
             };
             if job.tasks.end_deferral(task) && job.is_active() {
                 self.job_table.update_unplaced(number);
-                self.placement_pass.requested = true;
+                self.placement_pass.request();
             }
         }
     }
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -80,9 +80,6 @@
 pub(crate) use job_table::job::{Job, JobBackoff, JobTimes};
 pub(crate) use job_table::task_set::{Task, TaskSet};
 
-/// The shortest time between two passes over the jobs that wait.
-const SCHEDULE_INTERVAL: Micros = Micros::from_millis(100);
-
 /// The agents of machines that are up as far as known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AgentCounts {
@@ -122,12 +119,12 @@
 impl Scheduler {
     /// The term, which is the fencing token of every command.
     pub fn term(&self) -> u64 {
-        self.leader_term.term
+        self.leader_term.term()
     }
 
     /// The revision of the term's record, the precondition of every write.
     pub fn term_revision(&self) -> u64 {
-        self.leader_term.revision
+        self.leader_term.revision()
     }
 
     /// Zones in which a controller can be reached from here.
@@ -143,17 +140,14 @@
     /// Prices or types changed.
     pub fn set_catalog(&mut self, catalog: Arc<Catalog>) {
         self.catalog = catalog;
-        self.placement_pass.requested = true;
+        self.placement_pass.request();
     }
 
     /// The term was raised without a change of leader.
-    pub fn term_raised(&mut self, term: u64, rev: u64) {
-        self.leader_term.raise_in_flight = false;
-        if term <= self.leader_term.term {
+    pub fn term_raised(&mut self, term: u64, revision: u64) {
+        if !self.leader_term.raised(term, revision) {
             return;
         }
-        self.leader_term.term = term;
-        self.leader_term.revision = rev;
         // The others hear of it by the answers to their heartbeats.
         let in_doubt = self.dispatch.awaiting_effect().filter(|name| {
             let machine = self.inventory.get(name);
@@ -167,13 +161,12 @@
 
     /// The transaction that raises the term was not carried out.
     pub fn term_raise_failed(&mut self) {
-        self.leader_term.raise_in_flight = false;
+        self.leader_term.raise_failed();
     }
 
     /// The old leader is proven gone: none before us answers anybody from then on.
     pub fn previous_leader_gone(&mut self, fenced_at: Micros) {
-        self.leader_term.previous_leader_fenced_at =
-            self.leader_term.previous_leader_fenced_at.min(fenced_at);
+        self.leader_term.previous_leader_gone(fenced_at);
     }
 
     /// The machine is proven gone; nothing is on it any more.
@@ -198,9 +191,7 @@
             self.next_tick = now.plus(Micros::from_millis(500));
             self.tick(now);
         }
-        if self.placement_pass.requested && now >= self.placement_pass.next_at {
-            self.placement_pass.requested = false;
-            self.placement_pass.next_at = now.plus(SCHEDULE_INTERVAL);
+        if self.placement_pass.due().is_some_and(|due| now >= due) {
             self.run_pass(now);
         }
         self.commit(now);
@@ -211,8 +202,8 @@
     /// When `poll` has something to do at the latest.
     pub fn next_poll(&self) -> Micros {
         let mut at = self.next_tick;
-        if self.placement_pass.requested {
-            at = at.min(self.placement_pass.next_at);
+        if let Some(due) = self.placement_pass.due() {
+            at = at.min(due);
         }
         if let Some(due) = self.persistence.next_due() {
             at = at.min(due);
@@ -232,7 +223,7 @@
             self.plan_capacity(now);
             self.consolidate(now);
             self.end_accelerator_sharing(now);
-            self.placement_pass.requested = true;
+            self.placement_pass.request();
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -13,6 +13,8 @@
 use crate::placement;
 use crate::time::Micros;
 
+/// The shortest time between two passes over the jobs that wait.
+const PASS_INTERVAL: Micros = Micros::from_millis(100);
 /// How long a gang waits for machines that have its image, in times of fetching it.
 const IMAGE_WAIT_RATIO: f64 = 0.6;
 /// Machines of one group that a pass looks at for one job, beyond those that it needs.
@@ -22,15 +24,14 @@
 
 /// When the next pass is due, and what this one may still do.
 pub(super) struct PlacementPass {
-    /// Something changed that may let waiting jobs be placed.
-    pub(super) requested: bool,
-    pub(super) next_at: Micros,
+    requested: bool,
+    next_at: Micros,
     /// What is kept for starved gangs in this pass.
-    pub(super) reserved_quota: Vec<ReservedQuota>,
+    reserved_quota: Vec<ReservedQuota>,
     /// Searches for tasks to preempt that are left in this pass.
-    pub(super) preemption_searches_left: u32,
+    preemption_searches_left: u32,
     /// When a job was last found waiting.
-    pub(super) last_waiting_at: Micros,
+    last_waiting_at: Micros,
 }
 
 impl PlacementPass {
@@ -45,6 +46,46 @@
         }
     }
 
+    /// Something changed that may let waiting jobs be placed.
+    pub(super) fn request(&mut self) {
+        self.requested = true;
+    }
+
+    /// When the next pass is due, if one was requested.
+    pub(super) fn due(&self) -> Option<Micros> {
+        self.requested.then_some(self.next_at)
+    }
+
+    /// A pass begins.
+    fn begin(&mut self, now: Micros) {
+        self.requested = false;
+        self.next_at = now.plus(PASS_INTERVAL);
+        self.preemption_searches_left = SEARCHES_PER_PASS;
+        self.reserved_quota.clear();
+    }
+
+    /// Keeps what a team has left for a starved gang.
+    pub(super) fn reserve(&mut self, quota: ReservedQuota) {
+        self.reserved_quota.push(quota);
+    }
+
+    /// Takes one of the pass's searches for tasks to preempt; false if none is left.
+    pub(super) fn take_preemption_search(&mut self) -> bool {
+        let left = self.preemption_searches_left.checked_sub(1);
+        self.preemption_searches_left = left.unwrap_or(0);
+        left.is_some()
+    }
+
+    /// Jobs wait for capacity.
+    pub(super) fn jobs_wait(&mut self, now: Micros) {
+        self.last_waiting_at = now;
+    }
+
+    /// When a job was last found waiting.
+    pub(super) fn last_waiting_at(&self) -> Micros {
+        self.last_waiting_at
+    }
+
     fn is_quota_reserved(&self, job: &Job) -> bool {
         let mut reserved = self.reserved_quota.iter();
         reserved.any(|reserved| reserved.excludes(job))
@@ -54,9 +95,8 @@
 impl Scheduler {
     /// One pass over the jobs with tasks to place.
     pub(super) fn run_pass(&mut self, now: Micros) {
+        self.placement_pass.begin(now);
         self.release_barriers(now);
-        self.placement_pass.preemption_searches_left = SEARCHES_PER_PASS;
-        self.placement_pass.reserved_quota.clear();
         for queued in self.queued_jobs(now) {
             let Some(job) = self.job_table.get(queued.number) else {
                 continue;
--- a/crates/saltpitch-core/src/scheduler/preemption/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/mod.rs
@@ -48,10 +48,9 @@
         if spec.priority < Priority::High && !queued.within_quota && queued.slack.is_none() {
             return;
         }
-        if self.placement_pass.preemption_searches_left == 0 {
+        if !self.placement_pass.take_preemption_search() {
             return;
         }
-        self.placement_pass.preemption_searches_left -= 1;
         let mut options = self.preemption_options(queued, &spec, now);
         options.sort_by_key(|option| option.loss);
         let chosen = options.into_iter().take(wanted as usize);
--- a/crates/saltpitch-core/src/scheduler/record_commits.rs
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -18,7 +18,7 @@
             clock: &self.clock,
             now,
         };
-        let term_revision = self.leader_term.revision;
+        let term_revision = self.leader_term.revision();
         let effect = self.persistence.next_effect(&mut sources, term_revision);
         self.effects.extend(effect);
     }
@@ -44,7 +44,7 @@
         for number in changes.cancelled_jobs {
             self.stop_all(number, Micros::ZERO, now);
         }
-        self.placement_pass.requested = true;
+        self.placement_pass.request();
     }
 
     /// The machine's record is written: tasks may be placed on it, or it may be returned.
@@ -72,7 +72,7 @@
         for number in unsaved_jobs {
             self.reload_job(number, records, now, wall);
         }
-        self.placement_pass.requested = true;
+        self.placement_pass.request();
     }
 
     /// Takes in a job's records after a transaction with unknown outcome.
--- a/crates/saltpitch-core/src/scheduler/summary.rs
+++ b/crates/saltpitch-core/src/scheduler/summary.rs
@@ -34,7 +34,7 @@
 struct MachineUsage<'a> {
     up: usize,
     /// Those on which nothing new is placed.
-    closed: usize,
+    unschedulable: usize,
     by_type: BTreeMap<&'a str, TypeUsage<'a>>,
 }
 
@@ -44,7 +44,7 @@
         let mut usage = MachineUsage::default();
         for machine in self.inventory.iter().filter(|machine| machine.is_up()) {
             usage.up += 1;
-            usage.closed += usize::from(!machine.takes_tasks());
+            usage.unschedulable += usize::from(!machine.takes_tasks());
             let name = machine.kind.name.as_str();
             let of_type = usage.by_type.entry(name).or_default();
             of_type.name = name;
@@ -63,13 +63,13 @@
         let usage = self.machine_usage();
         let by_type: Vec<String> = usage.by_type.values().map(TypeUsage::to_string).collect();
         format!(
-            "term {} jobs {} waiting {waiting} placed {placed} machines {} up {} ({} closed) [{}] \
-             dirty {} log {} free {} paused {}",
-            self.leader_term.term,
+            "term {} jobs {} waiting {waiting} placed {placed} machines {} up {} ({} unschedulable) [{}] \
+             unsaved {} segment {} free {} paused {}",
+            self.leader_term.term(),
             self.job_table.len(),
             self.inventory.len(),
             usage.up,
-            usage.closed,
+            usage.unschedulable,
             by_type.join(", "),
             self.persistence.unsaved_count(),
             self.persistence.next_segment(),
