--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -1,7 +1,7 @@
 //! Jobs that another cell may run for this one, and jobs that this cell runs for others.
 //!
-//! A delegated job is in no queue: nothing of it is rented for, placed or preempted for. It becomes so by its record
-//! alone, whoever wrote it; [`Scheduler::reserve_for_delegation`] only keeps the job from being placed while
+//! A delegated job is in no queue: nothing is scaled out, placed or preempted for it. It becomes so by its
+//! record alone, whoever wrote it; [`Scheduler::reserve_for_delegation`] only keeps the job from being placed while
 //! that record is under way.
 
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use crate::records::{JobRecord, RecordCache};
 use crate::time::Micros;
 
-/// Waiting jobs that are looked at in one search for candidates, the oldest first.
-const LOOKS_FOR_CANDIDATES: usize = 1_000;
-/// Machines of one group that are looked at to see whether there is room for a job.
-const LOOKS_FOR_ROOM: usize = 64;
-/// Home counts as having room for what it lent only while nothing waits there for longer than this.
-const QUEUE_IS_SHORT: Micros = Micros::from_secs(5);
+/// Waiting jobs that one search for candidates considers, the oldest first.
+const MAX_JOBS_CONSIDERED: usize = 1_000;
+/// Machines of one group that are considered to see whether there is capacity for a job.
+const MAX_MACHINES_CONSIDERED: usize = 64;
+/// This cell counts as having capacity for a delegated job only while nothing waits here for longer.
+const MAX_WAIT_OF_SHORT_QUEUE: Micros = Micros::from_secs(5);
 
 /// Which cell a job is with, as far as this leader knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -71,7 +71,7 @@
         now: Micros,
     ) -> Vec<DelegationCandidate> {
         let oldest = self.job_table.active_by_age();
-        let oldest = oldest.take(LOOKS_FOR_CANDIDATES);
+        let oldest = oldest.take(MAX_JOBS_CONSIDERED);
         let jobs = oldest.filter_map(|number| self.job_table.get(number));
         let long_enough = |job: &&Job| now.since(job.waits_locally_since()) >= waited;
         jobs.filter(|job| job.may_be_delegated())
@@ -143,9 +143,9 @@
 
     /// Whether a job of this cell's own waits for longer than a moment.
     fn queue_is_long(&self, now: Micros) -> bool {
-        let open = self.job_table.unplaced().iter().take(LOOKS_FOR_CANDIDATES);
+        let open = self.job_table.unplaced().iter().take(MAX_JOBS_CONSIDERED);
         let mut jobs = open.filter_map(|number| self.job_table.get(*number));
-        let waits = |job: &Job| now.since(job.waits_locally_since()) > QUEUE_IS_SHORT;
+        let waits = |job: &Job| now.since(job.waits_locally_since()) > MAX_WAIT_OF_SHORT_QUEUE;
         jobs.any(|job| job.is_active() && job.guest.is_none() && !job.at_fault() && waits(job))
     }
 
@@ -156,7 +156,7 @@
             if !spec.allows(&group.kind.name, &group.zone, group.spot) {
                 continue;
             }
-            let search = group.search(&spec.need, LOOKS_FOR_ROOM);
+            let search = group.search(&spec.need, MAX_MACHINES_CONSIDERED);
             self.steps += search.steps;
             let machines = search
                 .machines
