--- a/crates/saltpitch-core/tests/delegation.rs
+++ b/crates/saltpitch-core/tests/delegation.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_guest_keeps_no_machine_and_comes_after_own_work() {
+fn a_delegated_job_keeps_no_machine_and_comes_after_own_work() {
     let mut site = site(1);
     guest(&mut site, "south.job-1000001", false);
     site.steps(10, runs_for_long);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_guest_that_may_rent_takes_an_empty_machine() {
+fn a_delegated_job_that_may_scale_out_takes_an_idle_machine() {
     let mut site = site(1);
     guest(&mut site, "south.job-1000001", true);
     site.steps(10, runs_for_long);
--- a/crates/saltpitch-core/tests/provisioning_times.rs
+++ b/crates/saltpitch-core/tests/provisioning_times.rs
@@ -90,7 +90,7 @@
 /// In one zone nothing boots: after the first machines there are overdue, commands go elsewhere but for
 /// two at a time, which show when it boots again.
 #[test]
-fn orders_leave_a_zone_where_nothing_boots() {
+fn scale_out_avoids_a_zone_where_nothing_boots() {
     let mut cloud = Cloud::new();
     cloud.site.harness.submit("web", replicas(20));
     let east_boots: Boots = |_, zone| (zone == "east").then_some(BOOT);
@@ -156,7 +156,7 @@
 /// The incident: a leader that is cut off from its agents does not rent for the room that it no longer
 /// sees. Without that it ordered hundreds of machines in the seconds before it resigned.
 #[test]
-fn a_leader_cut_off_from_its_workers_rents_nothing() {
+fn a_leader_cut_from_its_agents_scales_out_nothing() {
     let mut cloud = Cloud::new();
     cloud.site.harness.submit("web", replicas(20));
     let boots: Boots = |_, _| Some(BOOT);
--- a/crates/saltpitch-core/tests/directed.rs
+++ b/crates/saltpitch-core/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! One test for each failure found or guarded against, driven through the leader's own interface.
+//! One test for each failure found or guarded against, driven through the scheduler's own interface.
 
 mod harness;
 
@@ -30,7 +30,7 @@
 
 /// The leader before may answer an agent up to its bound: its lease counts from then.
 #[test]
-fn a_silent_machine_is_given_up_only_after_the_old_leaders_bound() {
+fn an_unresponsive_machine_is_given_up_only_after_the_previous_leaders_bound() {
     let build = |records: &mut RecordCache| {
         let m = MachineRecord("vm-1".to_owned(), String::new(), false, secs(500));
         let block = MachineBlockRecord {
@@ -66,7 +66,7 @@
 /// began a new epoch after our last answer; its lease was counted from that answer, and a task
 /// started in the new epoch was taken for lost and started again elsewhere.
 #[test]
-fn a_new_session_has_its_own_lease() {
+fn a_new_agent_epoch_has_its_own_lease() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     d.heartbeat("vm-1", "east", 1, &[]);
     // Its heartbeats go astray from here on; the lease runs out, and probes find a new epoch.
@@ -89,7 +89,7 @@
 
 /// A place on a machine whose record is gone: the machine was proven gone before that.
 #[test]
-fn a_place_without_a_machine_record_is_free() {
+fn an_allocation_without_a_machine_record_is_released() {
     let mut d = SchedulerHarness::new(|records| put_placed(records, "vm-9"), secs(2_000));
     d.heartbeat("vm-2", "west", 1, &[]);
     d.pass(secs(1));
@@ -101,7 +101,7 @@
 /// Found on a rough canal day: machines heard just before a zone was cut off were taken for a
 /// sign that the zone could be reached, and the others in it were returned.
 #[test]
-fn a_zone_that_falls_silent_whole_is_not_returned() {
+fn machines_of_a_zone_that_is_unresponsive_as_a_whole_are_not_returned() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     for sequence in 1..4 {
         for m in 0..6 {
@@ -128,7 +128,7 @@
 /// says that the silence is the machines'; nor do the first who are heard again, as long as the
 /// others have not been asked since.
 #[test]
-fn a_leader_cut_from_its_workers_returns_none_of_them() {
+fn a_leader_cut_from_its_agents_returns_none_of_their_machines() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     d.scheduler
         .set_reachable_zones(BTreeSet::from(["east".to_owned()]));
@@ -163,7 +163,7 @@
 /// A leader that stood still through an outage of the store keeps its leadership. When it goes on, the
 /// heartbeats of that time are still unread: nobody is closed for new work, asked or returned for them.
 #[test]
-fn a_leader_that_stood_still_takes_nobody_for_silent() {
+fn a_leader_that_was_paused_counts_no_machine_as_unresponsive() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     for m in 0..10 {
         d.heartbeat(&format!("vm-{m}"), "east", 1, &[]);
@@ -189,7 +189,7 @@
 
 /// The counterpart: one silent machine among others that are heard is returned soon.
 #[test]
-fn one_silent_machine_is_returned() {
+fn a_single_unresponsive_machine_is_returned() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     d.submit("job-1", spec(JobKind::Service, 6, 4));
     for sequence in 1..8 {
@@ -208,7 +208,7 @@
 /// Found on the parking site's steady day: guaranteed low work and urgent work of another team
 /// stopped each other in turn, thousands of times.
 #[test]
-fn two_jobs_never_stop_each_other_in_turn() {
+fn two_jobs_never_preempt_each_other_in_turn() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     let mut low = spec(JobKind::Array, 4, 2);
     low.priority = Priority::Low;
@@ -260,7 +260,7 @@
 
 /// Nothing of a gang starts before all of it has a place; then everything does.
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
+fn a_gang_starts_as_a_whole_or_not_at_all() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     d.heartbeat("vm-0", "east", 1, &[]);
     d.submit("job-1", spec(JobKind::Gang, 3, 5));
@@ -281,7 +281,7 @@
 
 /// The barrier's wait is bounded: the room goes to others, and the gang is parked.
 #[test]
-fn a_gang_that_cannot_complete_gives_its_room_back() {
+fn a_gang_that_cannot_complete_releases_its_capacity() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     d.heartbeat("vm-0", "east", 1, &[]);
     d.submit("job-1", spec(JobKind::Gang, 3, 5));
@@ -300,7 +300,7 @@
 /// A job of 100,000 tasks is served in steps: only chunks with placed tasks are written, and no
 /// more is rented for it than a cloud can have.
 #[test]
-fn a_job_of_100_000_tasks_is_taken_in_steps() {
+fn a_job_of_100_000_tasks_is_placed_in_steps() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     d.heartbeat("vm-0", "east", 1, &[]);
     d.submit("job-1", spec(JobKind::Array, 100_000, 2));
@@ -350,7 +350,7 @@
 
 /// Neither a heartbeat nor a pass or a tick looks at the whole site.
 #[test]
-fn a_report_and_a_pass_cost_the_same_at_any_size() {
+fn a_heartbeat_and_a_pass_cost_the_same_at_any_size() {
     let (small, large) = (costs(40), costs(1_200));
     assert!(small.0 > 0 && small.1 > 0, "the steps are counted");
     assert_eq!(small.0, large.0, "a report");
@@ -359,7 +359,7 @@
 
 /// Changes are scarce: machines share records, and so do the placements of all jobs.
 #[test]
-fn machines_and_placements_share_changes() {
+fn machines_and_allocations_share_changes_of_the_store() {
     let small = full_site(40).writes;
     let large = full_site(1_200).writes;
     assert!(large <= small + 1_200 / 20, "{small} changes, then {large}");
@@ -368,7 +368,7 @@
 /// A machine whose heartbeats arrive while nothing reaches it: its sequence numbers show that it asks
 /// other nodes in between, direct calls fail, and its epoch goes on although it is answered.
 #[test]
-fn a_deaf_machine_gets_nothing_new_and_goes_back() {
+fn a_machine_with_an_inbound_partition_gets_no_tasks_and_is_returned() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     d.heartbeat("vm-1", "east", 1, &[]);
     d.submit("job-1", spec(JobKind::Array, 1, 8));
@@ -404,7 +404,7 @@
 /// Copies of a dead machine's last heartbeat, long after it: they renew nothing, so that its task goes
 /// on elsewhere when its lease is over; and once it was returned they don't bring it back.
 #[test]
-fn late_copies_of_reports_renew_nothing() {
+fn late_copies_of_heartbeats_renew_no_lease() {
     let mut d = SchedulerHarness::new(|_| {}, secs(0));
     d.heartbeat("vm-1", "east", 1, &[]);
     d.submit("job-1", spec(JobKind::Array, 1, 8));
@@ -432,7 +432,7 @@
 /// Calls to the cloud are scarce. A rush that takes dozens of them for one type must not use them up
 /// before another type is asked for, and no more are asked for than the rate allows.
 #[test]
-fn rentals_go_by_turns_within_the_clouds_rate() {
+fn scale_out_requests_go_by_turns_within_the_clouds_rate() {
     let mut types = catalog().types.clone();
     types.push(MachineType {
         name: "accel".to_owned(),
@@ -467,7 +467,7 @@
 /// few changes left to the moment, a segment spoke of a handful of jobs only, although a transaction
 /// may hold four conditions for each write that it may ever have.
 #[test]
-fn a_segment_speaks_of_many_jobs_however_few_changes_are_left() {
+fn a_segment_holds_many_jobs_however_few_changes_are_left() {
     let mut config = config();
     config.teams[0].cpu_max = 0;
     (config.max_transaction_writes, config.write_rate) = (12, 2.0);
@@ -596,7 +596,7 @@
 /// A job counts as urgent as the most urgent job that needs it. Found on the parking site's rough days:
 /// early stages of urgent pipelines were stopped up to four times for work no more urgent.
 #[test]
-fn what_an_urgent_job_needs_is_not_stopped_for_urgent_work() {
+fn dependencies_of_an_urgent_job_are_not_preempted_for_urgent_work() {
     assert!(stopped_for_urgent_work(false));
     assert!(!stopped_for_urgent_work(true));
 }
