--- a/crates/saltpitch-core/tests/scheduler.rs
+++ b/crates/saltpitch-core/tests/scheduler.rs
@@ -173,7 +173,7 @@
     d.heartbeat("vm-0", "east", 2, &[]);
     let asked = |e: &Effect| matches!(e, Effect::Probe { .. });
     assert!(!d.scheduler.poll(d.now).iter().any(asked));
-    assert!(d.scheduler.summary().contains("(0 closed)"));
+    assert!(d.scheduler.summary().contains("(0 unschedulable)"));
     let counts = saltpitch_core::scheduler::AgentCounts {
         reachable: 10,
         heard: 10,
@@ -182,7 +182,7 @@
     assert_eq!(d.scheduler.agent_counts(d.now), counts);
     d.pass(secs(7));
     assert!(
-        !d.scheduler.summary().contains("(0 closed)"),
+        !d.scheduler.summary().contains("(0 unschedulable)"),
         "then they are"
     );
 }
