--- a/crates/saltpitch-core/src/records/mod.rs
+++ b/crates/saltpitch-core/src/records/mod.rs
@@ -21,7 +21,9 @@
     LEADER_KEY, MACHINES_PER_BLOCK, PREFIX, TASKS_PER_CHECKPOINT, TERM_KEY,
 };
 pub use record_cache::{Change, JobEntry, RecordCache, RecordError};
-pub use recorded_tasks::{AllocatedMachine, Checkpoint, RecordedSegment, TaskState, TaskStates};
+pub use recorded_tasks::{
+    AllocatedMachine, Checkpoint, RecordedRange, RecordedSegment, TaskState, TaskStates,
+};
 pub use returned_machines::ReturnedMachines;
 pub use stored::{
     AllocationRecord, CheckpointRecord, JobRecord, LeaderRecord, MachineBlockRecord, MachineRecord,
--- a/crates/saltpitch-core/src/records/record_cache/tasks.rs
+++ b/crates/saltpitch-core/src/records/record_cache/tasks.rs
@@ -3,7 +3,9 @@
 use serde_json::value::RawValue;
 
 use super::{parse, Change, RecordCache, RecordError};
-use crate::records::recorded_tasks::{AllocatedMachine, Checkpoint, RecordedSegment, TaskState};
+use crate::records::recorded_tasks::{
+    AllocatedMachine, Checkpoint, RecordedRange, RecordedSegment, TaskState,
+};
 use crate::records::stored::{AllocationRecord, CheckpointRecord, SegmentEntry, SegmentRecord};
 use crate::records::TASKS_PER_CHECKPOINT;
 
@@ -111,15 +113,18 @@
     }
 }
 
-/// The ranges of tasks that a segment mentions, by job and index.
-fn mentioned_ranges(record: &SegmentRecord) -> Vec<(String, u32)> {
+/// The ranges of tasks that a segment mentions.
+fn mentioned_ranges(record: &SegmentRecord) -> Vec<RecordedRange> {
     let mut ranges = Vec::new();
     for (id, entries) in &record.entries {
         let tasks = entries.iter().map(|entry| entry.0);
         let mut of_job: Vec<u32> = tasks.map(|task| task / TASKS_PER_CHECKPOINT).collect();
         of_job.sort_unstable();
         of_job.dedup();
-        ranges.extend(of_job.into_iter().map(|index| (id.clone(), index)));
+        ranges.extend(of_job.into_iter().map(|index| RecordedRange {
+            job: id.clone(),
+            index,
+        }));
     }
     ranges
 }
--- a/crates/saltpitch-core/src/records/recorded_tasks.rs
+++ b/crates/saltpitch-core/src/records/recorded_tasks.rs
@@ -66,6 +66,15 @@
     }
 }
 
+/// A range of tasks that share a checkpoint.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecordedRange {
+    /// The job.
+    pub job: String,
+    /// The range's index within the job.
+    pub index: u32,
+}
+
 /// What the cache keeps of a segment of the log.
 #[derive(Clone, Debug)]
 pub struct RecordedSegment {
@@ -73,8 +82,8 @@
     pub revision: u64,
     /// Its number.
     pub number: u64,
-    /// The ranges of tasks that it mentions, by job and index.
-    pub task_ranges: Vec<(String, u32)>,
+    /// The ranges of tasks that it mentions.
+    pub task_ranges: Vec<RecordedRange>,
 }
 
 /// What the cache keeps of the checkpoint of one range of tasks.
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
@@ -6,9 +6,9 @@
 use super::accelerator_demand::AcceleratorDemand;
 use super::capacity_pools::{CapacityPool, ZoneSpread};
 use super::pool_key::MachinePoolKey;
+use super::reservation::Reservation;
 use super::Autoscaler;
 use crate::catalog::{Catalog, Resources};
-use crate::job::JobSpec;
 use crate::machine::Machine;
 use crate::scheduler::Job;
 use crate::time::Micros;
@@ -21,8 +21,6 @@
 /// Beyond the boot time, a machine becomes urgent for a job with this much time left: sooner, there is
 /// still hope for cheaper capacity.
 const URGENT_MARGIN: Micros = Micros::from_secs(25);
-/// Prices are compared in this fraction of their unit.
-const PRICE_PRECISION: u64 = 1_000;
 
 /// On what terms machines are rented for a job.
 pub(in crate::scheduler) struct ScaleOutTerms {
@@ -38,7 +36,7 @@
 
 impl ScaleOutTerms {
     /// Whether a machine that is rented now comes just in time.
-    fn is_urgent(&self, boot: Micros) -> bool {
+    pub(super) fn is_urgent(&self, boot: Micros) -> bool {
         self.slack.is_some_and(|slack| {
             slack > boot.times(MIN_URGENT_BOOTS) && slack < boot.plus(URGENT_MARGIN)
         })
@@ -81,7 +79,7 @@
     }
 
     /// Gives `want` tasks of a job pending capacity, and adds machines to be rented where that is short.
-    /// `machines_in_zone` tells how many machines there are already.
+    /// `machines_in_zone` is how many machines there are already.
     pub(in crate::scheduler) fn reserve(
         &mut self,
         job: &Job,
@@ -91,66 +89,16 @@
         machines_in_zone: &dyn Fn(&str) -> usize,
     ) {
         let spec = &job.spec;
-        let mut suitable: Vec<&mut CapacityPool> = self
-            .pools
-            .iter_mut()
-            .filter(|pool| {
-                pool.suits(spec, terms.may_use_spot)
-                    && !accelerators.is_contested_for(spec, &pool.kind.size)
-            })
-            .collect();
-        let mut zones = ZoneSpread::new(spec, job.tasks.zones());
-        let mut left = want - reserve_pending(&mut suitable, spec, want, &mut zones);
-        let prices = suitable.iter().map(|pool| pool.price_per_task(&spec.need));
-        let cheapest = prices.fold(f64::INFINITY, f64::min);
-        let max_price = cheapest * terms.max_price_ratio;
-        while left > 0 {
-            let is_allowed = |pool: &CapacityPool| {
-                pool.may_grow()
-                    && zones.allowance(&pool.zone) > 0
-                    && (pool.price_per_task(&spec.need) <= max_price
-                        || terms.is_urgent(pool.kind.boot))
-            };
-            let candidates = suitable.iter_mut().filter(|pool| is_allowed(pool));
-            // The machine that holds a task of this job for the least money; between equals, the zone
-            // with fewer machines.
-            let best = candidates.min_by_key(|pool| {
-                let tasks = spec.need.count_in(&pool.kind.size).min(left).max(1);
-                let price = pool.price() * PRICE_PRECISION / tasks;
-                let in_zone = machines_in_zone(&pool.zone);
-                (price, in_zone + pool.new_machines() as usize)
-            });
-            let Some(pool) = best else { return };
-            pool.want_machine(terms.position, spec.priority);
-            if pool.is_stalled() {
-                continue;
-            }
-            let tasks = spec.need.count_in(&pool.kind.size);
-            let tasks = tasks.min(left).min(zones.allowance(&pool.zone));
-            pool.add_new_machine(&spec.need, tasks);
-            zones.add(&pool.zone, tasks);
-            left -= tasks;
-        }
-    }
-}
-
-/// Takes pending capacity for up to `want` tasks; returns for how many.
-fn reserve_pending(
-    pools: &mut [&mut CapacityPool],
-    spec: &JobSpec,
-    want: u64,
-    zones: &mut ZoneSpread,
-) -> u64 {
-    let mut left = want;
-    for pool in pools {
-        let allowed = left.min(zones.allowance(&pool.zone));
-        let taken = pool.take(&spec.need, allowed);
-        if taken > 0 {
-            zones.add(&pool.zone, taken);
-            left -= taken;
-        }
+        let pools = self.pools.iter_mut();
+        let suitable = pools.filter(|pool| {
+            pool.suits(spec, terms.may_use_spot)
+                && !accelerators.is_contested_for(spec, &pool.kind.size)
+        });
+        let zones = ZoneSpread::new(spec, job.tasks.zones());
+        let mut reservation = Reservation::new(spec, terms, suitable.collect(), zones, want);
+        reservation.take_pending();
+        reservation.add_machines(machines_in_zone);
     }
-    want - left
 }
 
 impl Autoscaler {
--- a/crates/saltpitch-core/src/scheduler/autoscaler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/mod.rs
@@ -13,6 +13,7 @@
 mod pool_key;
 mod provisioning_times;
 mod refusals;
+mod reservation;
 mod scale_out;
 
 use std::collections::HashMap;
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
@@ -1,93 +1,19 @@
 //! Machines on record: blocks of machines of one type, zone and kind that share a record.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
+use super::machine_block::{expected_bytes, planned_moves, Block, BlockKind, BlockMove};
 use super::transaction::{CommittedMachine, WrittenBlock};
 use super::RecordSources;
 use crate::machine::Machine;
-use crate::records::{
-    MachineBlockRecord, MachineRecord, RecordCache, Versioned, MACHINES_PER_BLOCK,
-};
+use crate::records::{MachineBlockRecord, MachineRecord, RecordCache};
 use crate::scheduler::SchedulerConfig;
 use crate::time::Micros;
 
-/// Set aside for an address that is not known yet.
-const LONGEST_USUAL_ADDRESS: &str = "255.255.255.255:65535";
-/// Stands for the name of a machine where only its length matters.
-const USUAL_MACHINE_NAME: &str = "vm-000000";
-/// Bytes of a machine's record beside its name and address.
-const MACHINE_RECORD_BYTES: usize = 40;
 /// How long the record of a block waits for other changes after a machine has left it.
 const DEPARTURE_DELAY: Micros = Micros::from_secs(1);
 
-/// What the machines of a block have in common.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct BlockKind {
-    type_name: String,
-    zone: Arc<str>,
-    spot: bool,
-}
-
-impl BlockKind {
-    fn of(machine: &Machine) -> BlockKind {
-        BlockKind {
-            type_name: machine.kind.name.clone(),
-            zone: machine.zone.clone(),
-            spot: machine.spot,
-        }
-    }
-}
-
-/// Machines of one type, zone and kind that share a record.
-struct Block {
-    kind: BlockKind,
-    machines: BTreeSet<Arc<str>>,
-    /// The size of the record, at the most.
-    bytes: usize,
-    /// The record's revision, 0 if it is not there.
-    revision: u64,
-    /// Blocks that took over machines of this one: they must be on record before this one is written
-    /// without those, or else a leader that comes in between would take them for gone.
-    successors: Vec<u32>,
-}
-
-impl Block {
-    fn empty(kind: BlockKind) -> Block {
-        Block {
-            kind,
-            machines: BTreeSet::new(),
-            bytes: 0,
-            revision: 0,
-            successors: Vec::new(),
-        }
-    }
-
-    fn from_record(on_record: &Versioned<MachineBlockRecord>) -> Block {
-        let record = &on_record.value;
-        let names = record.machines.iter().map(|machine| machine.0.as_str());
-        let sizes = record
-            .machines
-            .iter()
-            .map(|machine| machine_bytes(&machine.0, &machine.1));
-        Block {
-            kind: BlockKind {
-                type_name: record.type_name.clone(),
-                zone: record.zone.as_str().into(),
-                spot: record.spot,
-            },
-            machines: names.map(Arc::from).collect(),
-            bytes: sizes.sum(),
-            revision: on_record.revision,
-            successors: Vec::new(),
-        }
-    }
-
-    fn has_room_for(&self, bytes: usize, max_bytes: usize) -> bool {
-        self.machines.len() < MACHINES_PER_BLOCK && self.bytes + bytes <= max_bytes
-    }
-}
-
 /// A block's record as it is to be written.
 pub(super) struct BlockDraft {
     /// The record.
@@ -98,14 +24,6 @@
     pub(super) written: WrittenBlock,
 }
 
-/// A machine that is moved to another block.
-pub(super) struct BlockMove {
-    /// The machine.
-    pub(super) machine: Arc<str>,
-    /// The block that it is moved to.
-    pub(super) to: u32,
-}
-
 /// The machines' records.
 pub(super) struct MachineBlocks {
     blocks: BTreeMap<u32, Block>,
@@ -187,7 +105,7 @@
     /// Puts a machine into a block with room, or into a new one.
     fn assign(&mut self, machine: &Machine) -> u32 {
         let kind = BlockKind::of(machine);
-        let bytes = machine_bytes(&machine.name, LONGEST_USUAL_ADDRESS);
+        let bytes = expected_bytes(&machine.name);
         let unfilled = self.unfilled.get(&kind).copied().filter(|number| {
             let block = self.blocks.get(number);
             block.is_some_and(|block| block.has_room_for(bytes, self.max_bytes))
@@ -298,50 +216,17 @@
                 block.successors.push(*to);
             }
         }
-        let usual_bytes = machine_bytes(USUAL_MACHINE_NAME, LONGEST_USUAL_ADDRESS);
-        block.bytes = block.machines.len() * usual_bytes;
+        block.estimate_bytes();
         let kind = block.kind.clone();
         for BlockMove { machine, to } in &moves {
             self.next_number = self.next_number.max(to + 1);
             let successor = self.blocks.entry(*to);
             let successor = successor.or_insert_with(|| Block::empty(kind.clone()));
             successor.machines.insert(machine.clone());
-            successor.bytes += machine_bytes(machine, LONGEST_USUAL_ADDRESS);
+            successor.bytes += expected_bytes(machine);
             self.mark(*to, now);
         }
         self.mark(number, now);
         moves
     }
 }
-
-/// Which machines of a block go into new ones, numbered from `next_number` on, so that none is larger than
-/// `max_bytes`.
-fn planned_moves(block: &Block, number: u32, next_number: u32, max_bytes: usize) -> Vec<BlockMove> {
-    let mut moves = Vec::new();
-    let mut target = number;
-    let mut target_bytes = 0;
-    for name in &block.machines {
-        let bytes = machine_bytes(name, LONGEST_USUAL_ADDRESS);
-        if target_bytes + bytes > max_bytes {
-            target = if target == number {
-                next_number
-            } else {
-                target + 1
-            };
-            target_bytes = 0;
-        }
-        target_bytes += bytes;
-        if target != number {
-            moves.push(BlockMove {
-                machine: name.clone(),
-                to: target,
-            });
-        }
-    }
-    moves
-}
-
-/// The size of a machine's record, at the most.
-fn machine_bytes(name: &str, address: &str) -> usize {
-    name.len() + address.len() + MACHINE_RECORD_BYTES
-}
--- a/crates/saltpitch-core/src/scheduler/persistence/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/mod.rs
@@ -11,6 +11,7 @@
 mod commit;
 mod committed;
 mod final_records;
+mod machine_block;
 mod machine_block_writes;
 mod machine_blocks;
 mod placement_log;
--- a/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
@@ -171,9 +171,10 @@
 fn known_ranges(segment: &RecordedSegment, jobs: &JobTable) -> Vec<TaskRange> {
     let ranges = segment.task_ranges.iter();
     ranges
-        .filter_map(|(id, index)| {
-            let job = jobs.number_of(id)?;
-            Some(TaskRange { job, index: *index })
+        .filter_map(|range| {
+            let job = jobs.number_of(&range.job)?;
+            let index = range.index;
+            Some(TaskRange { job, index })
         })
         .collect()
 }
