--- a/crates/saltpitch-testkit/src/cells.rs
+++ b/crates/saltpitch-testkit/src/cells.rs
@@ -23,6 +23,7 @@
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
+use crate::invariants::InvariantViolation;
 use crate::nodes::SITE;
 use crate::simulation::{Faults, Simulation};
 use crate::trace::Trace;
@@ -211,17 +212,17 @@
     }
 
     /// Plays on until `until`, in the cells' own time.
-    pub fn run(&mut self, until: Micros) -> Result<(), String> {
+    pub fn run(&mut self, until: Micros) -> Result<(), InvariantViolation> {
         let until = until.plus(BEGIN);
         while self.now < until {
             self.step()
-                .map_err(|e| format!("at {:.1} s: {e}", self.now.as_secs_f64() - 60.0))?;
+                .map_err(|violation| violation.found_at(self.now))?;
         }
         Ok(())
     }
 
     /// The next moment of either cell or of the links; then the rules of both and of the whole.
-    pub fn step(&mut self) -> Result<(), String> {
+    pub fn step(&mut self) -> Result<(), InvariantViolation> {
         let [canal, harbour] = &self.cells;
         let next = [
             canal.simulation.next_step_at(),
@@ -240,7 +241,7 @@
             let before = simulation.now;
             simulation
                 .step()
-                .map_err(|error| format!("{}: {error}", NAMES[first]))?;
+                .map_err(|violation| violation.in_cell(NAMES[first]))?;
             if simulation.now.0 / POLL_INTERVAL.0 > before.0 / POLL_INTERVAL.0 {
                 for node in 0..SITE.len() {
                     self.poll(first, node);
--- a/crates/saltpitch-testkit/src/cells/history.rs
+++ b/crates/saltpitch-testkit/src/cells/history.rs
@@ -1,4 +1,4 @@
-//! What two cells may never do together, told from the agents' side and the two stores alone.
+//! The invariants that concern two cells together, checked against the agents and the two stores alone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,40 +7,48 @@
 use saltpitch_core::records::{job_key, JobRecord};
 
 use super::{Cells, NAMES};
+use crate::invariants::{Invariant, InvariantViolation};
 use crate::simulation::Simulation;
 
-/// The first rule that is broken, of those that concern both cells.
-pub(super) fn check(cells: &mut Cells) -> Result<(), String> {
-    for home in 0..2 {
-        let guests = guests_of(cells, home);
-        note_completions(cells, home, &guests);
+/// The first broken invariant of those that concern both cells.
+pub(super) fn check(cells: &mut Cells) -> Result<(), InvariantViolation> {
+    for origin in 0..2 {
+        let delegated_ids = find_delegated_ids(cells, origin);
+        note_completions(cells, origin, &delegated_ids);
         let [canal, harbour] = &cells.cells;
-        let (here, there) = match home {
+        let (here, there) = match origin {
             0 => (&canal.simulation, &harbour.simulation),
             _ => (&harbour.simulation, &canal.simulation),
         };
-        owners(here, there, &guests)?;
-        cancellations(here, there, &guests)?;
-        completions(here, there, &guests)?;
+        owners(here, there, &delegated_ids)?;
+        cancellations(here, there, &delegated_ids)?;
+        completions(here, there, &delegated_ids)?;
     }
     Ok(())
 }
 
-/// The ids under which the other cell has had each of this cell's jobs.
-fn guests_of(cells: &Cells, home: usize) -> BTreeMap<String, Vec<String>> {
-    let prefix = format!("{}.", NAMES[home]);
-    let mut guests: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    let jobs = cells.cells[1 - home]
+fn violation(invariant: Invariant, job: &str, text: String) -> Result<(), InvariantViolation> {
+    Err(InvariantViolation::new(invariant, text).of_job(job))
+}
+
+/// The ids under which the host has had each of the origin's jobs.
+fn find_delegated_ids(cells: &Cells, origin: usize) -> BTreeMap<String, Vec<String>> {
+    let prefix = format!("{}.", NAMES[origin]);
+    let mut delegated_ids: BTreeMap<String, Vec<String>> = BTreeMap::new();
+    let jobs = cells.cells[1 - origin]
         .simulation
         .jobs
         .range(prefix.clone()..);
     let ids = jobs.map(|(id, _)| id);
     for id in ids.take_while(|id| id.starts_with(&prefix)) {
         if let Some(job) = ids::home_id(&id[prefix.len()..]) {
-            guests.entry(job.to_owned()).or_default().push(id.clone());
+            delegated_ids
+                .entry(job.to_owned())
+                .or_default()
+                .push(id.clone());
         }
     }
-    guests
+    delegated_ids
 }
 
 fn record(simulation: &Simulation, id: &str) -> Option<JobRecord> {
@@ -58,11 +66,15 @@
         .collect()
 }
 
-/// Home's rules take a job for done only if the host's agents have completed all of it.
-fn note_completions(cells: &mut Cells, home: usize, guests: &BTreeMap<String, Vec<String>>) {
+/// The origin's invariants take a job for done only if the host's agents have completed all of it.
+fn note_completions(
+    cells: &mut Cells,
+    origin: usize,
+    delegated_ids: &BTreeMap<String, Vec<String>>,
+) {
     let mut complete = Vec::new();
-    let there = &cells.cells[1 - home].simulation;
-    for (job, ids) in guests {
+    let there = &cells.cells[1 - origin].simulation;
+    for (job, ids) in delegated_ids {
         let whole = |id: &String| {
             let tasks = there.jobs.get(id).map_or(0, |job| job.spec.tasks as usize);
             there.done.get(id).is_some_and(|done| done.len() == tasks)
@@ -71,9 +83,9 @@
             complete.push(job.clone());
         }
     }
-    let here = &mut cells.cells[home].simulation;
+    let here = &mut cells.cells[origin].simulation;
     here.done_elsewhere.extend(complete);
-    for job in guests.keys() {
+    for job in delegated_ids.keys() {
         let delegated = record(here, job).is_some_and(|record| record.is_delegated());
         if let Some(job) = here.jobs.get_mut(job) {
             job.elsewhere = delegated;
@@ -81,47 +93,54 @@
     }
 }
 
-/// A job that home may place is not one that the host may start or that its machines still have.
+/// A job that origin may place is not one that the host may start or that its machines still have.
 fn owners(
     here: &Simulation,
     there: &Simulation,
-    guests: &BTreeMap<String, Vec<String>>,
-) -> Result<(), String> {
-    for (job, ids) in guests {
+    delegated_ids: &BTreeMap<String, Vec<String>>,
+) -> Result<(), InvariantViolation> {
+    for (job, ids) in delegated_ids {
         let running = held(here, job);
         let own = record(here, job)
             .is_some_and(|record| record.state == JobState::Active && !record.is_delegated());
         for id in ids {
             let there_too: Vec<u32> = held(there, id).intersection(&running).copied().collect();
             if !there_too.is_empty() {
-                return Err(format!("ran_twice: {job} and {id}, tasks {there_too:?}"));
+                let text = format!("{job} and {id}, tasks {there_too:?}");
+                return violation(Invariant::RanTwice, job, text);
             }
-            let may_start = record(there, id).is_some_and(|guest| guest.state == JobState::Active);
+            let may_start =
+                record(there, id).is_some_and(|delegated| delegated.state == JobState::Active);
             if own && (may_start || !held(there, id).is_empty()) {
-                return Err(format!("owned_twice: {job} and {id}"));
+                return violation(Invariant::OwnedTwice, job, format!("{job} and {id}"));
             }
         }
-        let active =
-            |id: &&String| record(there, id).is_some_and(|guest| guest.state == JobState::Active);
+        let active = |id: &&String| {
+            record(there, id).is_some_and(|delegated| delegated.state == JobState::Active)
+        };
         if ids.iter().filter(active).count() > 1 {
-            return Err(format!("owned_twice: {job} by two delegations, {ids:?}"));
+            let text = format!("{job} by two delegations, {ids:?}");
+            return violation(Invariant::OwnedTwice, job, text);
         }
     }
     Ok(())
 }
 
-/// A job whose user was told that it is cancelled leaves the host's machines in home's time.
+/// A job whose cancellation was confirmed to its user leaves the host's machines within the origin's
+/// cancellation time.
 fn cancellations(
     here: &Simulation,
     there: &Simulation,
-    guests: &BTreeMap<String, Vec<String>>,
-) -> Result<(), String> {
-    for (job, ids) in guests {
-        let told_at = here.jobs.get(job).and_then(|job| job.cancelled_at);
-        let Some(told_at) = told_at else { continue };
-        let late = here.now.since(told_at) > here.times.cancel;
+    delegated_ids: &BTreeMap<String, Vec<String>>,
+) -> Result<(), InvariantViolation> {
+    for (job, ids) in delegated_ids {
+        let confirmed_at = here.jobs.get(job).and_then(|job| job.cancelled_at);
+        let Some(confirmed_at) = confirmed_at else {
+            continue;
+        };
+        let late = here.now.since(confirmed_at) > here.times.cancel;
         if late && ids.iter().any(|id| !held(there, id).is_empty()) {
-            return Err(format!("ran_cancelled: {job} at the host"));
+            return violation(Invariant::RanCancelled, job, format!("{job} at the host"));
         }
     }
     Ok(())
@@ -133,24 +152,24 @@
 fn completions(
     here: &Simulation,
     there: &Simulation,
-    guests: &BTreeMap<String, Vec<String>>,
-) -> Result<(), String> {
+    delegated_ids: &BTreeMap<String, Vec<String>>,
+) -> Result<(), InvariantViolation> {
     let is_done =
-        |id: &&String| record(there, id).is_some_and(|guest| guest.state == JobState::Done);
-    for (job, ids) in guests {
+        |id: &&String| record(there, id).is_some_and(|delegated| delegated.state == JobState::Done);
+    for (job, ids) in delegated_ids {
         let done = ids.iter().filter(is_done).count();
-        let home = record(here, job);
-        let awaits = home.as_ref().is_some_and(|home| home.is_delegated());
-        let told = home.is_some_and(|home| home.state == JobState::Done);
-        if done > 1 || (done == 1 && !awaits && !told) {
-            return Err(format!("completed_twice: {job}, {ids:?}"));
+        let origin = record(here, job);
+        let is_delegated = origin.as_ref().is_some_and(|origin| origin.is_delegated());
+        let is_done_here = origin.is_some_and(|origin| origin.state == JobState::Done);
+        if done > 1 || (done == 1 && !is_delegated && !is_done_here) {
+            return violation(Invariant::CompletedTwice, job, format!("{job}, {ids:?}"));
         }
     }
     Ok(())
 }
 
 /// At the end each accepted job is done or cancelled, services aside; says which is not.
-pub fn finished(cells: &Cells) -> Result<(), String> {
+pub fn finished(cells: &Cells) -> Result<(), InvariantViolation> {
     for (cell, name) in cells.cells.iter().zip(NAMES) {
         let own = cell
             .simulation
@@ -165,7 +184,9 @@
                 None => JobState::Done,
             };
             if state != Some(expected) {
-                return Err(format!("{name}: {id} should be {expected:?}: {record:?}"));
+                let text = format!("{id} should be {expected:?}: {record:?}");
+                let violation = InvariantViolation::new(Invariant::Unfinished, text);
+                return Err(violation.of_job(id).in_cell(name));
             }
         }
     }
--- a/crates/saltpitch-testkit/src/histories.rs
+++ b/crates/saltpitch-testkit/src/histories.rs
@@ -5,6 +5,7 @@
 use saltpitch_core::Micros;
 
 use crate::cells::{finished, Cells, LinkState};
+use crate::invariants::{Invariant, InvariantViolation};
 use crate::simulation::{Faults, Simulation};
 
 /// The cell whose jobs are delegated.
@@ -19,69 +20,75 @@
 
 /// Plays a history: jobs come for `busy` seconds, some are cancelled, troubles end with them; then
 /// the site has `calm` seconds to complete what it accepted.
-pub fn play(seed: u64, faults: Faults, busy: u64, calm: u64) -> Result<Simulation, String> {
-    let mut w = Simulation::new(seed, faults, Micros::from_secs(busy));
+pub fn play(
+    seed: u64,
+    faults: Faults,
+    busy: u64,
+    calm: u64,
+) -> Result<Simulation, InvariantViolation> {
+    let mut simulation = Simulation::new(seed, faults, seconds(busy));
     let mut ids: Vec<String> = Vec::new();
-    for i in 0..busy / 4 {
-        w.run(Micros::from_secs(i * 4))?;
-        let id = format!("job-{seed:03}{i:04}");
-        let mut spec = w.draw_job();
+    for number in 0..busy / 4 {
+        simulation.run(seconds(number * 4))?;
+        let id = format!("job-{seed:03}{number:04}");
+        let mut spec = simulation.draw_job();
         // Some need jobs that came before, in whatever state those are.
-        if spec.kind != JobKind::Service && w.random_below(3) == 0 {
-            for _ in 0..1 + w.random_below(2) {
-                let at = w.random_below(ids.len() as u64) as usize;
-                let named = ids.get(at).filter(|n| w.jobs[*n].accepted);
-                let named = named.filter(|n| w.jobs[*n].spec.kind != JobKind::Service);
+        if spec.kind != JobKind::Service && simulation.random_below(3) == 0 {
+            for _ in 0..1 + simulation.random_below(2) {
+                let at = simulation.random_below(ids.len() as u64) as usize;
+                let named = ids.get(at).filter(|id| simulation.jobs[*id].accepted);
+                let named = named.filter(|id| simulation.jobs[*id].spec.kind != JobKind::Service);
                 spec.dependencies.extend(named.cloned());
             }
         }
-        w.submit(&id, spec);
+        simulation.submit(&id, spec);
         ids.push(id);
         // Repeats and cancellations of whatever came before.
-        let at = w.random_below(ids.len() as u64) as usize;
+        let at = simulation.random_below(ids.len() as u64) as usize;
         let old = ids[at].clone();
-        match w.random_below(4) {
+        match simulation.random_below(4) {
             0 => {
-                w.cancel(&old);
+                simulation.cancel(&old);
             }
             1 => {
-                let spec = w.jobs[&old].spec.clone();
-                w.submit(&old, spec);
+                let spec = simulation.jobs[&old].spec.clone();
+                simulation.submit(&old, spec);
             }
             _ => {}
         }
     }
-    w.heal();
+    simulation.heal();
     for id in &ids {
-        let spec = w.jobs[id].spec.clone();
-        w.submit(id, spec);
+        let spec = simulation.jobs[id].spec.clone();
+        simulation.submit(id, spec);
     }
-    w.run(Micros::from_secs(busy + calm / 2))?;
+    simulation.run(seconds(busy + calm / 2))?;
     // Services end when their users say so; until then they may hold a team's whole limit. So do
     // jobs that fail everywhere.
     for id in &ids {
-        let j = &w.jobs[id];
-        if j.spec.kind == JobKind::Service || j.mistaken {
-            w.cancel(id);
+        let job = &simulation.jobs[id];
+        if job.spec.kind == JobKind::Service || job.mistaken {
+            simulation.cancel(id);
         }
     }
-    w.run(Micros::from_secs(busy + calm))?;
-    Ok(w)
+    simulation.run(seconds(busy + calm))?;
+    Ok(simulation)
 }
 
-/// What was accepted must have run once the troubles are over.
-pub fn served(w: &Simulation) -> Result<(), String> {
-    for (id, j) in &w.jobs {
-        if j.cancelled_at.or(j.withdrawn_at).is_some() {
-            if w.running(id) > 0 {
-                return Err(format!("{id} was cancelled and still runs"));
-            }
-            continue;
+/// What was accepted must have completed once the faults are over, and what was cancelled must have ended.
+pub fn completed(simulation: &Simulation) -> Result<(), InvariantViolation> {
+    let violation = |id: &str, text| {
+        let violation = InvariantViolation::new(Invariant::Unserved, text);
+        Err(violation.of_job(id))
+    };
+    for (id, job) in &simulation.jobs {
+        let is_cancelled = job.cancelled_at.or(job.withdrawn_at).is_some();
+        if is_cancelled && simulation.running(id) > 0 {
+            return violation(id, format!("{id} was cancelled and still runs"));
         }
-        match j.spec.kind {
-            JobKind::Service => {}
-            _ if !w.is_done(id) => return Err(format!("{id} ({:?}) is not done", j.spec.kind)),
-            _ => {}
+        let kind = job.spec.kind;
+        if !is_cancelled && kind != JobKind::Service && !simulation.is_done(id) {
+            return violation(id, format!("{id} ({kind:?}) is not done"));
         }
     }
     Ok(())
@@ -142,7 +149,7 @@
 }
 
 /// One history with everything at random.
-pub fn play_cells(seed: u64, faults: Faults) -> Result<Cells, String> {
+pub fn play_cells(seed: u64, faults: Faults) -> Result<Cells, InvariantViolation> {
     let mut cells = Cells::new(seed, faults, seconds(240));
     for cell in [HOME, HOST] {
         cells.cells[cell].copies = 6;
--- a/crates/saltpitch-testkit/src/invariants.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -1,203 +1,285 @@
-//! The rules of the protocol, checked after each step.
+//! The invariants of the protocol, checked after each step, and those of a whole history.
 
-use std::collections::BTreeMap;
+mod violation;
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
 
 use saltpitch_core::catalog::Resources;
 use saltpitch_core::job::{JobKind, JobSpec, JobState};
 use saltpitch_core::records::{job_key, JobRecord};
 use saltpitch_core::Micros;
 
+use crate::agents::{Agent, Held, TaskId};
 use crate::simulation::{Simulation, UserJob};
 
-/// The first rule that the world as it stands breaks.
-pub fn check(w: &Simulation) -> Result<(), String> {
-    let mut on: BTreeMap<(&str, u32), &str> = BTreeMap::new();
-    let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
-    for m in w.agents.values().filter(|m| !m.gone) {
-        for ((id, _), h) in m.tasks.iter().filter(|(_, h)| h.on()) {
-            if let Some(other) = on.insert((&id.0, id.1), &m.name) {
-                return Err(format!(
-                    "ran_twice: {}/{} attempt {} on {} and {other}",
-                    id.0, id.1, h.attempt, m.name
-                ));
-            }
-            let Some(job) = w.jobs.get(&id.0) else {
-                return Err(format!("invented: {} on {}", id.0, m.name));
-            };
-            if !job.spec.allows(&m.type_name, &m.zone, m.spot) {
-                return Err(format!("wrong_place: {}/{} on {}", id.0, id.1, m.name));
-            }
-            let sum = used.entry(&job.spec.team).or_default();
-            *sum = sum.plus(&job.spec.need);
-            if let Some(at) = job.cancelled_at {
-                // On a machine that hangs as well: it may go on with it.
-                if w.now.since(at) > w.times.cancel {
-                    return Err(format!(
-                        "ran_cancelled: {}/{} on {} {:.1} s after",
-                        id.0,
-                        id.1,
-                        m.name,
-                        w.now.since(at).as_secs_f64()
-                    ));
-                }
-            }
-        }
-    }
-    if let Some(what) = &w.too_early {
-        return Err(format!("too_early: {what}"));
-    }
-    if let Some(what) = &w.started_late {
-        return Err(format!("ran_cancelled: {what} started after its time"));
-    }
-    for t in &w.teams {
-        if let Some(sum) = used.get(t.name.as_str()) {
-            if !t.allows(sum) {
-                return Err(format!("quota: {} uses {sum:?}", t.name));
-            }
-        }
-    }
-    zones(w)?;
-    outcomes(w)
-}
+pub use violation::{Invariant, InvariantViolation};
 
-/// How long, in calm, a job may wait beside a machine that has room for it.
+/// How long, in calm, a job may wait while a machine has room for it.
 pub const WAIT: Micros = Micros::from_secs(90);
 
 /// How soon the largest jobs have to begin.
 pub const BEGIN: Micros = Micros::from_secs(240);
 
-/// A history as a whole: of each class, of each team and of each class's largest jobs at least half
-/// is served, and the largest begin within four minutes. The largest are the largest tenth of a
-/// class by tasks, at least one. Served is: an array or a gang is done, a service ran whole. Jobs
-/// that were cancelled, or fail everywhere, don't count.
-pub fn served(w: &Simulation) -> Result<(), String> {
-    let mut groups: BTreeMap<String, Vec<(&str, &UserJob)>> = BTreeMap::new();
-    for (id, job) in &w.jobs {
-        // Spread over zones and bound to one, it can't run whole.
-        let torn = job.spec.spread && job.spec.zone.is_some() && job.spec.tasks > 1;
-        let off = job.cancelled_at.or(job.withdrawn_at).is_some();
-        if job.accepted && !job.mistaken && !torn && !off {
-            let JobSpec { class, team, .. } = &job.spec;
-            for name in [format!("class {class}"), format!("team {team}")] {
-                groups.entry(name).or_default().push((id, job));
-            }
+/// How long, in calm, a controller in service may be unable to answer a question about a job.
+const ANSWER_WITHIN: Micros = Micros::from_secs(75);
+
+/// The tasks on machines, as far as the check has come.
+#[derive(Default)]
+struct RunningTasks<'a> {
+    machine_of: BTreeMap<(&'a str, u32), &'a str>,
+    used_by_team: BTreeMap<&'a str, Resources>,
+}
+
+/// The first invariant that the simulation breaks as it stands.
+pub fn check(simulation: &Simulation) -> Result<(), InvariantViolation> {
+    let mut running = RunningTasks::default();
+    for agent in simulation.agents.values().filter(|agent| !agent.gone) {
+        for ((id, _), held) in agent.tasks.iter().filter(|(_, held)| held.on()) {
+            check_task(simulation, &mut running, agent, id, held)?;
         }
     }
-    for (name, mut largest) in groups.clone() {
-        if !name.starts_with("class") {
-            continue;
-        }
-        largest.sort_by_key(|j| std::cmp::Reverse(j.1.spec.tasks));
-        largest.truncate(largest.len().div_ceil(10));
-        for (id, job) in &largest {
-            let waited = job.begun_at.unwrap_or(w.now).since(job.submitted_at);
-            if waited > BEGIN {
-                let (tasks, waited) = (job.spec.tasks, waited.as_secs_f64());
-                return Err(format!("{id} ({name}, {tasks} tasks) waited {waited:.0} s"));
-            }
-        }
-        groups.insert(format!("largest of {name}"), largest);
+    for violation in [&simulation.too_early, &simulation.started_late] {
+        violation.clone().map_or(Ok(()), Err)?;
     }
-    for (name, jobs) in groups {
-        let well = jobs.iter().filter(|(id, j)| match j.spec.kind {
-            JobKind::Service => j.begun_at.is_some(),
-            _ => w.is_done(id),
-        });
-        let well = well.count();
-        if well * 2 < jobs.len() {
-            return Err(format!("{name}: {well} of {} served", jobs.len()));
+    check_quotas(simulation, &running)?;
+    check_zones(simulation)?;
+    for (id, job) in &simulation.jobs {
+        check_job(simulation, id, job)?;
+    }
+    Ok(())
+}
+
+fn check_task<'a>(
+    simulation: &'a Simulation,
+    running: &mut RunningTasks<'a>,
+    agent: &'a Agent,
+    (job_id, task): &'a TaskId,
+    held: &Held,
+) -> Result<(), InvariantViolation> {
+    let violation = |invariant: Invariant, text: String| {
+        let violation = InvariantViolation::new(invariant, text);
+        Err(violation.of_job(job_id).on_machine(&agent.name))
+    };
+    let machine = &agent.name;
+    if let Some(other) = running.machine_of.insert((job_id, *task), machine) {
+        let attempt = held.attempt;
+        let text = format!("{job_id}/{task} attempt {attempt} on {machine} and {other}");
+        return violation(Invariant::RanTwice, text);
+    }
+    let Some(job) = simulation.jobs.get(job_id) else {
+        return violation(Invariant::Invented, format!("{job_id} on {machine}"));
+    };
+    if !job.spec.allows(&agent.type_name, &agent.zone, agent.spot) {
+        let text = format!("{job_id}/{task} on {machine}");
+        return violation(Invariant::WrongPlace, text);
+    }
+    let used = running.used_by_team.entry(&job.spec.team).or_default();
+    *used = used.plus(&job.spec.need);
+    // On a machine that hangs as well: it may go on with the task when it resumes.
+    let cancelled_for = job.cancelled_at.map(|at| simulation.now.since(at));
+    if let Some(late) = cancelled_for.filter(|late| *late > simulation.times.cancel) {
+        let late = late.as_secs_f64();
+        let text = format!("{job_id}/{task} on {machine} {late:.1} s after");
+        return violation(Invariant::RanCancelled, text);
+    }
+    Ok(())
+}
+
+fn check_quotas(simulation: &Simulation, running: &RunningTasks) -> Result<(), InvariantViolation> {
+    for team in &simulation.teams {
+        let used = running.used_by_team.get(team.name.as_str());
+        if let Some(used) = used.filter(|used| !team.allows(used)) {
+            let text = format!("{} uses {used:?}", team.name);
+            return Err(InvariantViolation::new(Invariant::Quota, text));
         }
     }
     Ok(())
 }
 
-fn zones(w: &Simulation) -> Result<(), String> {
+fn check_zones(simulation: &Simulation) -> Result<(), InvariantViolation> {
     let mut by_job: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
-    for m in w.agents.values().filter(|m| !m.gone) {
-        for ((id, _), _) in m.tasks.iter().filter(|(_, h)| h.on()) {
-            *by_job.entry(&id.0).or_default().entry(&m.zone).or_default() += 1;
+    for agent in simulation.agents.values().filter(|agent| !agent.gone) {
+        for ((id, _), _) in agent.tasks.iter().filter(|(_, held)| held.on()) {
+            let zones = by_job.entry(&id.0).or_default();
+            *zones.entry(&agent.zone).or_default() += 1;
         }
     }
     for (id, zones) in by_job {
-        let spec = &w.jobs[id].spec;
-        if spec.one_zone && zones.len() > 1 {
-            return Err(format!("wrong_place: {id} in {zones:?}"));
+        let spec = &simulation.jobs[id].spec;
+        let text = if spec.one_zone && zones.len() > 1 {
+            format!("{id} in {zones:?}")
+        } else if zones.values().any(|tasks| *tasks > spec.per_zone()) {
+            format!("{id} not spread: {zones:?}")
+        } else {
+            continue;
+        };
+        return Err(InvariantViolation::new(Invariant::WrongPlace, text).of_job(id));
+    }
+    Ok(())
+}
+
+/// A job's answers and record. Once all faults are over, every controller answers questions about every
+/// accepted job.
+fn check_job(simulation: &Simulation, id: &str, job: &UserJob) -> Result<(), InvariantViolation> {
+    let violation = |invariant, text| Err(InvariantViolation::new(invariant, text).of_job(id));
+    let can_run = job
+        .spec
+        .can_ever_run(simulation.catalog(), &simulation.teams);
+    if job.accepted && can_run.is_err() {
+        return violation(Invariant::Accepted, format!("{id} can never run"));
+    }
+    if let Some(since) = job.waits_since {
+        let waited = simulation.now.since(since.max(simulation.still_since));
+        if waited > WAIT {
+            return violation(Invariant::Waits, format!("{id} beside room that fits"));
+        }
+    }
+    if job.accepted {
+        for (node, answered_at) in simulation.nodes.iter().zip(&job.answered) {
+            let since = (*answered_at).max(simulation.calm_since);
+            if simulation.now.since(since) > ANSWER_WITHIN {
+                return violation(Invariant::Forgotten, format!("{id} by {}", node.name));
+            }
+        }
+    }
+    let Some(entry) = simulation.store.keys.get(&job_key(id)) else {
+        if job.accepted {
+            return violation(Invariant::Forgotten, id.to_owned());
         }
-        if zones.values().any(|n| *n > spec.per_zone()) {
-            return Err(format!("wrong_place: {id} not spread: {zones:?}"));
+        return Ok(());
+    };
+    let record: JobRecord = match serde_json::from_str(&entry.value) {
+        Ok(record) => record,
+        Err(error) => {
+            return violation(Invariant::Unreadable, format!("{id}: unreadable: {error}"));
         }
+    };
+    if let Some(at) = job.withdrawn_at {
+        check_withdrawn(simulation, id, at)?;
     }
-    Ok(())
+    check_state(simulation, id, job, record.state)
 }
 
-/// A job that needs a cancelled one is told to be withdrawn by every node that can read the records.
-fn orphaned(w: &Simulation, id: &str, at: Micros) -> Result<(), String> {
-    for n in &w.nodes {
-        let able =
-            n.is_up(w.now) && n.controller.is_synced() && n.records().revision == w.store.rev;
-        if able && n.records().state(id) != Some(JobState::Cancelled) {
-            return Err(format!("orphaned: {id} by {}", n.name));
+/// A job that depends on a cancelled one is cancelled for every controller that can read the records.
+fn check_withdrawn(
+    simulation: &Simulation,
+    id: &str,
+    at: Micros,
+) -> Result<(), InvariantViolation> {
+    let violation = |text| Err(InvariantViolation::new(Invariant::Orphaned, text).of_job(id));
+    for node in &simulation.nodes {
+        let knows = node.is_up(simulation.now)
+            && node.controller.is_synced()
+            && node.records().revision == simulation.store.rev;
+        if knows && node.records().state(id) != Some(JobState::Cancelled) {
+            return violation(format!("{id} by {}", node.name));
         }
     }
-    if w.now.since(at) > w.times.cancel && w.running(id) > 0 {
-        return Err(format!("orphaned: {id} still runs"));
+    if simulation.now.since(at) > simulation.times.cancel && simulation.running(id) > 0 {
+        return violation(format!("{id} still runs"));
     }
     Ok(())
 }
 
-fn outcomes(w: &Simulation) -> Result<(), String> {
-    for (id, job) in &w.jobs {
-        // Once all troubles are over, every node answers questions about every accepted job.
-        if job.accepted && job.spec.can_ever_run(w.catalog(), &w.teams).is_err() {
-            return Err(format!("accepted: {id} can never run"));
-        }
-        if let Some(since) = job.waits_since {
-            let waited = w.now.since(since.max(w.still_since));
-            if waited > WAIT {
-                return Err(format!("waits: {id} beside room that fits"));
+/// What a job's record says agrees with what its tasks and its user did.
+fn check_state(
+    simulation: &Simulation,
+    id: &str,
+    job: &UserJob,
+    state: JobState,
+) -> Result<(), InvariantViolation> {
+    let violation = |invariant, text| Err(InvariantViolation::new(invariant, text).of_job(id));
+    let is_cancelled = job.cancelled_at.or(job.withdrawn_at).is_some();
+    match state {
+        JobState::Done => {
+            let tasks = job.spec.tasks;
+            let done = if simulation.done_elsewhere.contains(id) {
+                tasks
+            } else {
+                simulation.done.get(id).map_or(0, BTreeSet::len) as u32
+            };
+            if done < tasks {
+                return violation(Invariant::NotDone, format!("{id} with {done} of {tasks}"));
             }
-        }
-        if job.accepted {
-            for (n, at) in job.answered.iter().enumerate() {
-                let unanswered = w.now.since((*at).max(w.calm_since));
-                if unanswered > Micros::from_secs(75) {
-                    return Err(format!("forgotten: {id} by {}", w.nodes[n].name));
-                }
+            if is_cancelled {
+                let text = format!("{id} was cancelled, now done");
+                return violation(Invariant::WentBack, text);
             }
+            Ok(())
         }
-        let Some(entry) = w.store.keys.get(&job_key(id)) else {
-            if job.accepted {
-                return Err(format!("forgotten: {id}"));
-            }
+        JobState::Cancelled if !is_cancelled => {
+            let text = format!("{id} is cancelled by nobody");
+            violation(Invariant::WentBack, text)
+        }
+        JobState::Active if job.cancelled_at.is_some() => {
+            let text = format!("{id} was cancelled, now active");
+            violation(Invariant::WentBack, text)
+        }
+        _ => Ok(()),
+    }
+}
+
+/// A history as a whole: of each class, of each team and of each class's largest jobs at least half
+/// is served, and the largest begin within four minutes. The largest are the largest tenth of a
+/// class by tasks, at least one. Served is: an array or a gang is done, a service ran whole. Jobs
+/// that were cancelled, or fail everywhere, don't count.
+pub fn served(simulation: &Simulation) -> Result<(), InvariantViolation> {
+    let mut groups = group_jobs(simulation);
+    for (name, mut largest) in groups.clone() {
+        if !name.starts_with("class") {
             continue;
+        }
+        largest.sort_by_key(|(_, job)| Reverse(job.spec.tasks));
+        largest.truncate(largest.len().div_ceil(10));
+        for (id, job) in &largest {
+            check_begun(simulation, &name, id, job)?;
+        }
+        groups.insert(format!("largest of {name}"), largest);
+    }
+    for (name, jobs) in groups {
+        let is_served = |(id, job): &&(&str, &UserJob)| match job.spec.kind {
+            JobKind::Service => job.begun_at.is_some(),
+            _ => simulation.is_done(id),
         };
-        let rec: JobRecord =
-            serde_json::from_str(&entry.value).map_err(|e| format!("{id}: unreadable: {e}"))?;
-        if let Some(at) = job.withdrawn_at {
-            orphaned(w, id, at)?;
+        let served = jobs.iter().filter(is_served).count();
+        if served * 2 < jobs.len() {
+            let text = format!("{name}: {served} of {} served", jobs.len());
+            return Err(InvariantViolation::new(Invariant::Unserved, text));
         }
-        match rec.state {
-            JobState::Done => {
-                let here = w.done.get(id).map_or(0, |d| d.len() as u32);
-                let done = match w.done_elsewhere.contains(id) {
-                    true => job.spec.tasks,
-                    false => here,
-                };
-                if done < job.spec.tasks {
-                    return Err(format!("not_done: {id} with {done} of {}", job.spec.tasks));
-                }
-                if job.cancelled_at.or(job.withdrawn_at).is_some() {
-                    return Err(format!("went_back: {id} was cancelled, now done"));
-                }
-            }
-            JobState::Cancelled if job.cancelled_at.or(job.withdrawn_at).is_none() => {
-                return Err(format!("went_back: {id} is cancelled by nobody"));
-            }
-            JobState::Active if job.cancelled_at.is_some() => {
-                return Err(format!("went_back: {id} was cancelled, now active"));
+    }
+    Ok(())
+}
+
+/// The jobs that count, by class and by team.
+fn group_jobs(simulation: &Simulation) -> BTreeMap<String, Vec<(&str, &UserJob)>> {
+    let mut groups: BTreeMap<String, Vec<(&str, &UserJob)>> = BTreeMap::new();
+    for (id, job) in &simulation.jobs {
+        let JobSpec { class, team, .. } = &job.spec;
+        // Spread over zones and bound to one, a job can't run whole.
+        let impossible = job.spec.spread && job.spec.zone.is_some() && job.spec.tasks > 1;
+        let is_cancelled = job.cancelled_at.or(job.withdrawn_at).is_some();
+        if job.accepted && !job.mistaken && !impossible && !is_cancelled {
+            for name in [format!("class {class}"), format!("team {team}")] {
+                groups.entry(name).or_default().push((id, job));
             }
-            _ => {}
         }
     }
-    Ok(())
+    groups
+}
+
+fn check_begun(
+    simulation: &Simulation,
+    group: &str,
+    id: &str,
+    job: &UserJob,
+) -> Result<(), InvariantViolation> {
+    let begun_at = job.begun_at.unwrap_or(simulation.now);
+    let waited = begun_at.since(job.submitted_at);
+    if waited <= BEGIN {
+        return Ok(());
+    }
+    let (tasks, waited) = (job.spec.tasks, waited.as_secs_f64());
+    let text = format!("{id} ({group}, {tasks} tasks) waited {waited:.0} s");
+    Err(InvariantViolation::new(Invariant::Unserved, text).of_job(id))
 }
--- a/crates/saltpitch-testkit/src/simulation/agents.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -1,122 +1,122 @@
 //! Machines: heartbeats, leases, running tasks and gangs.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use saltpitch_core::agent::{Command, ExitCause, Heartbeat, TaskState};
+use saltpitch_core::controller::HeartbeatAnswer;
+use saltpitch_core::job::{JobKind, JobSpec};
+use saltpitch_core::Micros;
+
+use super::{Simulation, UserJob};
+use crate::agents::{Agent, Held, TaskId};
+
+/// An agent that has no answer within this time asks the next controller.
+const ANSWER_TIMEOUT: Micros = Micros::from_secs(4);
+/// How long an agent waits after a timeout before it sends again.
+const RETRY_BACKOFF: Micros = Micros::from_secs(1);
+/// Heartbeats of one agent are at least this far apart, and a redirected one is repeated after it.
+const MIN_HEARTBEAT_SPACING: Micros = Micros::from_millis(500);
+/// How long an agent takes to notice that a connection fails.
+const CONNECTION_FAILURE: Micros = Micros::from_millis(50);
+
+/// The members of one attempt of a gang, by state.
+#[derive(Clone, Copy, Default)]
+struct GangMembers {
+    waiting: u32,
+    running: u32,
+    done: u32,
+}
 
 impl Simulation {
+    /// Moves a machine's tasks on, ends its lease when it expires, and sends a heartbeat when one is due.
     pub(super) fn agent_tick(&mut self, name: &str) {
         let now = self.now;
         let times = self.times.clone();
-        let Some(m) = self.agents.get_mut(name) else {
+        let Some(agent) = self.agents.get_mut(name) else {
             return;
         };
-        if m.gone || now < m.boots_at {
+        if agent.gone || now < agent.boots_at {
             return;
         }
         // A machine that hangs for longer than its lease has lost its tasks when it resumes.
-        m.check_lease(&times, now);
-        if !m.is_up(now) {
+        agent.check_lease(&times, now);
+        if !agent.is_up(now) {
             return;
         }
-        let mut done = Vec::new();
-        for ((id, _), h) in m.tasks.iter_mut() {
-            let Some(job) = self.jobs.get(&id.0) else {
-                continue;
-            };
-            if job.mistaken && h.state == TaskState::Running {
-                h.state = TaskState::Exited {
-                    cause: ExitCause::Error,
-                    saved: false,
-                };
-                m.changed = true;
-                continue;
-            }
-            if advance(h, &job.spec, now) {
-                done.push(id.clone());
-            }
-            if matches!(h.state, TaskState::Running | TaskState::Waiting) && h.until <= now {
-                m.changed = true;
-            }
-        }
-        if m.waiting
-            .is_some_and(|w| now.since(w.1) > Micros::from_secs(4))
-        {
-            m.waiting = None;
-            m.target = (m.target + 1) % 3;
-            m.next_report = now.plus(Micros::from_secs(1));
+        let completed = advance_tasks(agent, &self.jobs, now);
+        time_out_heartbeat(agent, now);
+        let due = is_heartbeat_due(agent, times.heartbeat_interval, now);
+        agent.changed |= !completed.is_empty();
+        let heartbeat = due.then(|| begin_heartbeat(agent, times.heartbeat_interval, now));
+        let target = agent.target;
+        for (job, task) in completed {
+            self.done.entry(job).or_default().insert(task);
         }
-        let due = now >= m.next_report
-            || (m.changed
-                && now.plus(times.heartbeat_interval).since(m.next_report)
-                    > Micros::from_millis(500));
-        let sends = due && m.waiting.is_none();
-        if !done.is_empty() {
-            m.changed = true;
+        if let Some(heartbeat) = heartbeat {
+            self.send_agent_heartbeat(name, target, heartbeat);
         }
-        let heartbeat = sends.then(|| {
-            m.changed = false;
-            m.next_report = now.plus(times.heartbeat_interval);
-            let r = m.heartbeat();
-            m.waiting = Some((r.sequence, now));
-            (r, m.target)
-        });
-        for (id, task) in done {
-            self.done.entry(id).or_default().insert(task);
+    }
+
+    fn send_agent_heartbeat(&mut self, name: &str, target: usize, heartbeat: Heartbeat) {
+        if self.agents[name].outbound_cut_until > self.now {
+            // No connection: nothing of it ever arrives, and the agent tries the next controller.
+            let name = name.to_owned();
+            let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
+            return self.after(CONNECTION_FAILURE, move |simulation| {
+                simulation.answered(&name, agent_epoch, sequence, None, None)
+            });
         }
-        if let Some((r, target)) = heartbeat {
-            if self.agents[name].outbound_cut_until > now {
-                // No connection: nothing of it ever arrives, and it tries the next node.
-                let name = name.to_owned();
-                let (agent_epoch, sequence) = (r.agent_epoch, r.sequence);
-                return self.after(Micros::from_millis(50), move |w| {
-                    w.answered(&name, agent_epoch, sequence, None, None)
-                });
-            }
-            // A cut holds packets and delivers them when it ends.
-            let held = self.cut(target, name);
-            let wait = held.plus(self.delay());
-            if self.chance(self.faults.copies, 1.5) {
-                let copy = r.clone();
-                let (n, late) = (
-                    self.random_below(3) as usize,
-                    1_000 + self.random_below(60_000),
-                );
-                self.after(wait.plus(Micros::from_millis(late)), move |w| {
-                    w.deliver_copy(n, copy)
-                });
-            }
-            self.after(wait, move |w| w.deliver(target, r));
+        // A partition holds packets back and delivers them when it ends.
+        let held = self.partitioned_for(target, name);
+        let wait = held.plus(self.delay());
+        if self.chance(self.faults.copies, 1.5) {
+            self.send_late_copy(heartbeat.clone(), wait);
         }
+        self.after(wait, move |simulation| {
+            simulation.deliver(target, heartbeat)
+        });
+    }
+
+    /// Delivers a copy of a heartbeat to a random controller, up to a minute after the heartbeat itself.
+    fn send_late_copy(&mut self, copy: Heartbeat, wait: Micros) {
+        let node_index = self.random_below(3) as usize;
+        let late = Micros::from_millis(1_000 + self.random_below(60_000));
+        self.after(wait.plus(late), move |simulation| {
+            simulation.deliver_copy(node_index, copy)
+        });
     }
 
-    /// A copy of an old heartbeat: whatever is answered, nobody listens.
-    pub fn deliver_copy(&mut self, n: usize, r: Heartbeat) {
+    /// Delivers a copy of an old heartbeat. The answer goes nowhere: no agent waits for it.
+    pub fn deliver_copy(&mut self, node_index: usize, heartbeat: Heartbeat) {
         let now = self.now;
-        let frozen = self.nodes[n].frozen(now);
+        let frozen = self.nodes[node_index].frozen(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |w| w.deliver_copy(n, r));
+            return self.after(frozen, move |simulation| {
+                simulation.deliver_copy(node_index, heartbeat)
+            });
         }
-        if self.nodes[n].may_answer(now) {
-            let answer = self.nodes[n].heartbeat(r, now);
-            self.trace.report_answer(n, &answer, now);
-            self.poll(n);
+        if self.nodes[node_index].may_answer(now) {
+            let answer = self.nodes[node_index].heartbeat(heartbeat, now);
+            self.trace.report_answer(node_index, &answer, now);
+            self.poll(node_index);
         }
     }
 
-    fn deliver(&mut self, n: usize, r: Heartbeat) {
+    fn deliver(&mut self, node_index: usize, heartbeat: Heartbeat) {
         let now = self.now;
-        let frozen = self.nodes[n].frozen(now);
+        let frozen = self.nodes[node_index].frozen(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |w| w.deliver(n, r));
+            return self.after(frozen, move |simulation| {
+                simulation.deliver(node_index, heartbeat)
+            });
         }
-        if !self.nodes[n].is_up(now) {
+        if !self.nodes[node_index].is_up(now) || !self.nodes[node_index].started {
             return;
         }
-        let (name, agent_epoch, sequence) = (r.machine.clone(), r.agent_epoch, r.sequence);
-        if !self.nodes[n].started {
-            return;
-        }
-        let answer = self.nodes[n].heartbeat(r, now);
-        self.trace.report_answer(n, &answer, now);
+        let name = heartbeat.machine.clone();
+        let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
+        let answer = self.nodes[node_index].heartbeat(heartbeat, now);
+        self.trace.report_answer(node_index, &answer, now);
         let (answer, leader) = match answer {
             HeartbeatAnswer::Commands {
                 fencing_token,
@@ -124,15 +124,16 @@
             } => (Some((fencing_token, commands)), None),
             HeartbeatAnswer::Redirect { leader } => (None, leader),
         };
-        self.poll(n);
-        let leader = leader.and_then(|name| self.nodes.iter().position(|x| x.name == name));
-        // A cut that began meanwhile holds the answer, and the agent drops it then.
-        let d = self.cut(n, &name).plus(self.delay());
-        self.after(d, move |w| {
-            w.answered(&name, agent_epoch, sequence, answer, leader)
+        self.poll(node_index);
+        let leader = leader.and_then(|name| self.nodes.iter().position(|node| node.name == name));
+        // A partition that began meanwhile holds the answer back, and the agent drops it then.
+        let wait = self.partitioned_for(node_index, &name).plus(self.delay());
+        self.after(wait, move |simulation| {
+            simulation.answered(&name, agent_epoch, sequence, answer, leader)
         });
     }
 
+    /// An agent takes in the answer to its heartbeat, if it still waits for that one.
     pub(super) fn answered(
         &mut self,
         name: &str,
@@ -142,136 +143,178 @@
         leader: Option<usize>,
     ) {
         let now = self.now;
-        let hears = |m: &&mut Agent| m.is_up(now) && now >= m.inbound_cut_until;
-        let Some(m) = self.agents.get_mut(name).filter(hears) else {
+        let is_reachable = |agent: &&mut Agent| agent.is_up(now) && now >= agent.inbound_cut_until;
+        let Some(agent) = self.agents.get_mut(name).filter(is_reachable) else {
             return;
         };
-        let Some((waiting, sent)) = m
-            .waiting
-            .filter(|w| w.0 == sequence && m.agent_epoch == agent_epoch)
-        else {
+        let awaited =
+            |waiting: &(u64, Micros)| waiting.0 == sequence && agent.agent_epoch == agent_epoch;
+        let Some((_, sent_at)) = agent.waiting.filter(awaited) else {
             return;
         };
-        debug_assert_eq!(waiting, sequence);
-        m.waiting = None;
+        agent.waiting = None;
         match answer {
             Some((fencing_token, commands)) => {
-                if m.take_token(fencing_token) {
-                    m.lease_from = sent;
+                if agent.take_token(fencing_token) {
+                    agent.lease_from = sent_at;
                     self.execute(name, &commands);
                 }
             }
             None => {
-                m.target = leader.unwrap_or((m.target + 1) % 3);
-                m.next_report = now.plus(Micros::from_millis(500));
+                agent.target = leader.unwrap_or((agent.target + 1) % 3);
+                agent.next_report = now.plus(MIN_HEARTBEAT_SPACING);
             }
         }
     }
 
     /// Gangs start when all members of an attempt wait, and end together.
     pub(super) fn gangs(&mut self) {
-        let now = self.now;
-        let ids: Vec<String> = self
+        let gangs: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.spec.kind == JobKind::Gang)
+            .filter(|(_, job)| job.spec.kind == JobKind::Gang)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in ids {
-            let n = self.jobs[&id].spec.tasks;
-            let mut counts: BTreeMap<u32, (u32, u32, u32)> = BTreeMap::new();
-            for h in self.members(&id) {
-                let c = counts.entry(h.attempt).or_default();
-                match h.state {
-                    TaskState::Waiting => c.0 += 1,
-                    TaskState::Running => c.1 += 1,
-                    TaskState::Exited {
-                        cause: ExitCause::Done,
-                        ..
-                    } => c.2 += 1,
-                    _ => {}
-                }
+        for id in gangs {
+            let size = self.jobs[&id].spec.tasks;
+            let attempts = self.count_members(&id);
+            if self.advance_members(&id, size, &attempts) {
+                self.complete_gang(&id, size);
             }
-            let (gang_wait, gang_peer) = (self.times.gang_wait, self.times.gang_peer);
-            let mut finished = false;
-            for h in self.members(&id) {
-                let (waiting, running, done) = counts[&h.attempt];
-                match h.state {
-                    TaskState::Waiting if waiting == n => {
-                        h.state = TaskState::Running;
-                        h.until = now.plus(h.run);
-                    }
-                    TaskState::Waiting if now.since(h.until) > gang_wait => {
-                        h.state = TaskState::Exited {
-                            cause: ExitCause::Incomplete,
-                            saved: false,
-                        };
-                    }
-                    TaskState::Running if running == n && h.until <= now => finished = true,
-                    TaskState::Running
-                        if running + done < n && now.plus(h.run).since(h.until) > gang_peer =>
-                    {
-                        h.state = TaskState::Exited {
-                            cause: ExitCause::Peers,
-                            saved: false,
-                        };
-                    }
-                    _ => {}
-                }
+        }
+    }
+
+    /// The members of each attempt of a gang.
+    fn count_members(&mut self, id: &str) -> BTreeMap<u32, GangMembers> {
+        let mut attempts: BTreeMap<u32, GangMembers> = BTreeMap::new();
+        for member in self.members(id) {
+            let counts = attempts.entry(member.attempt).or_default();
+            match member.state {
+                TaskState::Waiting => counts.waiting += 1,
+                TaskState::Running => counts.running += 1,
+                TaskState::Exited {
+                    cause: ExitCause::Done,
+                    ..
+                } => counts.done += 1,
+                _ => {}
             }
-            if finished {
-                for h in self.members(&id) {
-                    if h.state == TaskState::Running {
-                        h.state = TaskState::Exited {
-                            cause: ExitCause::Done,
-                            saved: false,
-                        };
-                    }
+        }
+        attempts
+    }
+
+    /// Starts members whose attempt is complete and ends those that miss others for too long. True: a
+    /// member of a running attempt has run its time.
+    fn advance_members(
+        &mut self,
+        id: &str,
+        size: u32,
+        attempts: &BTreeMap<u32, GangMembers>,
+    ) -> bool {
+        let now = self.now;
+        let (gang_wait, gang_peer) = (self.times.gang_wait, self.times.gang_peer);
+        let mut finished = false;
+        for member in self.members(id) {
+            let counts = attempts[&member.attempt];
+            match member.state {
+                TaskState::Waiting if counts.waiting == size => {
+                    member.state = TaskState::Running;
+                    member.until = now.plus(member.run);
+                }
+                TaskState::Waiting if now.since(member.until) > gang_wait => {
+                    member.state = exited(ExitCause::Incomplete);
                 }
-                self.done.entry(id.clone()).or_default().extend(0..n);
-                for m in self.agents.values_mut() {
-                    m.changed = true;
+                TaskState::Running if counts.running == size && member.until <= now => {
+                    finished = true;
                 }
+                TaskState::Running
+                    if counts.running + counts.done < size
+                        && now.plus(member.run).since(member.until) > gang_peer =>
+                {
+                    member.state = exited(ExitCause::Peers);
+                }
+                _ => {}
+            }
+        }
+        finished
+    }
+
+    fn complete_gang(&mut self, id: &str, size: u32) {
+        for member in self.members(id) {
+            if member.state == TaskState::Running {
+                member.state = exited(ExitCause::Done);
             }
         }
+        self.done.entry(id.to_owned()).or_default().extend(0..size);
+        for agent in self.agents.values_mut() {
+            agent.changed = true;
+        }
     }
 
+    /// The tasks of a gang on machines that are up.
     fn members<'a>(&'a mut self, id: &'a str) -> impl Iterator<Item = &'a mut Held> {
         let now = self.now;
         self.agents
             .values_mut()
-            .filter(move |m| m.is_up(now))
-            .flat_map(|m| m.tasks.iter_mut())
-            .filter(move |((t, _), _)| t.0 == id)
-            .map(|(_, h)| h)
+            .filter(move |agent| agent.is_up(now))
+            .flat_map(|agent| agent.tasks.iter_mut())
+            .filter(move |((task_id, _), _)| task_id.0 == id)
+            .map(|(_, held)| held)
+    }
+}
+
+/// The state of a task that has ended without saving.
+fn exited(cause: ExitCause) -> TaskState {
+    TaskState::Exited {
+        cause,
+        saved: false,
+    }
+}
+
+/// Moves a machine's tasks on; the tasks that have just completed.
+fn advance_tasks(agent: &mut Agent, jobs: &BTreeMap<String, UserJob>, now: Micros) -> Vec<TaskId> {
+    let mut completed = Vec::new();
+    for ((id, _), held) in &mut agent.tasks {
+        let Some(job) = jobs.get(&id.0) else {
+            continue;
+        };
+        if job.mistaken && held.state == TaskState::Running {
+            held.state = exited(ExitCause::Error);
+            agent.changed = true;
+            continue;
+        }
+        if advance(held, &job.spec, now) {
+            completed.push(id.clone());
+        }
+        let under_way = matches!(held.state, TaskState::Running | TaskState::Waiting);
+        if under_way && held.until <= now {
+            agent.changed = true;
+        }
     }
+    completed
 }
 
 /// Moves a task on by itself; true when it has just completed.
-fn advance(h: &mut Held, spec: &JobSpec, now: Micros) -> bool {
-    if now < h.until {
+fn advance(held: &mut Held, spec: &JobSpec, now: Micros) -> bool {
+    if now < held.until {
         return false;
     }
-    match h.state {
+    match held.state {
         TaskState::Fetching if spec.kind == JobKind::Gang => {
-            h.state = TaskState::Waiting;
-            h.until = now;
+            held.state = TaskState::Waiting;
+            held.until = now;
             false
         }
         TaskState::Fetching => {
-            h.state = TaskState::Running;
-            h.until = now.plus(h.run);
+            held.state = TaskState::Running;
+            held.until = now.plus(held.run);
             false
         }
         TaskState::Running if spec.kind == JobKind::Array => {
-            h.state = TaskState::Exited {
-                cause: ExitCause::Done,
-                saved: false,
-            };
+            held.state = exited(ExitCause::Done);
             true
         }
         TaskState::Saving => {
-            h.state = TaskState::Exited {
+            held.state = TaskState::Exited {
                 cause: ExitCause::Stopped,
                 saved: true,
             };
@@ -280,3 +323,29 @@
         _ => false,
     }
 }
+
+/// Gives up a heartbeat that is not answered in time and turns to the next controller.
+fn time_out_heartbeat(agent: &mut Agent, now: Micros) {
+    let timed_out = |waiting: (u64, Micros)| now.since(waiting.1) > ANSWER_TIMEOUT;
+    if agent.waiting.is_some_and(timed_out) {
+        agent.waiting = None;
+        agent.target = (agent.target + 1) % 3;
+        agent.next_report = now.plus(RETRY_BACKOFF);
+    }
+}
+
+/// Heartbeats are sent at an interval, and sooner when something has changed; one at a time.
+fn is_heartbeat_due(agent: &Agent, interval: Micros, now: Micros) -> bool {
+    let since_last = now.plus(interval).since(agent.next_report);
+    let due = now >= agent.next_report || (agent.changed && since_last > MIN_HEARTBEAT_SPACING);
+    due && agent.waiting.is_none()
+}
+
+/// Makes the next heartbeat, whose answer the agent waits for from now on.
+fn begin_heartbeat(agent: &mut Agent, interval: Micros, now: Micros) -> Heartbeat {
+    agent.changed = false;
+    agent.next_report = now.plus(interval);
+    let heartbeat = agent.heartbeat();
+    agent.waiting = Some((heartbeat.sequence, now));
+    heartbeat
+}
--- a/crates/saltpitch-testkit/src/simulation/cloud.rs
+++ b/crates/saltpitch-testkit/src/simulation/cloud.rs
@@ -1,100 +1,117 @@
 //! The cloud: scale-out requests and its list of machines.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use saltpitch_core::scheduler::{ListedMachine, ScaleOutOutcome};
+use saltpitch_core::Micros;
+
+use super::Simulation;
+use crate::agents::Agent;
+
+/// A machine that never comes up takes this long.
+const NEVER: Micros = Micros::from_secs(1_000_000);
+/// How long a machine takes that comes up late.
+const LATE_PROVISIONING: Micros = Micros::from_secs(45);
+/// The age that the cloud gives for each machine.
+const LISTED_AGE: Micros = Micros::from_secs(10);
+
+/// A request for machines. The same request again gives the same machines.
+pub(super) struct ScaleOutRequest {
+    pub(super) id: String,
+    pub(super) type_name: String,
+    pub(super) zone: String,
+    pub(super) spot: bool,
+    pub(super) count: u32,
+}
 
 impl Simulation {
-    pub(super) fn rent(
-        &mut self,
-        request: &str,
-        type_name: &str,
-        zone: &str,
-        spot: bool,
-        n: u32,
-    ) -> ScaleOutOutcome {
-        if let Some(names) = self.requests.get(request) {
+    /// Provisions what the cloud has of the machines requested.
+    pub(super) fn scale_out(&mut self, request: &ScaleOutRequest) -> ScaleOutOutcome {
+        if let Some(names) = self.requests.get(&request.id) {
             return ScaleOutOutcome::Machines(names.clone());
         }
-        let there = self
-            .agents
-            .values()
-            .filter(|m| !m.gone && m.type_name == type_name && m.zone == zone && m.spot == spot)
-            .count() as u32;
-        let n = n.min(self.machine_limit.saturating_sub(there));
-        if n == 0 {
+        let in_pool = |agent: &&Agent| {
+            !agent.gone
+                && agent.type_name == request.type_name
+                && agent.zone == request.zone
+                && agent.spot == request.spot
+        };
+        let present = self.agents.values().filter(in_pool).count() as u32;
+        let count = request
+            .count
+            .min(self.machine_limit.saturating_sub(present));
+        if count == 0 {
             return ScaleOutOutcome::NoCapacity;
         }
-        let size = self
-            .catalog
-            .get(type_name)
-            .map(|t| t.size)
-            .unwrap_or_default();
-        let mut names = Vec::new();
-        for _ in 0..n {
-            self.next_machine += 1;
-            let name = format!("vm-{:06}", self.next_machine);
-            // Some take long, a few never come up, and some are slow once they are.
-            let odd = self.faults.machines && self.now < self.quiet_from;
-            let boot = match self.random_below(12) {
-                0 if odd => Micros::from_secs(1_000_000),
-                1 if odd => Micros::from_secs(45),
-                _ => Micros::from_secs(1 + self.random_below(14)),
-            };
-            let slow = odd && self.random_below(6) == 0;
-            let target = self.random_below(3) as usize;
-            self.agents.insert(
-                name.clone(),
-                Agent {
-                    name: name.clone(),
-                    type_name: type_name.to_owned(),
-                    zone: zone.to_owned(),
-                    spot,
-                    size,
-                    slow,
-                    boots_at: self.now.plus(boot),
-                    gone: false,
-                    hung_until: Micros::ZERO,
-                    inbound_cut_until: Micros::ZERO,
-                    outbound_cut_until: Micros::ZERO,
-                    agent_epoch: 1,
-                    sequence: 0,
-                    fencing_token: 0,
-                    lease_from: self.now.plus(boot),
-                    notice: None,
-                    tasks: BTreeMap::new(),
-                    target,
-                    next_report: Micros::ZERO,
-                    waiting: None,
-                    changed: false,
-                },
-            );
-            names.push(name);
-        }
-        self.requests.insert(request.to_owned(), names.clone());
+        let names: Vec<String> = (0..count)
+            .map(|_| self.provision_machine(request))
+            .collect();
+        self.requests.insert(request.id.clone(), names.clone());
         ScaleOutOutcome::Machines(names)
     }
 
-    pub(super) fn list(&mut self, n: usize) {
-        let list: Vec<ListedMachine> = self
-            .agents
-            .values()
-            .filter(|m| !m.gone)
-            .map(|m| ListedMachine {
-                name: m.name.clone(),
-                addr: m.name.clone(),
-                type_name: m.type_name.clone(),
-                zone: m.zone.clone(),
-                spot: m.spot,
-                failed: false,
-                age: Micros::from_secs(10),
-            })
-            .collect();
-        let epoch = self.nodes[n].epoch();
-        // The list lags.
+    /// Provisions one machine and gives its name. With machine faults some come up late or never, and
+    /// some are slow once they are up.
+    fn provision_machine(&mut self, request: &ScaleOutRequest) -> String {
+        self.next_machine += 1;
+        let name = format!("vm-{:06}", self.next_machine);
+        let faulty = self.faults.machines && self.now < self.quiet_from;
+        let provisioning = match self.random_below(12) {
+            0 if faulty => NEVER,
+            1 if faulty => LATE_PROVISIONING,
+            _ => Micros::from_secs(1 + self.random_below(14)),
+        };
+        let slow = faulty && self.random_below(6) == 0;
+        let target = self.random_below(3) as usize;
+        let boots_at = self.now.plus(provisioning);
+        let machine_type = self.catalog.get(&request.type_name);
+        let agent = Agent {
+            name: name.clone(),
+            type_name: request.type_name.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
+            size: machine_type.map(|known| known.size).unwrap_or_default(),
+            slow,
+            boots_at,
+            gone: false,
+            hung_until: Micros::ZERO,
+            inbound_cut_until: Micros::ZERO,
+            outbound_cut_until: Micros::ZERO,
+            agent_epoch: 1,
+            sequence: 0,
+            fencing_token: 0,
+            lease_from: boots_at,
+            notice: None,
+            tasks: BTreeMap::new(),
+            target,
+            next_report: Micros::ZERO,
+            waiting: None,
+            changed: false,
+        };
+        self.agents.insert(name.clone(), agent);
+        name
+    }
+
+    /// Sends the cloud's list of machines to a leader; the list is up to 12 s old when it arrives.
+    pub(super) fn list_machines(&mut self, node_index: usize) {
+        let listed = |agent: &Agent| ListedMachine {
+            name: agent.name.clone(),
+            addr: agent.name.clone(),
+            type_name: agent.type_name.clone(),
+            zone: agent.zone.clone(),
+            spot: agent.spot,
+            failed: false,
+            age: LISTED_AGE,
+        };
+        let present = self.agents.values().filter(|agent| !agent.gone);
+        let list: Vec<ListedMachine> = present.map(listed).collect();
+        let epoch = self.nodes[node_index].epoch();
         let lag = Micros::from_secs(self.random_below(12));
-        self.after(lag, move |w| {
-            let gone = w.nodes[n].records().returned_machines.clone();
-            w.tell(n, epoch, move |scheduler, now| {
-                scheduler.listed(&list, &|x| gone.contains(x), now)
+        self.after(lag, move |simulation| {
+            let records = simulation.nodes[node_index].records();
+            let returned = records.returned_machines.clone();
+            simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+                scheduler.listed(&list, &|machine| returned.contains(machine), now)
             });
         });
     }
--- a/crates/saltpitch-testkit/src/simulation/controllers.rs
+++ b/crates/saltpitch-testkit/src/simulation/controllers.rs
@@ -1,6 +1,14 @@
 //! Controllers: elections, heartbeats, and the effects of their schedulers.
 
-use super::*;
+use rand::Rng;
+use saltpitch_core::controller::{Candidacy, LossReason};
+use saltpitch_core::leadership::{ElectionAttempt, LEADERSHIP_LEASE};
+use saltpitch_core::messages::PeerStatus;
+use saltpitch_core::records::LEADER_KEY;
+use saltpitch_core::scheduler::{Scheduler, SchedulerConfig, Transaction, TransactionOutcome};
+use saltpitch_core::Micros;
+
+use super::{Simulation, TICK};
 
 const FOLLOW_INTERVAL: Micros = Micros::from_millis(200);
 const RENEWAL_INTERVAL: Micros = Micros::from_millis(600);
@@ -17,18 +25,18 @@
     epoch: u64,
 }
 
-/// A bid whose transaction is under way.
-struct PendingBid {
+/// An election attempt whose transaction is under way.
+struct PendingAttempt {
     campaign: ElectionAttempt,
     store_lease: u64,
     opened_at: Micros,
 }
 
 impl Simulation {
-    /// How long until node `n` and this machine can reach each other.
-    pub(super) fn cut(&self, n: usize, machine: &str) -> Micros {
-        let node = &self.nodes[n];
-        let zone = self.agents.get(machine).map(|m| m.zone.as_str());
+    /// How long until this controller and this machine can reach each other.
+    pub(super) fn partitioned_for(&self, node_index: usize, machine: &str) -> Micros {
+        let node = &self.nodes[node_index];
+        let zone = self.agents.get(machine).map(|agent| agent.zone.as_str());
         let apart = if zone == Some(node.zone.as_str()) {
             Micros::ZERO
         } else {
@@ -38,40 +46,43 @@
     }
 
     /// How long what is sent to this machine is held back.
-    pub(super) fn unheard(&self, machine: &str) -> Micros {
-        let m = self.agents.get(machine);
-        m.map_or(Micros::ZERO, |m| m.inbound_cut_until.since(self.now))
+    pub(super) fn inbound_partitioned_for(&self, machine: &str) -> Micros {
+        let agent = self.agents.get(machine);
+        agent.map_or(Micros::ZERO, |agent| {
+            agent.inbound_cut_until.since(self.now)
+        })
     }
 
-    pub(super) fn node_tick(&mut self, n: usize) {
+    /// What a controller's process does in one tick.
+    pub(super) fn node_tick(&mut self, node_index: usize) {
         let now = self.now;
-        if !self.nodes[n].is_up(now) || self.nodes[n].frozen(now) > Micros::ZERO {
+        if !self.nodes[node_index].is_up(now) || self.nodes[node_index].frozen(now) > Micros::ZERO {
             return;
         }
-        if !self.nodes[n].started {
-            let scheduler = self.scheduler_config(n);
-            self.nodes[n].start(scheduler, now);
+        if !self.nodes[node_index].started {
+            let scheduler = self.scheduler_config(node_index);
+            self.nodes[node_index].start(scheduler, now);
         }
-        let reaches = self.nodes[n].reaches_store(&self.store, now);
+        let reaches = self.nodes[node_index].reaches_store(&self.store, now);
         if reaches && self.is_due(FOLLOW_INTERVAL) {
-            self.follow(n);
+            self.follow(node_index);
         }
         if self.is_due(RENEWAL_INTERVAL) {
-            self.send_heartbeats(n);
+            self.send_heartbeats(node_index);
         }
-        match self.nodes[n].controller.store_lease() {
+        match self.nodes[node_index].controller.store_lease() {
             Some(store_lease) if self.is_due(RENEWAL_INTERVAL) => {
-                self.renew(n, store_lease, reaches);
-                if self.nodes[n].controller.should_resign(now) {
-                    self.resign(n, reaches);
+                self.renew(node_index, store_lease, reaches);
+                if self.nodes[node_index].controller.should_resign(now) {
+                    self.resign(node_index, reaches);
                 }
             }
-            None if reaches && self.should_campaign(n) => self.elect(n),
+            None if reaches && self.should_campaign(node_index) => self.elect(node_index),
             _ => {}
         }
-        self.poll(n);
-        if self.nodes[n].controller.is_leader() && self.is_due(LIST_INTERVAL) {
-            self.list(n);
+        self.poll(node_index);
+        if self.nodes[node_index].controller.is_leader() && self.is_due(LIST_INTERVAL) {
+            self.list_machines(node_index);
         }
     }
 
@@ -81,9 +92,9 @@
     }
 
     /// Reads the records, and puts the process's incarnation on record if it is not there yet.
-    fn follow(&mut self, n: usize) {
+    fn follow(&mut self, node_index: usize) {
         let now = self.now;
-        let node = &mut self.nodes[n];
+        let node = &mut self.nodes[node_index];
         node.follow(&self.store, now);
         if node.controller.catalog().is_none() {
             node.controller.set_catalog(self.catalog.clone());
@@ -94,10 +105,10 @@
         }
     }
 
-    /// Whether to stand for election now.
-    fn should_campaign(&mut self, n: usize) -> bool {
+    /// Whether to campaign for the leadership now.
+    fn should_campaign(&mut self, node_index: usize) -> bool {
         let (now, random) = (self.now, self.rng.random());
-        let node = &mut self.nodes[n];
+        let node = &mut self.nodes[node_index];
         match node.controller.candidacy(now, random) {
             Candidacy::No => {
                 node.leaderless_since = None;
@@ -112,18 +123,18 @@
     }
 
     /// An election takes time: the lease is opened, the transaction travels, its answer may be lost,
-    /// and the records are read again. Processes end and return, and others bid, in between.
-    fn elect(&mut self, n: usize) {
-        if std::mem::replace(&mut self.nodes[n].bidding, true) {
+    /// and the records are read again. Processes end and return, and others campaign, in between.
+    fn elect(&mut self, node_index: usize) {
+        if std::mem::replace(&mut self.nodes[node_index].bidding, true) {
             return;
         }
         let now = self.now;
-        self.nodes[n].leaderless_since = None;
-        let epoch = self.nodes[n].epoch();
-        let campaign = self.nodes[n].controller.campaign(now);
+        self.nodes[node_index].leaderless_since = None;
+        let epoch = self.nodes[node_index].epoch();
+        let campaign = self.nodes[node_index].controller.campaign(now);
         let store_lease = self.store.grant_lease(LEADERSHIP_LEASE, now);
         let (Some(campaign), Some(store_lease)) = (campaign, store_lease) else {
-            self.nodes[n].bidding = false;
+            self.nodes[node_index].bidding = false;
             return;
         };
         let lost = self.faults.losses && self.random_below(5) == 0;
@@ -132,10 +143,10 @@
         } else {
             self.random_below(300)
         };
-        self.after(Micros::from_millis(delay), move |w| {
+        self.after(Micros::from_millis(delay), move |simulation| {
             // Sent is sent: it is carried out whether or not the process still lives.
             let attached = Some((store_lease, LEADER_KEY));
-            let outcome = w.store.txn(
+            let outcome = simulation.store.txn(
                 &campaign.transaction.preconditions,
                 &campaign.transaction.writes,
                 attached,
@@ -145,25 +156,27 @@
             } else {
                 outcome
             };
-            let d = Micros::from_millis(w.random_below(300));
-            let pending = PendingBid {
+            let delay = Micros::from_millis(simulation.random_below(300));
+            let pending = PendingAttempt {
                 campaign,
                 store_lease,
                 opened_at: now,
             };
-            w.after(d, move |w| w.bid_answered(n, epoch, pending, outcome));
+            simulation.after(delay, move |simulation| {
+                simulation.attempt_answered(node_index, epoch, pending, outcome)
+            });
         });
     }
 
-    fn bid_answered(
+    fn attempt_answered(
         &mut self,
-        n: usize,
+        node_index: usize,
         epoch: u64,
-        pending: PendingBid,
+        pending: PendingAttempt,
         outcome: TransactionOutcome,
     ) {
         let now = self.now;
-        let node = &mut self.nodes[n];
+        let node = &mut self.nodes[node_index];
         if node.epoch() != epoch || !node.is_up(now) {
             return;
         }
@@ -172,7 +185,7 @@
         if node.frozen(now) > Micros::ZERO || !node.reaches_store(&self.store, now) {
             return;
         }
-        let PendingBid {
+        let PendingAttempt {
             campaign,
             store_lease,
             opened_at,
@@ -191,9 +204,9 @@
     }
 
     /// What a node's version makes of the settings.
-    fn scheduler_config(&self, n: usize) -> SchedulerConfig {
+    fn scheduler_config(&self, node_index: usize) -> SchedulerConfig {
         let mut config = self.config.clone();
-        if let Some((bytes, ops, rate)) = self.next_limits.filter(|_| !self.nodes[n].old) {
+        if let Some((bytes, ops, rate)) = self.next_limits.filter(|_| !self.nodes[node_index].old) {
             config.max_value_bytes = config.max_value_bytes.min(bytes);
             config.max_transaction_writes = config.max_transaction_writes.min(ops);
             config.next_write_rate = f64::from(rate) * 0.7;
@@ -201,14 +214,14 @@
         config
     }
 
-    fn renew(&mut self, n: usize, store_lease: u64, reaches: bool) {
+    fn renew(&mut self, node_index: usize, store_lease: u64, reaches: bool) {
         let now = self.now;
         let answer = if reaches {
             self.store.keep_alive(store_lease, now)
         } else {
             None
         };
-        let node = &mut self.nodes[n];
+        let node = &mut self.nodes[node_index];
         match answer {
             Some(true) => node.controller.lease_renewed(now),
             Some(false) => node.controller.lose_leadership(LossReason::LeaseExpired),
@@ -216,19 +229,21 @@
         }
     }
 
-    fn send_heartbeats(&mut self, n: usize) {
-        let (asked_at, epoch) = (self.now, self.nodes[n].epoch());
-        for peer in (0..self.nodes.len()).filter(|peer| *peer != n) {
+    fn send_heartbeats(&mut self, node_index: usize) {
+        let (asked_at, epoch) = (self.now, self.nodes[node_index].epoch());
+        for peer in (0..self.nodes.len()).filter(|peer| *peer != node_index) {
             let name = self.nodes[peer].name.clone();
-            let peer_heartbeat = self.nodes[n].peer_heartbeat(&name, asked_at);
+            let peer_heartbeat = self.nodes[node_index].peer_heartbeat(&name, asked_at);
             let exchange = Exchange {
-                from: n,
+                from: node_index,
                 to: peer,
                 asked_at,
                 epoch,
             };
-            let d = self.delay();
-            self.after(d, move |w| w.heartbeat_arrives(exchange, peer_heartbeat));
+            let delay = self.delay();
+            self.after(delay, move |simulation| {
+                simulation.heartbeat_arrives(exchange, peer_heartbeat)
+            });
         }
     }
 
@@ -242,8 +257,8 @@
         }
         let frozen = to.frozen(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |w| {
-                w.heartbeat_arrives(exchange, peer_heartbeat)
+            return self.after(frozen, move |simulation| {
+                simulation.heartbeat_arrives(exchange, peer_heartbeat)
             });
         }
         let answer = self.nodes[exchange.to].peer_heartbeat_received(peer_heartbeat, now);
@@ -251,30 +266,34 @@
         if now.since(exchange.asked_at) > HEARTBEAT_TIMEOUT {
             return;
         }
-        let d = self.delay();
-        self.after(d, move |w| w.peer_heartbeat_answered(exchange, answer));
+        let delay = self.delay();
+        self.after(delay, move |simulation| {
+            simulation.peer_heartbeat_answered(exchange, answer)
+        });
     }
 
     fn peer_heartbeat_answered(&mut self, exchange: Exchange, answer: PeerStatus) {
         let now = self.now;
-        let n = exchange.from;
-        let frozen = self.nodes[n].frozen(now);
+        let node_index = exchange.from;
+        let frozen = self.nodes[node_index].frozen(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |w| w.peer_heartbeat_answered(exchange, answer));
+            return self.after(frozen, move |simulation| {
+                simulation.peer_heartbeat_answered(exchange, answer)
+            });
         }
-        let node = &mut self.nodes[n];
+        let node = &mut self.nodes[node_index];
         let same_process = node.epoch() / 1_000_000 == exchange.epoch / 1_000_000;
         if !node.is_up(now) || !same_process {
             return;
         }
         node.peer_heartbeat_answered(answer, exchange.asked_at, exchange.epoch, now);
-        self.poll(n);
+        self.poll(node_index);
     }
 
-    fn resign(&mut self, n: usize, reaches: bool) {
+    fn resign(&mut self, node_index: usize, reaches: bool) {
         self.resignations += 1;
         let now = self.now;
-        let node = &mut self.nodes[n];
+        let node = &mut self.nodes[node_index];
         let Some(resignation) = node.controller.resign(now, now) else {
             return;
         };
@@ -292,28 +311,31 @@
         }
     }
 
-    pub(super) fn poll(&mut self, n: usize) {
-        let epoch = self.nodes[n].epoch();
-        for effect in self.nodes[n].poll(self.now) {
-            self.carry_out(n, epoch, effect);
+    /// Runs the scheduler's loops, if this controller leads, and carries out their effects.
+    pub(super) fn poll(&mut self, node_index: usize) {
+        let epoch = self.nodes[node_index].epoch();
+        for effect in self.nodes[node_index].poll(self.now) {
+            self.carry_out(node_index, epoch, effect);
         }
     }
 
     /// Gives an answer to the scheduler that asked, if it still leads; then runs its loops.
-    pub(super) fn tell(
+    pub(super) fn tell_scheduler(
         &mut self,
-        n: usize,
+        node_index: usize,
         epoch: u64,
         deliver: impl FnOnce(&mut Scheduler, Micros) + 'static,
     ) {
         let now = self.now;
-        let frozen = self.nodes[n].frozen(now);
+        let frozen = self.nodes[node_index].frozen(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |w| w.tell(n, epoch, deliver));
+            return self.after(frozen, move |simulation| {
+                simulation.tell_scheduler(node_index, epoch, deliver)
+            });
         }
-        if let Some(scheduler) = self.nodes[n].scheduler_in(epoch, now) {
+        if let Some(scheduler) = self.nodes[node_index].scheduler_in(epoch, now) {
             deliver(scheduler, now);
-            self.poll(n);
+            self.poll(node_index);
         }
     }
 }
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -1,15 +1,56 @@
 //! What the schedulers want done: transactions, commands, probes, scale-out requests and returns.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use rand::Rng;
+use saltpitch_core::agent::Command;
+use saltpitch_core::records::TERM_KEY;
+use saltpitch_core::scheduler::{
+    CommandOutcome, Effect, ScaleOutOutcome, SentCommands, Transaction, TransactionOutcome,
+};
+use saltpitch_core::Micros;
+
+use super::cloud::ScaleOutRequest;
+use super::{Simulation, UserJob};
+use crate::agents::{Agent, Held};
+use crate::invariants::{Invariant, InvariantViolation};
+
+/// A controller that has no answer of the store or of an agent within this time takes the outcome as
+/// unknown.
+const ANSWER_TIMEOUT: Micros = Micros::from_millis(1_500);
+/// The store refuses a transaction above its rate this soon.
+const REFUSAL_DELAY: Micros = Micros::from_millis(5);
+/// How long the cloud takes to answer.
+const CLOUD_ANSWER_DELAY: Micros = Micros::from_millis(100);
+/// How long a controller waits for the cloud when the answer is lost.
+const CLOUD_TIMEOUT: Micros = Micros::from_secs(4);
+
+/// Commands on their way to a machine, outside the answer to a heartbeat.
+struct DirectCommands {
+    machine: Arc<str>,
+    agent_epoch: u64,
+    fencing_token: u64,
+    commands: Vec<Command>,
+}
+
+/// What the network and the store make of a transaction.
+struct TransactionFate {
+    applied_after: Micros,
+    answer_lost: bool,
+}
 
 impl Simulation {
-    pub(super) fn carry_out(&mut self, n: usize, epoch: u64, e: Effect) {
-        self.trace.effect(n, &e, self.now);
-        match e {
-            Effect::Commit(transaction) => self.send_transaction(n, epoch, transaction),
+    /// Carries out what a scheduler asked for in this epoch.
+    pub(super) fn carry_out(&mut self, node_index: usize, epoch: u64, effect: Effect) {
+        self.trace.effect(node_index, &effect, self.now);
+        match effect {
+            Effect::Commit(transaction) => self.send_transaction(node_index, epoch, transaction),
             Effect::ReloadRecords => {
-                let d = self.delay();
-                self.after(d, move |w| w.refresh(n, epoch));
+                let delay = self.delay();
+                self.after(delay, move |simulation| {
+                    simulation.reload_records(node_index, epoch)
+                });
             }
             Effect::SendCommands {
                 machine,
@@ -17,35 +58,19 @@
                 fencing_token,
                 commands,
                 ..
-            } => self.send_orders(n, epoch, machine, agent_epoch, fencing_token, commands),
+            } => {
+                let direct = DirectCommands {
+                    machine,
+                    agent_epoch,
+                    fencing_token,
+                    commands,
+                };
+                self.send_commands(node_index, epoch, direct);
+            }
             Effect::Probe { machine, .. } => {
-                let d = self.delay();
-                self.after(d, move |w| {
-                    if w.cut(n, &machine).max(w.unheard(&machine)) > Micros::ZERO {
-                        w.tell(n, epoch, move |scheduler, now| {
-                            scheduler.probe_failed(&machine, now)
-                        });
-                        return;
-                    }
-                    let now = w.now;
-                    let r = w
-                        .agents
-                        .get_mut(&*machine)
-                        .filter(|m| m.is_up(now))
-                        .map(Agent::heartbeat);
-                    if r.is_none() {
-                        w.tell(n, epoch, move |scheduler, now| {
-                            scheduler.probe_failed(&machine, now)
-                        });
-                    }
-                    if let Some(r) = r {
-                        let d = w.delay();
-                        w.after(d, move |w| {
-                            w.tell(n, epoch, move |scheduler, now| {
-                                scheduler.probe_answered(r, now)
-                            });
-                        });
-                    }
+                let delay = self.delay();
+                self.after(delay, move |simulation| {
+                    simulation.probe(node_index, epoch, machine)
                 });
             }
             Effect::ScaleOut {
@@ -55,44 +80,81 @@
                 spot,
                 count,
             } => {
-                let lost = self.faults.losses && self.random_below(8) == 0;
-                let d = self.delay();
-                self.after(d, move |w| {
-                    let end = w.rent(&request, &type_name, &zone, spot, count);
-                    let (end, wait) = if lost {
-                        (ScaleOutOutcome::Unknown, Micros::from_secs(4))
-                    } else {
-                        (end, Micros::from_millis(100))
-                    };
-                    w.after(wait, move |w| {
-                        w.tell(n, epoch, move |scheduler, now| {
-                            scheduler.rented(&request, end, now)
-                        });
-                    });
-                });
+                let request = ScaleOutRequest {
+                    id: request,
+                    type_name,
+                    zone,
+                    spot,
+                    count,
+                };
+                self.send_scale_out(node_index, epoch, request);
             }
-            Effect::ScaleIn { names } => {
-                let late = Micros::from_millis(100 + self.random_below(3_000));
-                self.after(late, move |w| {
-                    for name in &names {
-                        let now = w.now;
-                        if let Some(m) = w.agents.get_mut(&**name) {
-                            let busy = m.tasks.values().any(Held::on);
-                            w.returned_alive += u64::from(m.is_up(now) && busy);
-                            m.gone = true;
-                        }
-                    }
-                    w.tell(n, epoch, move |scheduler, now| {
-                        scheduler.returned(&names, now)
-                    });
+            Effect::ScaleIn { names } => self.send_scale_in(node_index, epoch, names),
+            Effect::RaiseTerm => self.raise_term(node_index, epoch),
+        }
+    }
+
+    /// Asks a machine for a heartbeat.
+    fn probe(&mut self, node_index: usize, epoch: u64, machine: Arc<str>) {
+        let partitioned = self.partitioned_for(node_index, &machine);
+        let unreachable = partitioned.max(self.inbound_partitioned_for(&machine)) > Micros::ZERO;
+        let now = self.now;
+        let heartbeat = self
+            .agents
+            .get_mut(&*machine)
+            .filter(|agent| !unreachable && agent.is_up(now))
+            .map(Agent::heartbeat);
+        let Some(heartbeat) = heartbeat else {
+            return self.tell_scheduler(node_index, epoch, move |scheduler, now| {
+                scheduler.probe_failed(&machine, now)
+            });
+        };
+        let delay = self.delay();
+        self.after(delay, move |simulation| {
+            simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+                scheduler.probe_answered(heartbeat, now)
+            });
+        });
+    }
+
+    /// The cloud's answer to a scale-out request may be lost after the machines are provisioned.
+    fn send_scale_out(&mut self, node_index: usize, epoch: u64, request: ScaleOutRequest) {
+        let lost = self.faults.losses && self.random_below(8) == 0;
+        let delay = self.delay();
+        self.after(delay, move |simulation| {
+            let outcome = simulation.scale_out(&request);
+            let (outcome, wait) = if lost {
+                (ScaleOutOutcome::Unknown, CLOUD_TIMEOUT)
+            } else {
+                (outcome, CLOUD_ANSWER_DELAY)
+            };
+            simulation.after(wait, move |simulation| {
+                simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+                    scheduler.rented(&request.id, outcome, now)
                 });
+            });
+        });
+    }
+
+    fn send_scale_in(&mut self, node_index: usize, epoch: u64, names: Vec<Arc<str>>) {
+        let delay = Micros::from_millis(100 + self.random_below(3_000));
+        self.after(delay, move |simulation| {
+            let now = simulation.now;
+            for name in &names {
+                if let Some(agent) = simulation.agents.get_mut(&**name) {
+                    let busy = agent.tasks.values().any(Held::on);
+                    simulation.returned_alive += u64::from(agent.is_up(now) && busy);
+                    agent.gone = true;
+                }
             }
-            Effect::RaiseTerm => self.raise_term(n, epoch),
-        }
+            simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+                scheduler.returned(&names, now)
+            });
+        });
     }
 
-    fn raise_term(&mut self, n: usize, epoch: u64) {
-        let node = &self.nodes[n];
+    fn raise_term(&mut self, node_index: usize, epoch: u64) {
+        let node = &self.nodes[node_index];
         let Some(increment) = node.controller.term_increment(node.controller.epoch()) else {
             return;
         };
@@ -105,198 +167,227 @@
         } else {
             TransactionOutcome::Unavailable
         };
-        let d = self.delay();
-        self.after(d, move |w| {
-            w.tell(n, epoch, move |l, _| match outcome {
-                TransactionOutcome::Committed(revision) => l.term_raised(increment.term, revision),
-                _ => l.term_raise_failed(),
+        let delay = self.delay();
+        self.after(delay, move |simulation| {
+            simulation.tell_scheduler(node_index, epoch, move |scheduler, _| match outcome {
+                TransactionOutcome::Committed(revision) => {
+                    scheduler.term_raised(increment.term, revision)
+                }
+                _ => scheduler.term_raise_failed(),
             });
         });
     }
 
-    fn refresh(&mut self, n: usize, epoch: u64) {
+    fn reload_records(&mut self, node_index: usize, epoch: u64) {
         let now = self.now;
-        let frozen = self.nodes[n].frozen(now);
+        let node = &mut self.nodes[node_index];
+        let frozen = node.frozen(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |w| w.refresh(n, epoch));
+            return self.after(frozen, move |simulation| {
+                simulation.reload_records(node_index, epoch)
+            });
         }
-        let read = self.nodes[n].reaches_store(&self.store, now);
-        if self.nodes[n].epoch() != epoch || !self.nodes[n].is_up(now) {
+        if node.epoch() != epoch || !node.is_up(now) {
             return;
         }
-        let node = &mut self.nodes[n];
-        if read {
+        let reaches_store = node.reaches_store(&self.store, now);
+        if reaches_store {
             node.follow(&self.store, now);
         }
-        let own = node.controller.epoch();
-        node.controller.records_reloaded(own, read, now, now);
-        self.poll(n);
+        let controller = &mut node.controller;
+        controller.records_reloaded(controller.epoch(), reaches_store, now, now);
+        self.poll(node_index);
     }
 
     /// A transaction may be applied late, and its answer may be lost.
-    fn send_transaction(&mut self, n: usize, epoch: u64, transaction: Transaction) {
-        let Transaction {
-            preconditions,
-            writes,
-        } = transaction;
-        let cut = self.now < self.nodes[n].no_store_until;
-        if cut {
-            let end = self.nodes[n].no_store_until.since(self.now);
-            self.after(end, move |w| {
-                w.store.txn(&preconditions, &writes, None);
+    fn send_transaction(&mut self, node_index: usize, epoch: u64, transaction: Transaction) {
+        let cut_until = self.nodes[node_index].no_store_until;
+        if self.now < cut_until {
+            let cut_ends_in = cut_until.since(self.now);
+            self.after(cut_ends_in, move |simulation| {
+                let Transaction {
+                    preconditions,
+                    writes,
+                } = &transaction;
+                simulation.store.txn(preconditions, writes, None);
             });
-            self.after(Micros::from_millis(1_500), move |w| {
-                w.tell(n, epoch, move |scheduler, now| {
-                    scheduler.committed(TransactionOutcome::Unknown, now)
-                });
-            });
-            return;
+            return self.transaction_outcome_unknown(node_index, epoch);
         }
         if self.faults.losses && self.random_below(20) == 0 {
             // Above its rate the store refuses.
-            self.after(Micros::from_millis(5), move |w| {
-                w.tell(n, epoch, move |scheduler, now| {
-                    scheduler.committed(TransactionOutcome::Unavailable, now)
-                });
+            return self.after(REFUSAL_DELAY, move |simulation| {
+                simulation.transaction_answered(node_index, epoch, TransactionOutcome::Unavailable)
             });
-            return;
         }
-        let after_newer = self.now < self.late_writes_until
-            || (self.faults.late_writes
-                && self.now < self.quiet_from
-                && self.random_below(12) == 0);
-        let lost = after_newer || (self.faults.losses && self.random_below(15) == 0);
-        let late = if after_newer {
+        let fate = self.draw_transaction_fate();
+        if fate.answer_lost {
+            self.transaction_outcome_unknown(node_index, epoch);
+        }
+        self.after(fate.applied_after, move |simulation| {
+            let Transaction {
+                preconditions,
+                writes,
+            } = &transaction;
+            let outcome = simulation.store.txn(preconditions, writes, None);
+            if fate.answer_lost {
+                return;
+            }
+            let delay = simulation.delay();
+            simulation.after(delay, move |simulation| {
+                simulation.note_term_conflict(node_index, epoch, &outcome);
+                simulation.transaction_answered(node_index, epoch, outcome);
+            });
+        });
+    }
+
+    /// Draws whether a transaction is overtaken by newer ones and whether its answer is lost.
+    fn draw_transaction_fate(&mut self) -> TransactionFate {
+        let drawn_late = self.faults.late_writes && self.now < self.quiet_from;
+        let overtaken =
+            self.now < self.late_writes_until || (drawn_late && self.random_below(12) == 0);
+        let answer_lost = overtaken || (self.faults.losses && self.random_below(15) == 0);
+        let applied_after = if overtaken {
             2_000 + self.random_below(10_000)
-        } else if lost {
+        } else if answer_lost {
             self.random_below(8_000)
         } else {
             self.random_below(30)
         };
-        if lost {
-            self.after(Micros::from_millis(1_500), move |w| {
-                w.tell(n, epoch, move |scheduler, now| {
-                    scheduler.committed(TransactionOutcome::Unknown, now)
-                });
-            });
+        TransactionFate {
+            applied_after: Micros::from_millis(applied_after),
+            answer_lost,
         }
-        self.after(Micros::from_millis(late), move |w| {
-            let done = w.store.txn(&preconditions, &writes, None);
-            if lost {
-                return;
-            }
-            let d = w.delay();
-            w.after(d, move |w| {
-                let deposed =
-                    matches!(&done, TransactionOutcome::Conflict(k) if k.iter().any(|k| k == TERM_KEY));
-                if deposed && w.nodes[n].epoch() == epoch {
-                    let controller = &mut w.nodes[n].controller;
-                    controller.term_conflict(controller.epoch());
-                }
-                w.tell(n, epoch, move |scheduler, now| scheduler.committed(done, now));
-            });
+    }
+
+    fn transaction_outcome_unknown(&mut self, node_index: usize, epoch: u64) {
+        self.after(ANSWER_TIMEOUT, move |simulation| {
+            simulation.transaction_answered(node_index, epoch, TransactionOutcome::Unknown)
         });
     }
 
+    fn transaction_answered(&mut self, node_index: usize, epoch: u64, outcome: TransactionOutcome) {
+        self.tell_scheduler(node_index, epoch, move |scheduler, now| {
+            scheduler.committed(outcome, now)
+        });
+    }
+
+    /// A conflict on the term means that another controller leads: this one stops.
+    fn note_term_conflict(&mut self, node_index: usize, epoch: u64, outcome: &TransactionOutcome) {
+        let TransactionOutcome::Conflict(keys) = outcome else {
+            return;
+        };
+        let deposed = keys.iter().any(|key| key == TERM_KEY);
+        if deposed && self.nodes[node_index].epoch() == epoch {
+            let controller = &mut self.nodes[node_index].controller;
+            controller.term_conflict(controller.epoch());
+        }
+    }
+
     /// Direct commands may be executed long after the sender gave up.
-    fn send_orders(
-        &mut self,
-        n: usize,
-        epoch: u64,
-        machine: Arc<str>,
-        agent_epoch: u64,
-        fencing_token: u64,
-        commands: Vec<Command>,
-    ) {
-        let sent = SentCommands::new(machine.clone(), agent_epoch, fencing_token, &commands);
-        let cut = self.cut(n, &machine).max(self.unheard(&machine));
-        let hung = self
-            .agents
-            .get(&*machine)
-            .map_or(Micros::ZERO, |m| m.hung_until.since(self.now));
+    fn send_commands(&mut self, node_index: usize, epoch: u64, direct: DirectCommands) {
+        let sent = SentCommands::new(
+            direct.machine.clone(),
+            direct.agent_epoch,
+            direct.fencing_token,
+            &direct.commands,
+        );
+        let partitioned = self.partitioned_for(node_index, &direct.machine);
+        let inbound = self.inbound_partitioned_for(&direct.machine);
+        let agent = self.agents.get(&*direct.machine);
+        let hung = agent.map_or(Micros::ZERO, |agent| agent.hung_until.since(self.now));
         let lost = self.faults.losses && self.random_below(15) == 0;
-        let late = cut.max(hung).plus(if lost {
+        let travel = if lost {
             Micros::from_millis(self.random_below(20_000))
         } else {
             self.delay()
-        });
-        let unanswered = lost || late > Micros::from_millis(1_500);
+        };
+        let arrives_after = partitioned.max(inbound).max(hung).plus(travel);
+        let unanswered = lost || arrives_after > ANSWER_TIMEOUT;
         if unanswered {
             let sent = sent.clone();
-            self.after(Micros::from_millis(1_500), move |w| {
-                w.tell(n, epoch, move |scheduler, now| {
+            self.after(ANSWER_TIMEOUT, move |simulation| {
+                simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
                     scheduler.command_ended(&sent, CommandOutcome::Unknown, now);
                 });
             });
         }
-        self.after(late, move |w| {
-            let Some(r) = w.direct(&machine, agent_epoch, fencing_token, &commands) else {
+        self.after(arrives_after, move |simulation| {
+            let outcome = simulation.commands_arrive(&direct);
+            let Some(outcome) = outcome.filter(|_| !unanswered) else {
                 return;
             };
-            if unanswered {
-                return;
-            }
-            let d = w.delay();
-            w.after(d, move |w| {
-                w.tell(n, epoch, move |scheduler, now| {
-                    scheduler.command_ended(&sent, r, now);
+            let delay = simulation.delay();
+            simulation.after(delay, move |simulation| {
+                simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+                    scheduler.command_ended(&sent, outcome, now);
                 });
             });
         });
     }
 
-    fn direct(
-        &mut self,
-        machine: &str,
-        agent_epoch: u64,
-        fencing_token: u64,
-        commands: &[Command],
-    ) -> Option<CommandOutcome> {
+    /// The agent executes direct commands unless they are for an earlier epoch or from an earlier term.
+    fn commands_arrive(&mut self, direct: &DirectCommands) -> Option<CommandOutcome> {
         let now = self.now;
-        let m = self.agents.get_mut(machine).filter(|m| m.is_up(now))?;
-        if m.agent_epoch != agent_epoch || !m.take_token(fencing_token) {
-            return Some(CommandOutcome::Stale(m.heartbeat()));
+        let machine = &*direct.machine;
+        let agent = self.agents.get_mut(machine)?;
+        if !agent.is_up(now) {
+            return None;
         }
-        self.execute(machine, commands);
-        let m = self.agents.get_mut(machine)?;
-        Some(CommandOutcome::Executed(m.heartbeat()))
+        if agent.agent_epoch != direct.agent_epoch || !agent.take_token(direct.fencing_token) {
+            return Some(CommandOutcome::Stale(agent.heartbeat()));
+        }
+        self.execute(machine, &direct.commands);
+        let agent = self.agents.get_mut(machine)?;
+        Some(CommandOutcome::Executed(agent.heartbeat()))
     }
 
+    /// An agent executes commands; starts that come too early or too late are noted for the invariants.
     pub(super) fn execute(&mut self, machine: &str, commands: &[Command]) {
+        if !self.agents.contains_key(machine) {
+            return;
+        }
+        for command in commands {
+            if let Command::Start { job, task, .. } = command {
+                self.check_start(machine, job, *task);
+            }
+        }
         let now = self.now;
         let Simulation {
-            agents,
-            jobs,
-            done,
-            rng,
-            ..
+            agents, jobs, rng, ..
         } = self;
-        let Some(m) = agents.get_mut(machine) else {
+        let spec_of = |id: &str| jobs.get(id).map(|job| job.spec.clone());
+        let mut random_below = |n: u64| rng.random_range(0..n.max(1));
+        if let Some(agent) = agents.get_mut(machine) {
+            agent.execute(commands, &spec_of, &mut random_below, now);
+        }
+    }
+
+    fn check_start(&mut self, machine: &str, job: &str, task: u32) {
+        let Some(known) = self.jobs.get(job) else {
             return;
         };
-        for o in commands {
-            let Command::Start { job, task, .. } = o else {
-                continue;
-            };
-            for need in jobs.get(&**job).iter().flat_map(|j| &j.spec.dependencies) {
-                let all = jobs.get(need).map_or(0, |j| j.spec.tasks as usize);
-                if done.get(need).map_or(0, BTreeSet::len) < all {
-                    self.too_early = Some(format!("{job}/{task}, which needs {need}"));
-                }
-            }
-            let cancelled = jobs
-                .get(&**job)
-                .and_then(|j| j.cancelled_at.or(j.withdrawn_at));
-            if cancelled.is_some_and(|at| now.since(at) > self.times.cancel) {
-                self.started_late = Some(format!("{job}/{task} on {machine}"));
+        for dependency in &known.spec.dependencies {
+            if !is_complete(&self.jobs, &self.done, dependency) {
+                let text = format!("{job}/{task}, which needs {dependency}");
+                let violation = InvariantViolation::new(Invariant::TooEarly, text);
+                self.too_early = Some(violation.of_job(job).on_machine(machine));
             }
         }
-        let spec_of = |id: &str| jobs.get(id).map(|j| j.spec.clone());
-        m.execute(
-            commands,
-            &spec_of,
-            &mut |n| rng.random_range(0..n.max(1)),
-            now,
-        );
+        let cancelled_at = known.cancelled_at.or(known.withdrawn_at);
+        if cancelled_at.is_some_and(|at| self.now.since(at) > self.times.cancel) {
+            let text = format!("{job}/{task} on {machine} started after its time");
+            let violation = InvariantViolation::new(Invariant::RanCancelled, text);
+            self.started_late = Some(violation.of_job(job).on_machine(machine));
+        }
     }
 }
+
+/// Whether all tasks of a job have a result. A job that nobody submitted has none to wait for.
+fn is_complete(
+    jobs: &BTreeMap<String, UserJob>,
+    done: &BTreeMap<String, BTreeSet<u32>>,
+    id: &str,
+) -> bool {
+    let tasks = jobs.get(id).map_or(0, |job| job.spec.tasks as usize);
+    done.get(id).map_or(0, BTreeSet::len) >= tasks
+}
--- a/crates/saltpitch-testkit/src/simulation/fault_injection.rs
+++ b/crates/saltpitch-testkit/src/simulation/fault_injection.rs
@@ -1,105 +1,163 @@
-//! Troubles drawn from the seed.
+//! Faults drawn from the seed.
+//!
+//! The order of the draws is part of a seed's history: a new kind of fault is drawn after all others, and
+//! draws nothing while it is switched off.
 
-use super::*;
+use rand::Rng;
+use saltpitch_core::Micros;
+
+use super::Simulation;
+use crate::agents::Agent;
+
+/// The seconds of one tick.
+const TICK_S: f64 = 0.1;
+
+/// How long before a spot machine is taken back its agent is told.
+const SPOT_NOTICE: Micros = Micros::from_secs(8);
 
 impl Simulation {
-    pub(super) fn chance(&mut self, on: bool, per_s: f64) -> bool {
-        on && self.now < self.quiet_from && self.rng.random_bool(per_s * 0.1)
+    /// Whether a fault that occurs `per_s` times a second occurs in this tick.
+    pub(super) fn chance(&mut self, enabled: bool, per_s: f64) -> bool {
+        enabled && self.now < self.quiet_from && self.rng.random_bool(per_s * TICK_S)
     }
 
+    /// Draws which faults begin in this tick.
     pub(super) fn inject_faults(&mut self) {
-        let f = self.faults;
-        if self.chance(f.crashes, 0.02) {
-            let n = self.random_below(3) as usize;
-            self.crash(n);
+        self.inject_crashes();
+        self.inject_controller_partition();
+        self.inject_zone_partition();
+        self.inject_freeze();
+        self.inject_store_outage();
+        self.inject_inbound_partition();
+        self.inject_outbound_partition();
+        self.inject_machine_fault();
+    }
+
+    /// One controller's process ends, or all of them at once.
+    fn inject_crashes(&mut self) {
+        if self.chance(self.faults.crashes, 0.02) {
+            let node_index = self.random_below(3) as usize;
+            self.crash(node_index);
         }
-        if self.chance(f.crashes, 0.004) {
-            for n in 0..3 {
-                self.crash(n);
+        if self.chance(self.faults.crashes, 0.004) {
+            for node_index in 0..3 {
+                self.crash(node_index);
             }
         }
-        if self.chance(f.cuts, 0.02) {
-            let n = self.random_below(3) as usize;
-            let until = self.now.plus(Micros::from_secs(3 + self.random_below(40)));
-            match self.random_below(3) {
-                0 => self.nodes[n].no_store_until = until,
-                1 => self.nodes[n].no_workers_until = until,
-                _ => {
-                    self.nodes[n].no_store_until = until;
-                    self.nodes[n].no_workers_until = until;
-                }
+    }
+
+    /// A controller is cut from the store, from the agents, or from both.
+    fn inject_controller_partition(&mut self) {
+        if !self.chance(self.faults.cuts, 0.02) {
+            return;
+        }
+        let node_index = self.random_below(3) as usize;
+        let until = self.draw_time(3, 40);
+        let kind = self.random_below(3);
+        let node = &mut self.nodes[node_index];
+        match kind {
+            0 => node.no_store_until = until,
+            1 => node.no_workers_until = until,
+            _ => {
+                node.no_store_until = until;
+                node.no_workers_until = until;
             }
         }
-        if self.chance(f.zone_cuts, 0.02) && self.now >= self.apart_until {
-            let wait = Micros::from_secs(3 + self.random_below(30));
-            self.apart_until = self.now.plus(wait);
+    }
+
+    fn inject_zone_partition(&mut self) {
+        if self.chance(self.faults.zone_cuts, 0.02) && self.now >= self.apart_until {
+            self.apart_until = self.draw_time(3, 30);
         }
-        if self.chance(f.freezes, 0.02) {
-            let n = self.random_below(3) as usize;
-            self.nodes[n].frozen_until =
-                self.now.plus(Micros::from_secs(1 + self.random_below(45)));
+    }
+
+    fn inject_freeze(&mut self) {
+        if self.chance(self.faults.freezes, 0.02) {
+            let node_index = self.random_below(3) as usize;
+            self.nodes[node_index].frozen_until = self.draw_time(1, 45);
         }
-        if self.chance(f.outages, 0.01) {
+    }
+
+    fn inject_store_outage(&mut self) {
+        if self.chance(self.faults.outages, 0.01) {
             self.store.down = true;
             let wait = Micros::from_secs(2 + self.random_below(25));
-            self.after(wait, |w| w.store.down = false);
+            self.after(wait, |simulation| simulation.store.down = false);
         }
-        if self.chance(f.inbound_partition, 0.03) && !self.agents.is_empty() {
-            let until = self.now.plus(Micros::from_secs(3 + self.random_below(60)));
-            // One, or a group of them.
-            for _ in 0..1 + self.random_below(3) {
-                let at = self.random_below(self.agents.len() as u64) as usize;
-                if let Some(m) = self.agents.values_mut().nth(at) {
-                    m.inbound_cut_until = until;
-                }
-            }
+    }
+
+    fn inject_inbound_partition(&mut self) {
+        if self.chance(self.faults.inbound_partition, 0.03) && !self.agents.is_empty() {
+            let until = self.draw_time(3, 60);
+            self.for_up_to_three_agents(|agent| agent.inbound_cut_until = until);
         }
-        if self.chance(f.outbound_partition, 0.03) && !self.agents.is_empty() {
-            let until = self.now.plus(Micros::from_secs(3 + self.random_below(60)));
-            for _ in 0..1 + self.random_below(3) {
-                let at = self.random_below(self.agents.len() as u64) as usize;
-                if let Some(m) = self.agents.values_mut().nth(at) {
-                    m.outbound_cut_until = until;
-                }
-            }
+    }
+
+    fn inject_outbound_partition(&mut self) {
+        if self.chance(self.faults.outbound_partition, 0.03) && !self.agents.is_empty() {
+            let until = self.draw_time(3, 60);
+            self.for_up_to_three_agents(|agent| agent.outbound_cut_until = until);
+        }
+    }
+
+    /// A machine disappears, hangs, or is a spot machine that is taken back.
+    fn inject_machine_fault(&mut self) {
+        if !self.chance(self.faults.machines, 0.05) || self.agents.is_empty() {
+            return;
         }
-        if self.chance(f.machines, 0.05) && !self.agents.is_empty() {
-            let at = self.random_below(self.agents.len() as u64) as usize;
-            let (kind, wait) = (self.random_below(3), self.random_below(25));
-            let now = self.now;
-            if let Some(m) = self.agents.values_mut().nth(at) {
-                match kind {
-                    0 => m.gone = true,
-                    1 => m.hung_until = now.plus(Micros::from_secs(1 + wait)),
-                    _ if m.spot => {
-                        m.notice = Some(Micros::from_secs(8));
-                        m.changed = true;
-                        let name = m.name.clone();
-                        self.after(Micros::from_secs(8), move |w| {
-                            if let Some(m) = w.agents.get_mut(&name) {
-                                m.gone = true;
-                            }
-                        });
+        let now = self.now;
+        let index = self.random_below(self.agents.len() as u64) as usize;
+        let kind = self.random_below(3);
+        let hung_for = Micros::from_secs(1 + self.random_below(25));
+        let Some(agent) = self.agents.values_mut().nth(index) else {
+            return;
+        };
+        match kind {
+            0 => agent.gone = true,
+            1 => agent.hung_until = now.plus(hung_for),
+            _ if agent.spot => {
+                agent.notice = Some(SPOT_NOTICE);
+                agent.changed = true;
+                let name = agent.name.clone();
+                self.after(SPOT_NOTICE, move |simulation| {
+                    if let Some(agent) = simulation.agents.get_mut(&name) {
+                        agent.gone = true;
                     }
-                    _ => {}
-                }
+                });
+            }
+            _ => {}
+        }
+    }
+
+    /// A time from `least` seconds from now on, drawn from a range of `range` seconds.
+    fn draw_time(&mut self, least: u64, range: u64) -> Micros {
+        let wait = Micros::from_secs(least + self.random_below(range));
+        self.now.plus(wait)
+    }
+
+    /// Changes one to three agents; one that is drawn twice counts twice.
+    fn for_up_to_three_agents(&mut self, change: impl Fn(&mut Agent)) {
+        for _ in 0..1 + self.random_below(3) {
+            let index = self.random_below(self.agents.len() as u64) as usize;
+            if let Some(agent) = self.agents.values_mut().nth(index) {
+                change(agent);
             }
         }
     }
 
-    /// Ends a node's process; it is back after a while, now and then at once.
-    pub fn crash(&mut self, n: usize) {
+    /// Ends a controller's process. A third of them start again at once, the others after five seconds.
+    pub fn crash(&mut self, node_index: usize) {
         let wait = if self.random_below(3) == 0 {
             Micros::from_millis(200)
         } else {
             Micros::from_secs(5)
         };
-        self.crash_for(n, wait);
+        self.crash_for(node_index, wait);
     }
 
-    /// Ends a node's process, which is back after this time.
-    pub fn crash_for(&mut self, n: usize, wait: Micros) {
+    /// Ends a controller's process, which starts again after this time.
+    pub fn crash_for(&mut self, node_index: usize, wait: Micros) {
         let up_at = self.now.plus(wait);
-        self.nodes[n].crash(up_at);
+        self.nodes[node_index].crash(up_at);
     }
 }
--- a/crates/saltpitch-testkit/src/simulation/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -1,29 +1,21 @@
 //! The whole site in virtual time: nodes, store, cloud, agents, users, and a network that delays,
 //! loses, holds and repeats.
 
+use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::Arc;
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use saltpitch_core::agent::{Command, ExitCause, Heartbeat, TaskState};
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
-use saltpitch_core::controller::{Candidacy, HeartbeatAnswer, LossReason};
-use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
-use saltpitch_core::leadership::{ElectionAttempt, LEADERSHIP_LEASE};
-use saltpitch_core::messages::PeerStatus;
+use saltpitch_core::job::JobSpec;
 use saltpitch_core::policy::Policy;
 use saltpitch_core::quota::TeamLimits;
-use saltpitch_core::records::{job_key, CancelStep, JobRecord, RecordChange, LEADER_KEY, TERM_KEY};
-use saltpitch_core::scheduler::{
-    CommandOutcome, Effect, ListedMachine, Objective, ObjectiveTarget, Precondition,
-    ScaleOutOutcome, Scheduler, SchedulerConfig, SentCommands, Transaction, TransactionOutcome,
-    Write,
-};
+use saltpitch_core::scheduler::{Objective, ObjectiveTarget, SchedulerConfig};
 use saltpitch_core::Micros;
 
-use crate::agents::{Agent, Held};
-use crate::invariants;
+use crate::agents::Agent;
+use crate::invariants::{self, InvariantViolation};
 use crate::nodes::{Node, SITE};
 use crate::store::Store;
 use crate::trace::Trace;
@@ -113,24 +105,25 @@
 
 struct Event {
     at: Micros,
-    no: u64,
+    number: u64,
     action: Action,
 }
 
 impl PartialEq for Event {
-    fn eq(&self, o: &Event) -> bool {
-        self.no == o.no
+    fn eq(&self, other: &Event) -> bool {
+        self.number == other.number
     }
 }
 impl Eq for Event {}
 impl PartialOrd for Event {
-    fn partial_cmp(&self, o: &Event) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(o))
+    fn partial_cmp(&self, other: &Event) -> Option<Ordering> {
+        Some(self.cmp(other))
     }
 }
 impl Ord for Event {
-    fn cmp(&self, o: &Event) -> std::cmp::Ordering {
-        (o.at, o.no).cmp(&(self.at, self.no))
+    /// Reversed: the heap gives the greatest first, and the earliest event is due first.
+    fn cmp(&self, other: &Event) -> Ordering {
+        (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
@@ -153,10 +146,10 @@
     pub next_limits: Option<(usize, usize, u32)>,
     /// Until then every message takes a fifth of a second to more than a second.
     pub slow_links_until: Micros,
-    /// The first task that started before all jobs that its job needs were done.
-    pub too_early: Option<String>,
-    /// The first command that started a task after the time that a cancellation may take.
-    pub started_late: Option<String>,
+    /// A task that started before all jobs that its job depends on were done.
+    pub too_early: Option<InvariantViolation>,
+    /// A command that started a task after the time that a cancellation may take.
+    pub started_late: Option<InvariantViolation>,
     /// Since when nothing has been wrong with nodes, store and network.
     pub calm_since: Micros,
     /// The same, machines included.
@@ -184,6 +177,26 @@
 
 const TICK: Micros = Micros::from_millis(100);
 
+fn site_times() -> Times {
+    Times {
+        heartbeat_interval: Micros::from_secs(2),
+        lease: Micros::from_secs(14),
+        gang_wait: Micros::from_secs(30),
+        gang_peer: Micros::from_secs(5),
+        cancel: Micros::from_secs(44),
+    }
+}
+
+fn team_limits(name: &str) -> TeamLimits {
+    TeamLimits {
+        name: name.to_owned(),
+        cpu: 12_000,
+        gpu: 2_000,
+        cpu_max: 40_000,
+        gpu_max: 6_000,
+    }
+}
+
 fn settings(times: &Times, teams: &[TeamLimits]) -> SchedulerConfig {
     SchedulerConfig {
         heartbeat_interval: times.heartbeat_interval,
@@ -232,21 +245,8 @@
 impl Simulation {
     /// A site with three nodes and no machines. From `quiet_from` on no new trouble begins.
     pub fn new(seed: u64, faults: Faults, quiet_from: Micros) -> Simulation {
-        let times = Times {
-            heartbeat_interval: Micros::from_secs(2),
-            lease: Micros::from_secs(14),
-            gang_wait: Micros::from_secs(30),
-            gang_peer: Micros::from_secs(5),
-            cancel: Micros::from_secs(44),
-        };
-        let team = |name: &str| TeamLimits {
-            name: name.to_owned(),
-            cpu: 12_000,
-            gpu: 2_000,
-            cpu_max: 40_000,
-            gpu_max: 6_000,
-        };
-        let teams = vec![team("red"), team("blue")];
+        let times = site_times();
+        let teams = vec![team_limits("red"), team_limits("blue")];
         let config = settings(&times, &teams);
         let node = |(name, zone): &(&str, &str)| Node::new(name, zone, config.clone());
         let nodes = SITE.iter().map(node).collect();
@@ -297,7 +297,7 @@
         self.next_event += 1;
         self.queue.push(Event {
             at: self.now.plus(wait),
-            no: self.next_event,
+            number: self.next_event,
             action: Box::new(action),
         });
     }
@@ -309,12 +309,12 @@
         Micros::from_millis(1 + self.random_below(20))
     }
 
-    /// Plays on until `until` and checks the rules after each step.
-    pub fn run(&mut self, until: Micros) -> Result<(), String> {
+    /// Plays on until `until` and checks the invariants after each step.
+    pub fn run(&mut self, until: Micros) -> Result<(), InvariantViolation> {
         let until = until.plus(Micros::from_secs(60));
         while self.now < until {
             self.step()
-                .map_err(|e| format!("at {:.1} s: {e}", self.now.as_secs_f64() - 60.0))?;
+                .map_err(|violation| violation.found_at(self.now))?;
         }
         Ok(())
     }
@@ -332,14 +332,14 @@
         next.max(self.now)
     }
 
-    /// The next event, or the next tick of the site's clocks; then the rules.
-    pub fn step(&mut self) -> Result<(), String> {
-        let event = self.queue.peek().map(|e| e.at);
+    /// The next event, or the next tick of the site's clocks; then the invariants.
+    pub fn step(&mut self) -> Result<(), InvariantViolation> {
+        let event = self.queue.peek().map(|event| event.at);
         match event {
             Some(at) if at <= self.next_tick => {
                 self.now = self.now.max(at);
-                if let Some(e) = self.queue.pop() {
-                    (e.action)(self);
+                if let Some(event) = self.queue.pop() {
+                    (event.action)(self);
                 }
             }
             _ => {
@@ -354,8 +354,8 @@
     fn tick(&mut self) {
         self.store.tick(self.now);
         self.inject_faults();
-        for n in 0..self.nodes.len() {
-            self.node_tick(n);
+        for node_index in 0..self.nodes.len() {
+            self.node_tick(node_index);
         }
         let names: Vec<String> = self.agents.keys().cloned().collect();
         for name in names {
@@ -363,14 +363,14 @@
         }
         self.gangs();
         if self.now.0 % 1_000_000 < TICK.0 {
-            self.ask_all();
+            self.ask_about_jobs();
             self.note_waiting();
         }
     }
 
     /// The node that may answer agents, if there is one.
     pub fn leader(&self) -> Option<usize> {
-        self.nodes.iter().position(|n| n.may_answer(self.now))
+        self.nodes.iter().position(|node| node.may_answer(self.now))
     }
 
     /// The fingerprint of the history so far, see [`crate::trace`].
--- a/crates/saltpitch-testkit/src/simulation/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -1,143 +1,225 @@
-//! What users and operators see of the site: answers about jobs, and work that waits beside room.
+//! What users and operators see of the site: answers about jobs, and jobs that wait although machines are
+//! free.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+use saltpitch_core::catalog::Resources;
+use saltpitch_core::job::{JobKind, JobState};
+use saltpitch_core::Micros;
+
+use super::{Faults, Simulation, UserJob};
+use crate::agents::Agent;
+use crate::nodes::Node;
+
+/// A machine counts as free once it has been up for this long.
+const SETTLED_AFTER: Micros = Micros::from_secs(10);
+
+/// What is in use and what is free, as the machines have it.
+struct Usage<'a> {
+    used_by_team: BTreeMap<&'a str, Resources>,
+    placed_tasks: BTreeMap<&'a str, BTreeSet<u32>>,
+    free: Vec<(&'a Agent, Resources)>,
+}
 
 impl Simulation {
-    /// Users ask about every job, and every node that is in service is to know each of them: by
+    /// Users ask about every job, and every controller that is in service has to know each of them: by
     /// itself, or through a peer that has the store.
-    pub(super) fn ask_all(&mut self) {
+    pub(super) fn ask_about_jobs(&mut self) {
+        self.note_calm();
         let now = self.now;
-        let wrong = self.store.down
-            || now < self.apart_until
-            || self.nodes.iter().any(|n| {
-                let cut =
-                    now < n.no_store_until || now < n.no_workers_until || now < n.no_peers_until;
-                cut || !n.is_up(now) || n.frozen(now) > Micros::ZERO
-            });
-        let odd = |m: &Agent| {
-            !m.gone
-                && (now < m.hung_until || now < m.inbound_cut_until || now < m.outbound_cut_until)
-        };
-        let any = now < self.late_writes_until
-            || now < self.slow_links_until
-            || self.agents.values().any(odd);
-        if wrong || any || (now < self.quiet_from && self.faults != Faults::default()) {
-            self.still_since = now;
-        }
-        if wrong || (now < self.quiet_from && self.faults.any()) {
-            self.calm_since = now;
-        }
         for node in &mut self.nodes {
             let awake = node.is_up(now) && node.frozen(now) == Micros::ZERO;
             if node.started && node.reaches_store(&self.store, now) && awake {
                 node.follow(&self.store, now);
             }
         }
-        let known = |node: &Node, id: &str| {
+        let knows = |node: &Node, id: &str| {
             node.is_up(now)
                 && node.reaches_store(&self.store, now)
                 && node.records().jobs.contains_key(id)
         };
-        let mut begun = Vec::new();
         for (id, job) in &mut self.jobs {
-            let by_any = self.nodes.iter().any(|n| known(n, id));
-            for (n, node) in self.nodes.iter().enumerate() {
-                let state = node.records().state(id).map_or(0, |state| match state {
-                    JobState::Active => 1,
-                    JobState::Done => 2,
-                    JobState::Cancelled => 3,
-                });
+            let known = self.nodes.iter().any(|node| knows(node, id));
+            for (node_index, node) in self.nodes.iter().enumerate() {
+                let state = node.records().state(id);
                 self.trace.event("status", now).text(id);
-                self.trace.number(n as u64).number(state);
-                if node.is_up(now) && by_any {
-                    job.answered[n] = now;
+                self.trace
+                    .number(node_index as u64)
+                    .number(state_number(state));
+                if node.is_up(now) && known {
+                    job.answered[node_index] = now;
                 }
             }
-            if job.begun_at.is_none() {
-                begun.push(id.clone());
-            }
         }
-        for id in begun {
-            let on = self.running(&id) as u32;
+        self.note_begun();
+    }
+
+    /// Notes the last time at which something was wrong with the site.
+    fn note_calm(&mut self) {
+        let now = self.now;
+        let controllers_or_store = self.has_controller_fault();
+        let machines_or_links = self.has_machine_fault();
+        let faults_ahead = now < self.quiet_from;
+        let any_drawn = faults_ahead && self.faults != Faults::default();
+        if controllers_or_store || machines_or_links || any_drawn {
+            self.still_since = now;
+        }
+        if controllers_or_store || (faults_ahead && self.faults.any()) {
+            self.calm_since = now;
+        }
+    }
+
+    /// Whether the store, a controller or the link between the zones fails now.
+    fn has_controller_fault(&self) -> bool {
+        let now = self.now;
+        let is_faulty = |node: &Node| {
+            now < node.no_store_until
+                || now < node.no_workers_until
+                || now < node.no_peers_until
+                || !node.is_up(now)
+                || node.frozen(now) > Micros::ZERO
+        };
+        self.store.down || now < self.apart_until || self.nodes.iter().any(is_faulty)
+    }
+
+    /// Whether a machine hangs or is partitioned now, or messages take long.
+    fn has_machine_fault(&self) -> bool {
+        let now = self.now;
+        let is_faulty = |agent: &Agent| {
+            !agent.gone
+                && (now < agent.hung_until
+                    || now < agent.inbound_cut_until
+                    || now < agent.outbound_cut_until)
+        };
+        now < self.late_writes_until
+            || now < self.slow_links_until
+            || self.agents.values().any(is_faulty)
+    }
+
+    /// Notes which jobs run for the first time: an array with any task, the others with all of them.
+    fn note_begun(&mut self) {
+        let not_begun = self.jobs.iter().filter(|(_, job)| job.begun_at.is_none());
+        let ids: Vec<String> = not_begun.map(|(id, _)| id.clone()).collect();
+        for id in ids {
+            let running = self.running(&id) as u32;
+            let now = self.now;
             if let Some(job) = self.jobs.get_mut(&id) {
                 let least = if job.spec.kind == JobKind::Array {
                     1
                 } else {
                     job.spec.tasks
                 };
-                if on >= least {
+                if running >= least {
                     job.begun_at = Some(now);
                 }
             }
         }
     }
 
-    /// Which jobs wait in calm beside room that would take what they need at a time.
+    /// Notes which jobs wait in calm although machines have room for what they need at a time.
     pub(super) fn note_waiting(&mut self) {
         let now = self.now;
-        let mut used: BTreeMap<&str, Resources> = BTreeMap::new();
-        let mut on: BTreeMap<&str, BTreeSet<u32>> = BTreeMap::new();
-        let mut free: Vec<(&Agent, Resources)> = Vec::new();
-        for m in self.agents.values().filter(|m| !m.gone) {
-            let mut room = m.size;
-            for ((id, _), _) in m.tasks.iter().filter(|(_, h)| !h.exited()) {
-                if let Some(j) = self.jobs.get(&id.0) {
-                    room = room.minus(&j.spec.need);
-                    let sum = used.entry(&j.spec.team).or_default();
-                    *sum = sum.plus(&j.spec.need);
-                    on.entry(&id.0).or_default().insert(id.1);
+        let still = self.still_since < now;
+        let usage = self.usage();
+        let waits: Vec<(String, bool)> = self
+            .jobs
+            .iter()
+            .map(|(id, job)| (id.clone(), self.could_run(id, job, &usage) && still))
+            .collect();
+        for (id, waits) in waits {
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.waits_since = waits.then(|| job.waits_since.unwrap_or(now));
+            }
+        }
+    }
+
+    fn usage(&self) -> Usage<'_> {
+        let mut usage = Usage {
+            used_by_team: BTreeMap::new(),
+            placed_tasks: BTreeMap::new(),
+            free: Vec::new(),
+        };
+        for agent in self.agents.values().filter(|agent| !agent.gone) {
+            let mut free = agent.size;
+            let active = agent.tasks.iter().filter(|(_, held)| !held.exited());
+            for ((id, _), _) in active {
+                if let Some(job) = self.jobs.get(&id.0) {
+                    free = free.minus(&job.spec.need);
+                    let used = usage.used_by_team.entry(&job.spec.team).or_default();
+                    *used = used.plus(&job.spec.need);
+                    usage.placed_tasks.entry(&id.0).or_default().insert(id.1);
                 }
             }
-            let well = m.is_up(now) && now >= m.inbound_cut_until && now >= m.outbound_cut_until;
-            if well && m.notice.is_none() && now.since(m.boots_at) > Micros::from_secs(10) {
-                free.push((m, room));
+            if self.takes_tasks(agent) {
+                usage.free.push((agent, free));
             }
         }
-        let mut waits = Vec::new();
-        for (id, j) in &self.jobs {
-            let counts = j.accepted
-                && !j.elsewhere
-                && !j.mistaken
-                && j.cancelled_at.is_none()
-                && j.withdrawn_at.is_none()
-                && j.spec.dependencies.iter().all(|n| self.is_done(n))
-                && !self.is_done(id);
-            let there = on.get(id.as_str()).map_or(0, |s| s.len() as u32);
-            let done = self.done.get(id).map_or(0, |s| s.len() as u32);
-            let left = j.spec.tasks.saturating_sub(there + done);
-            // A job waits while nothing of it runs: an array for any task, the others for all.
-            let want = if j.spec.kind == JobKind::Array {
-                1
-            } else {
-                left
-            };
-            let simple = !j.spec.spread && there == 0;
-            let team = self.teams.iter().find(|t| t.name == j.spec.team);
-            let sum = used.get(j.spec.team.as_str()).copied().unwrap_or_default();
-            let allowed = team.is_some_and(|t| t.more(&sum, &j.spec.need) >= u64::from(want));
-            let fits = |zone: Option<&str>| -> u64 {
-                free.iter()
-                    .filter(|(m, _)| zone.is_none_or(|z| z == m.zone))
-                    .filter(|(m, _)| j.spec.allows(&m.type_name, &m.zone, m.spot))
-                    .map(|(_, room)| j.spec.need.count_in(room))
-                    .sum()
-            };
-            let room = if j.spec.one_zone {
-                fits(Some("east")).max(fits(Some("west")))
-            } else {
-                fits(None)
-            };
-            let waiting = counts && simple && left > 0 && allowed && room >= u64::from(want);
-            waits.push((id.clone(), waiting && self.still_since < now));
+        usage
+    }
+
+    /// Whether a machine is up, reachable and not about to be taken back.
+    fn takes_tasks(&self, agent: &Agent) -> bool {
+        let now = self.now;
+        agent.is_up(now)
+            && now >= agent.inbound_cut_until
+            && now >= agent.outbound_cut_until
+            && agent.notice.is_none()
+            && now.since(agent.boots_at) > SETTLED_AFTER
+    }
+
+    /// Whether nothing of a job runs although its team is under its limit and the free machines would
+    /// take an array's next task, or all tasks of another job.
+    fn could_run(&self, id: &str, job: &UserJob, usage: &Usage) -> bool {
+        let spec = &job.spec;
+        let placed = usage.placed_tasks.get(id).map_or(0, BTreeSet::len) as u32;
+        let done = self.done.get(id).map_or(0, BTreeSet::len) as u32;
+        let left = spec.tasks.saturating_sub(placed + done);
+        if !self.is_ready(id, job) || spec.spread || placed > 0 || left == 0 {
+            return false;
         }
-        for (id, waiting) in waits {
-            if let Some(j) = self.jobs.get_mut(&id) {
-                j.waits_since = if waiting {
-                    j.waits_since.or(Some(now))
-                } else {
-                    None
-                };
-            }
+        let wanted = u64::from(if spec.kind == JobKind::Array { 1 } else { left });
+        let used = usage.used_by_team.get(spec.team.as_str());
+        let used = used.copied().unwrap_or_default();
+        let team = self.teams.iter().find(|team| team.name == spec.team);
+        if team.is_none_or(|team| team.more(&used, &spec.need) < wanted) {
+            return false;
         }
+        let fitting_tasks = |zone: Option<&str>| -> u64 {
+            usage
+                .free
+                .iter()
+                .filter(|(agent, _)| zone.is_none_or(|zone| zone == agent.zone))
+                .filter(|(agent, _)| spec.allows(&agent.type_name, &agent.zone, agent.spot))
+                .map(|(_, free)| spec.need.count_in(free))
+                .sum()
+        };
+        let fitting = if spec.one_zone {
+            fitting_tasks(Some("east")).max(fitting_tasks(Some("west")))
+        } else {
+            fitting_tasks(None)
+        };
+        fitting >= wanted
+    }
+
+    /// Whether a job is this cell's, active, and has all that it depends on.
+    fn is_ready(&self, id: &str, job: &UserJob) -> bool {
+        let mut dependencies = job.spec.dependencies.iter();
+        job.accepted
+            && !job.elsewhere
+            && !job.mistaken
+            && job.cancelled_at.is_none()
+            && job.withdrawn_at.is_none()
+            && dependencies.all(|dependency| self.is_done(dependency))
+            && !self.is_done(id)
+    }
+}
+
+/// A job's state as the trace writes it.
+fn state_number(state: Option<JobState>) -> u64 {
+    match state {
+        None => 0,
+        Some(JobState::Active) => 1,
+        Some(JobState::Done) => 2,
+        Some(JobState::Cancelled) => 3,
     }
 }
--- a/crates/saltpitch-testkit/src/simulation/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -1,14 +1,33 @@
 //! Users: submissions, cancellations and drawn jobs.
 
-use super::*;
+use std::sync::Arc;
+
+use rand::Rng;
+use saltpitch_core::catalog::Resources;
+use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
+use saltpitch_core::records::{job_key, CancelStep, JobRecord, RecordChange};
+use saltpitch_core::scheduler::{Precondition, TransactionOutcome, Write};
+use saltpitch_core::Micros;
+
+use super::{Simulation, UserJob};
+use crate::nodes::Node;
+
+/// What a drawn job is for.
+struct DrawnKind {
+    class: &'static str,
+    kind: JobKind,
+    priority: Priority,
+    tasks: u32,
+}
 
 impl Simulation {
-    /// Submits a job through whichever node has the store; false: nobody has, or it can never run.
+    /// Submits a job through any controller that has the store; false: none has, or the job can never run.
     pub fn submit(&mut self, id: &str, spec: JobSpec) -> bool {
         if spec.can_ever_run(&self.catalog, &self.teams).is_err() {
             return false;
         }
-        if !(spec.dependencies.iter()).all(|n| self.store.keys.contains_key(&job_key(n))) {
+        let mut dependencies = spec.dependencies.iter();
+        if !dependencies.all(|dependency| self.store.keys.contains_key(&job_key(dependency))) {
             return false;
         }
         let record = JobRecord::accepted(self.now, Arc::new(spec));
@@ -50,64 +69,66 @@
         }
     }
 
-    /// Cancels a job by one of the nodes that have the store. True: it is cancelled.
+    /// Cancels a job through a random controller that has the store. True: it is cancelled.
     pub fn cancel(&mut self, id: &str) -> bool {
         let (store, now) = (&self.store, self.now);
-        let able = |n: &Node| {
-            n.is_up(now)
-                && n.controller.is_synced()
-                && n.frozen(now) == Micros::ZERO
-                && n.reaches_store(store, now)
+        let serves = |node: &Node| {
+            node.is_up(now)
+                && node.controller.is_synced()
+                && node.frozen(now) == Micros::ZERO
+                && node.reaches_store(store, now)
         };
-        let able: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| able(&self.nodes[*n]))
+        let serving: Vec<usize> = (0..self.nodes.len())
+            .filter(|node_index| serves(&self.nodes[*node_index]))
             .collect();
-        let at = self.random_below(able.len() as u64) as usize;
-        able.get(at).is_some_and(|n| self.cancel_by(*n, id))
+        let drawn = self.random_below(serving.len() as u64) as usize;
+        serving
+            .get(drawn)
+            .is_some_and(|node_index| self.cancel_by(*node_index, id))
     }
 
-    /// Cancels a job as node `n` does: compare and set on its record, which it knows from then on.
-    pub fn cancel_by(&mut self, n: usize, id: &str) -> bool {
+    /// Cancels a job as this controller does: by compare and set on its record, whose new state it knows
+    /// from then on.
+    pub fn cancel_by(&mut self, node_index: usize, id: &str) -> bool {
         let key = job_key(id);
         let Some(entry) = self.store.keys.get(&key).cloned() else {
             return false;
         };
-        let Ok(rec) = serde_json::from_str::<JobRecord>(&entry.value) else {
+        let Ok(record) = serde_json::from_str::<JobRecord>(&entry.value) else {
             return false;
         };
-        if rec.state != JobState::Active {
-            return rec.state == JobState::Cancelled;
+        if record.state != JobState::Active {
+            return record.state == JobState::Cancelled;
         }
-        let (rec, confirmed) = match rec.cancel_step() {
-            CancelStep::Confirm(rec) => (rec, true),
-            CancelStep::Request(rec) => (rec, false),
+        let (record, confirmed) = match record.cancel_step() {
+            CancelStep::Confirm(record) => (record, true),
+            CancelStep::Request(record) => (record, false),
             CancelStep::Await => return false,
         };
         let write = Write {
             key: key.clone(),
-            value: serde_json::to_string(&rec).ok(),
+            value: serde_json::to_string(&record).ok(),
         };
         let value = write.value.clone().unwrap_or_default();
-        let done = self
-            .store
-            .txn(&[Precondition::new(key.clone(), entry.rev)], &[write], None);
+        let precondition = Precondition::new(key.clone(), entry.rev);
+        let outcome = self.store.txn(&[precondition], &[write], None);
         self.trace.event("abort", self.now).text(id);
-        self.trace.outcome(&done);
-        let ok = matches!(done, TransactionOutcome::Committed(_));
-        if let TransactionOutcome::Committed(rev) = done {
-            if let Ok(value) = serde_json::value::RawValue::from_string(value) {
-                let change = RecordChange {
-                    key: key.clone(),
-                    value: Some(value),
-                    revision: rev,
-                };
-                self.nodes[n].wrote(&change, self.now);
-            }
-            if confirmed {
-                self.note_cancelled(id);
-            }
+        self.trace.outcome(&outcome);
+        let TransactionOutcome::Committed(revision) = outcome else {
+            return false;
+        };
+        if let Ok(value) = serde_json::value::RawValue::from_string(value) {
+            let change = RecordChange {
+                key,
+                value: Some(value),
+                revision,
+            };
+            self.nodes[node_index].wrote(&change, self.now);
+        }
+        if confirmed {
+            self.note_cancelled(id);
         }
-        ok && confirmed
+        confirmed
     }
 
     /// The job's record says from now on that it is cancelled, as its user asked.
@@ -118,63 +139,53 @@
         self.note_withdrawn();
     }
 
-    /// Notes which jobs are withdrawn with those that they need.
+    /// Notes which jobs are cancelled because a job that they depend on is, directly or through others.
     fn note_withdrawn(&mut self) {
+        let is_cancelled = |job: &UserJob| job.cancelled_at.is_some() || job.withdrawn_at.is_some();
         loop {
-            let off = |j: &UserJob| j.cancelled_at.is_some() || j.withdrawn_at.is_some();
-            let new: Vec<String> = (self.jobs.iter())
-                .filter(|(_, j)| j.accepted && !off(j))
-                .filter(|(_, j)| {
-                    (j.spec.dependencies.iter()).any(|n| self.jobs.get(n).is_some_and(off))
-                })
+            let depends_on_cancelled = |job: &UserJob| {
+                let mut dependencies = job.spec.dependencies.iter();
+                dependencies.any(|id| self.jobs.get(id).is_some_and(is_cancelled))
+            };
+            let withdrawn: Vec<String> = self
+                .jobs
+                .iter()
+                .filter(|(_, job)| job.accepted && !is_cancelled(job))
+                .filter(|(_, job)| depends_on_cancelled(job))
                 .map(|(id, _)| id.clone())
                 .collect();
-            if new.is_empty() {
+            if withdrawn.is_empty() {
                 return;
             }
-            for id in new {
-                if let Some(j) = self.jobs.get_mut(&id) {
-                    j.withdrawn_at = Some(self.now);
+            for id in withdrawn {
+                if let Some(job) = self.jobs.get_mut(&id) {
+                    job.withdrawn_at = Some(self.now);
                 }
             }
         }
     }
 
-    /// A job drawn from the seed.
+    /// A job drawn from the seed. The draws happen in the order of the fields.
     pub fn draw_job(&mut self) -> JobSpec {
-        let pick = self.random_below(10);
-        let (class, kind, priority, tasks) = match pick {
-            0..=2 => (
-                "web",
-                JobKind::Service,
-                Priority::Production,
-                1 + self.random_below(4),
-            ),
-            3..=6 => (
-                "batch",
-                JobKind::Array,
-                Priority::Normal,
-                1 + self.random_below(12),
-            ),
-            _ => (
-                "train",
-                JobKind::Gang,
-                Priority::High,
-                1 + self.random_below(3),
-            ),
-        };
+        let DrawnKind {
+            class,
+            kind,
+            priority,
+            tasks,
+        } = self.draw_kind();
         let gang = kind == JobKind::Gang;
+        let service = kind == JobKind::Service;
+        let team = if self.random_below(2) == 0 {
+            "red"
+        } else {
+            "blue"
+        };
         JobSpec {
             class: class.to_owned(),
-            team: if self.random_below(2) == 0 {
-                "red"
-            } else {
-                "blue"
-            }
-            .to_owned(),
+            team: team.to_owned(),
             kind,
             priority,
-            tasks: tasks as u32,
+            tasks,
             need: Resources {
                 cpu: 1_000 + 1_000 * self.random_below(3),
                 gpu: if gang { 1_000 } else { 0 },
@@ -183,11 +194,11 @@
             types: None,
             zone: (self.random_below(8) == 0).then(|| "east".to_owned()),
             one_zone: gang && self.random_below(2) == 0,
-            spread: kind == JobKind::Service,
-            spot: kind != JobKind::Service,
+            spread: service,
+            spot: !service,
             image: format!("img-{}", self.rng.random_range(0..3)),
             image_mb: 800,
-            estimate: if kind == JobKind::Service {
+            estimate: if service {
                 Micros::ZERO
             } else {
                 Micros::from_secs(3 + self.random_below(15))
@@ -199,22 +210,36 @@
         }
     }
 
+    fn draw_kind(&mut self) -> DrawnKind {
+        let (class, kind, priority, most_tasks) = match self.random_below(10) {
+            0..=2 => ("web", JobKind::Service, Priority::Production, 4),
+            3..=6 => ("batch", JobKind::Array, Priority::Normal, 12),
+            _ => ("train", JobKind::Gang, Priority::High, 3),
+        };
+        DrawnKind {
+            class,
+            kind,
+            priority,
+            tasks: 1 + self.random_below(most_tasks) as u32,
+        }
+    }
+
     /// Whether the store calls this job done.
     pub fn is_done(&self, id: &str) -> bool {
         self.store
             .keys
             .get(&job_key(id))
-            .and_then(|e| serde_json::from_str::<JobRecord>(&e.value).ok())
-            .is_some_and(|r| r.state == JobState::Done)
+            .and_then(|entry| serde_json::from_str::<JobRecord>(&entry.value).ok())
+            .is_some_and(|record| record.state == JobState::Done)
     }
 
     /// The tasks of a job that are on machines now.
     pub fn running(&self, id: &str) -> usize {
         self.agents
             .values()
-            .filter(|m| !m.gone)
-            .flat_map(|m| m.tasks.iter())
-            .filter(|((t, _), h)| t.0 == id && h.on())
+            .filter(|agent| !agent.gone)
+            .flat_map(|agent| agent.tasks.iter())
+            .filter(|((task_id, _), held)| task_id.0 == id && held.on())
             .count()
     }
 }
--- a/crates/saltpitch-testkit/tests/cells.rs
+++ b/crates/saltpitch-testkit/tests/cells.rs
@@ -7,6 +7,7 @@
 use saltpitch_testkit::histories::{
     batch, keep_machines, play_cells, seconds, set_links, HOME, HOST,
 };
+use saltpitch_testkit::invariants::Invariant;
 use saltpitch_testkit::Faults;
 
 fn record(cells: &Cells, cell: usize, id: &str) -> Option<JobRecord> {
@@ -400,7 +401,8 @@
     let broken = cells
         .run(now.plus(seconds(60)))
         .expect_err("a rule is broken");
-    assert!(broken.contains("owned_twice"), "{broken}");
+    assert_eq!(broken.invariant, Invariant::OwnedTwice, "{broken}");
+    assert!(broken.to_string().contains("owned_twice"), "{broken}");
 }
 
 /// And one that a submission reaches which home was told had never left.
@@ -417,7 +419,8 @@
     let broken = cells
         .run(now.plus(seconds(10)))
         .expect_err("a rule is broken");
-    assert!(broken.contains("owned_twice"), "{broken}");
+    assert_eq!(broken.invariant, Invariant::OwnedTwice, "{broken}");
+    assert!(broken.to_string().contains("owned_twice"), "{broken}");
 }
 
 fn histories(seeds: std::ops::Range<u64>, faults: Faults) {
--- a/crates/saltpitch-testkit/tests/simulation.rs
+++ b/crates/saltpitch-testkit/tests/simulation.rs
@@ -2,12 +2,12 @@
 
 use saltpitch_core::job::{JobKind, Priority};
 use saltpitch_core::Micros;
-use saltpitch_testkit::histories::{play, served};
+use saltpitch_testkit::histories::{completed, play};
 use saltpitch_testkit::{invariants, Faults, Simulation};
 
 fn many(seeds: std::ops::Range<u64>, faults: Faults, busy: u64, calm: u64) {
     for seed in seeds {
-        let end = play(seed, faults, busy, calm).and_then(|w| served(&w));
+        let end = play(seed, faults, busy, calm).and_then(|w| completed(&w));
         if let Err(e) = end {
             panic!("seed {seed}: {e}");
         }
@@ -96,15 +96,14 @@
     };
     for seed in 700..712 {
         let end = play(seed, f, 100, 300).and_then(|w| {
-            served(&w)?;
-            // Machines at work behind a cut are waited for, not returned in panic.
-            match w.returned_alive {
-                0 => Ok(()),
-                n => Err(format!("{n} machines at work were returned")),
-            }
+            completed(&w)?;
+            Ok(w.returned_alive)
         });
-        if let Err(e) = end {
-            panic!("seed {seed}: {e}");
+        // Machines at work behind a cut are waited for, not returned in panic.
+        match end {
+            Ok(0) => {}
+            Ok(n) => panic!("seed {seed}: {n} machines at work were returned"),
+            Err(e) => panic!("seed {seed}: {e}"),
         }
     }
 }
--- a/crates/saltpitch-testkit/tests/upgrade.rs
+++ b/crates/saltpitch-testkit/tests/upgrade.rs
@@ -3,6 +3,7 @@
 
 use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::Micros;
+use saltpitch_testkit::invariants::{Invariant, InvariantViolation};
 use saltpitch_testkit::{Faults, Simulation};
 
 /// When the store's next limits come into force, in steps of three seconds; the nodes are replaced at
@@ -16,7 +17,7 @@
     faults: Faults,
     limits: (usize, usize, u32),
     fall_at: u64,
-) -> Result<Simulation, String> {
+) -> Result<Simulation, InvariantViolation> {
     let mut w = Simulation::new(seed, faults, Micros::from_secs(150));
     w.next_limits = Some(limits);
     for n in &mut w.nodes {
@@ -64,15 +65,19 @@
     for (id, j) in w.jobs.iter().filter(|(_, j)| j.accepted) {
         let off = j.cancelled_at.or(j.withdrawn_at).is_some();
         if off && w.running(id) > 0 {
-            return Err(format!("{id} was cancelled and still runs"));
+            return Err(unserved(id, "was cancelled and still runs"));
         }
         if !off && j.spec.kind != JobKind::Service && !w.is_done(id) {
-            return Err(format!("{id} is not done"));
+            return Err(unserved(id, "is not done"));
         }
     }
     Ok(w)
 }
 
+fn unserved(id: &str, text: &str) -> InvariantViolation {
+    InvariantViolation::new(Invariant::Unserved, format!("{id} {text}")).of_job(id)
+}
+
 fn many(seeds: std::ops::Range<u64>, faults: Faults) {
     for seed in seeds {
         // A description of a job still fits; a third of the operations and changes are left.
