--- a/crates/saltpitch-core/src/machine/mod.rs
+++ b/crates/saltpitch-core/src/machine/mod.rs
@@ -42,7 +42,7 @@
     /// Its name, which the cloud never gives again.
     pub name: Arc<str>,
     /// Its type.
-    pub kind: Arc<MachineType>,
+    pub machine_type: Arc<MachineType>,
     /// Its zone.
     pub zone: Arc<str>,
     /// Whether the cloud may take it back.
@@ -77,7 +77,7 @@
     /// A machine that has not been heard by this leader.
     pub fn new(
         name: &str,
-        kind: Arc<MachineType>,
+        machine_type: Arc<MachineType>,
         zone: Arc<str>,
         spot: bool,
         addr: &str,
@@ -85,7 +85,7 @@
     ) -> Machine {
         Machine {
             name: name.into(),
-            kind,
+            machine_type,
             zone,
             spot,
             addr: addr.to_owned(),
@@ -105,7 +105,7 @@
 
     /// What no task takes.
     pub fn free(&self) -> Resources {
-        self.kind.size.minus(&self.allocations.used())
+        self.machine_type.size.minus(&self.allocations.used())
     }
 
     /// Whether the agent was heard by this leader and no return is intended.
@@ -127,24 +127,24 @@
     /// Processors that batch work takes or may take.
     pub fn batch_cpu(&self) -> u64 {
         let steady = self.allocations.steady_cpu();
-        self.kind.size.cpu.saturating_sub(steady)
+        self.machine_type.size.cpu.saturating_sub(steady)
     }
 
     /// How long it would take to have the largest of its images elsewhere.
     pub fn image_worth(&self) -> Micros {
-        self.kind.fetch_time(self.images.largest_mb())
+        self.machine_type.fetch_time(self.images.largest_mb())
     }
 
     /// A task is no longer placed here.
     pub fn release(&mut self, number: JobNumber, task: u32, spec: &JobSpec, now: Micros) {
         // Accelerators are what a machine that has some is kept for.
-        let wanted = spec.need.gpu > 0 || self.kind.size.gpu == 0;
+        let wanted = spec.need.gpu > 0 || self.machine_type.size.gpu == 0;
         self.allocations.remove(number, task, spec, wanted, now);
     }
 
     /// A task with this image ran here.
     pub fn use_image(&mut self, image: &str, size_mb: u64, now: Micros) -> ImageChanges {
-        let capacity_mb = self.kind.cache_mb;
+        let capacity_mb = self.machine_type.cache_mb;
         self.images.use_image(image, size_mb, capacity_mb, now)
     }
 }
--- a/crates/saltpitch-core/src/machine_index.rs
+++ b/crates/saltpitch-core/src/machine_index.rs
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct MachineGroup {
     /// Their type.
-    pub kind: Arc<MachineType>,
+    pub machine_type: Arc<MachineType>,
     /// Their zone.
     pub zone: Arc<str>,
     /// Whether the cloud may take them back.
@@ -112,9 +112,9 @@
 }
 
 impl MachineGroup {
-    fn new(kind: Arc<MachineType>, zone: Arc<str>, spot: bool) -> MachineGroup {
+    fn new(machine_type: Arc<MachineType>, zone: Arc<str>, spot: bool) -> MachineGroup {
         MachineGroup {
-            kind,
+            machine_type,
             zone,
             spot,
             members: BTreeSet::new(),
@@ -264,7 +264,7 @@
 
     /// A machine became known. It counts as taking no tasks until it is updated.
     pub fn add(&mut self, machine: &mut Machine) {
-        let number = self.group_number(&machine.kind, &machine.zone, machine.spot);
+        let number = self.group_number(&machine.machine_type, &machine.zone, machine.spot);
         machine.index_entry.group = number;
         self.groups[number].members.insert(machine.name.clone());
         let count = self.machines_by_zone.entry(machine.zone.clone());
@@ -274,21 +274,21 @@
     /// The group of such machines, made if need be.
     fn group_number(
         &mut self,
-        kind: &Arc<MachineType>,
+        machine_type: &Arc<MachineType>,
         zone: &Arc<str>,
         spot: bool,
     ) -> GroupNumber {
         let key = GroupKey {
-            type_name: kind.name.clone(),
+            type_name: machine_type.name.clone(),
             zone: zone.clone(),
             spot,
-            is_known_type: !kind.size.is_zero(),
+            is_known_type: !machine_type.size.is_zero(),
         };
         if let Some(&number) = self.by_key.get(&key) {
             return number;
         }
         let number = self.groups.len();
-        let group = MachineGroup::new(kind.clone(), zone.clone(), spot);
+        let group = MachineGroup::new(machine_type.clone(), zone.clone(), spot);
         self.groups.push(group);
         self.by_key.insert(key, number);
         number
--- a/crates/saltpitch-core/src/placement.rs
+++ b/crates/saltpitch-core/src/placement.rs
@@ -28,7 +28,7 @@
     if machine.images.contains(&spec.image) {
         0
     } else {
-        machine.kind.fetch_time(spec.image_mb).0 / MICROS_PER_POINT
+        machine.machine_type.fetch_time(spec.image_mb).0 / MICROS_PER_POINT
     }
 }
 
@@ -41,11 +41,11 @@
 }
 
 fn packing_penalty(machine: &Machine) -> u64 {
-    EMPTY_MACHINE_PENALTY * machine.free().cpu / machine.kind.size.cpu.max(1)
+    EMPTY_MACHINE_PENALTY * machine.free().cpu / machine.machine_type.size.cpu.max(1)
 }
 
 fn accelerator_penalty(spec: &JobSpec, machine: &Machine) -> u64 {
-    if spec.need.gpu == 0 && machine.kind.size.gpu > 0 {
+    if spec.need.gpu == 0 && machine.machine_type.size.gpu > 0 {
         UNUSED_ACCELERATORS_PENALTY
     } else {
         0
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -34,7 +34,7 @@
         machine: &Machine,
         now: Micros,
     ) -> bool {
-        !self.contested_for(spec, &machine.kind.size)
+        !self.contested_for(spec, &machine.machine_type.size)
             || now.since(machine.allocations.wanted_at()) < self.idle_time_limit(machine, now)
     }
 
@@ -52,7 +52,7 @@
     pub(super) fn end_accelerator_sharing(&mut self, now: Micros) {
         let mut candidates = Vec::new();
         for group in self.inventory.groups_mut() {
-            if group.kind.size.gpu > 0 {
+            if group.machine_type.size.gpu > 0 {
                 candidates.extend(group.next_members(MACHINES_PER_PASS));
             }
         }
@@ -74,7 +74,7 @@
             && self
                 .autoscaler
                 .accelerator_demand()
-                .is_contested(&machine.kind.size)
+                .is_contested(&machine.machine_type.size)
             && now.since(allocations.wanted_at()) > self.idle_time_limit(machine, now)
             && allocations.iter().all(|(number, task)| {
                 let job = self.job_table.get(number);
--- a/crates/saltpitch-core/src/scheduler/autoscaler/accelerator_demand.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/accelerator_demand.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether machines of this size have accelerators and hold tasks that need some: other work may use
-    /// them meanwhile, but nothing is rented for it.
+    /// them meanwhile, but nothing is ordered for it.
     pub(in crate::scheduler) fn is_contested(&self, size: &Resources) -> bool {
         size.gpu > 0 && self.needs.iter().any(|need| need.fits(size))
     }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
@@ -1,4 +1,4 @@
-//! The plan of one pass: which pending capacity the waiting jobs take, and which machines are to be rented
+//! The plan of one pass: which pending capacity the waiting jobs take, and which machines are to be ordered
 //! beside it.
 
 use std::sync::Arc;
@@ -22,11 +22,11 @@
 /// still hope for cheaper capacity.
 const URGENT_MARGIN: Micros = Micros::from_secs(25);
 
-/// On what terms machines are rented for a job.
+/// On what terms machines are ordered for a job.
 pub(in crate::scheduler) struct ScaleOutTerms {
-    /// Spot machines may be rented.
+    /// Spot machines may be ordered.
     pub(in crate::scheduler) may_use_spot: bool,
-    /// Machines that cost more than this many times the cheapest are rented for urgent work only.
+    /// Machines that cost more than this many times the cheapest are ordered for urgent work only.
     pub(in crate::scheduler) max_price_ratio: f64,
     /// Time left until the job has to start; `None` if that is late already or was never said.
     pub(in crate::scheduler) slack: Option<Micros>,
@@ -35,7 +35,7 @@
 }
 
 impl ScaleOutTerms {
-    /// Whether a machine that is rented now comes just in time.
+    /// Whether a machine that is ordered now comes just in time.
     pub(super) fn is_urgent(&self, boot: Micros) -> bool {
         self.slack.is_some_and(|slack| {
             slack > boot.times(MIN_URGENT_BOOTS) && slack < boot.plus(URGENT_MARGIN)
@@ -43,7 +43,7 @@
     }
 }
 
-/// The pending capacity of all pools, and the machines to be rented.
+/// The pending capacity of all pools, and the machines to be ordered.
 pub(in crate::scheduler) struct CapacityPlan {
     pools: Vec<CapacityPool>,
 }
@@ -71,14 +71,16 @@
 
     fn add_pending(&mut self, key: &MachinePoolKey, free: Resources, count: usize) {
         let pool = self.pools.iter_mut().find(|pool| {
-            pool.kind.name == key.type_name && *pool.zone == *key.zone && pool.spot == key.spot
+            pool.machine_type.name == key.type_name
+                && *pool.zone == *key.zone
+                && pool.spot == key.spot
         });
         if let Some(pool) = pool {
             pool.add_pending(free, count);
         }
     }
 
-    /// Gives `want` tasks of a job pending capacity, and adds machines to be rented where that is short.
+    /// Gives `want` tasks of a job pending capacity, and adds machines to be ordered where that is short.
     /// `machines_in_zone` is how many machines there are already.
     pub(in crate::scheduler) fn reserve(
         &mut self,
@@ -92,7 +94,7 @@
         let pools = self.pools.iter_mut();
         let suitable = pools.filter(|pool| {
             pool.suits(spec, terms.may_use_spot)
-                && !accelerators.is_contested_for(spec, &pool.kind.size)
+                && !accelerators.is_contested_for(spec, &pool.machine_type.size)
         });
         let zones = ZoneSpread::new(spec, job.tasks.zones());
         let mut reservation = Reservation::new(spec, terms, suitable.collect(), zones, want);
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_pools.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_pools.rs
@@ -1,4 +1,4 @@
-//! Pending capacity by machine pool: machines that boot, are being rented, or are to be rented.
+//! Pending capacity by machine pool: machines that boot, are being rented, or are to be ordered.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use crate::catalog::{MachineType, Resources};
 use crate::job::{JobSpec, Priority};
 
-/// Machines of one pool that are tried for one job before another machine is rented.
+/// Machines of one pool that are tried for one job before another machine is ordered.
 const MAX_TRIED_MACHINES: usize = 64;
 /// The service position of a pool that no job wants machines of.
 const NOT_WANTED: usize = usize::MAX;
@@ -15,7 +15,7 @@
 /// The pending capacity of one machine pool.
 pub(super) struct CapacityPool {
     /// The machine type.
-    pub(super) kind: Arc<MachineType>,
+    pub(super) machine_type: Arc<MachineType>,
     /// The zone.
     pub(super) zone: Arc<str>,
     /// Whether these are spot machines.
@@ -25,7 +25,7 @@
     first_open: usize,
     /// The fewest processors that a task of a waiting job takes.
     smallest_need_cpu: u64,
-    /// How many machines are to be rented.
+    /// How many machines are to be ordered.
     new_machines: u32,
     /// The place in the order of service of the first job that wants one of them.
     wanted_at: usize,
@@ -43,13 +43,13 @@
 impl CapacityPool {
     /// A pool without pending machines.
     pub(super) fn new(
-        kind: Arc<MachineType>,
+        machine_type: Arc<MachineType>,
         zone: &str,
         spot: bool,
         smallest_need_cpu: u64,
     ) -> CapacityPool {
         CapacityPool {
-            kind,
+            machine_type,
             zone: zone.into(),
             spot,
             free: Vec::new(),
@@ -66,28 +66,28 @@
 
     /// The pool's key.
     pub(super) fn key(&self) -> MachinePoolKey {
-        MachinePoolKey::new(&self.kind.name, &self.zone, self.spot)
+        MachinePoolKey::new(&self.machine_type.name, &self.zone, self.spot)
     }
 
     /// Whether a job's tasks may run on the pool's machines.
     pub(super) fn suits(&self, spec: &JobSpec, may_use_spot: bool) -> bool {
-        spec.need.fits(&self.kind.size)
+        spec.need.fits(&self.machine_type.size)
             && (may_use_spot || !self.spot)
-            && spec.allows(&self.kind.name, &self.zone, self.spot)
+            && spec.allows(&self.machine_type.name, &self.zone, self.spot)
     }
 
     /// The price of the pool's machines.
     pub(super) fn price(&self) -> u64 {
-        self.kind.price_of(self.spot)
+        self.machine_type.price_of(self.spot)
     }
 
     /// The price of the room for one task.
     pub(super) fn price_per_task(&self, need: &Resources) -> f64 {
-        let tasks = need.count_in(&self.kind.size).max(1);
+        let tasks = need.count_in(&self.machine_type.size).max(1);
         self.price() as f64 / tasks as f64
     }
 
-    /// How many machines are to be rented.
+    /// How many machines are to be ordered.
     pub(super) fn new_machines(&self) -> u32 {
         self.new_machines
     }
@@ -107,7 +107,7 @@
         self.is_stalled
     }
 
-    /// Whether another machine may be rented.
+    /// Whether another machine may be ordered.
     pub(super) fn may_grow(&self) -> bool {
         !self.is_refused && self.new_machines < self.max_new_machines
     }
@@ -130,16 +130,16 @@
         self.free.clear();
     }
 
-    /// One more machine is to be rented, for a job at this place in the order of service.
+    /// One more machine is to be ordered, for a job at this place in the order of service.
     pub(super) fn want_machine(&mut self, position: usize, priority: Priority) {
         self.wanted_at = self.wanted_at.min(position);
         self.for_production |= priority == Priority::Production;
         self.new_machines += 1;
     }
 
-    /// Adds the machine that is to be rented, with `tasks` tasks of this need on it.
+    /// Adds the machine that is to be ordered, with `tasks` tasks of this need on it.
     pub(super) fn add_new_machine(&mut self, need: &Resources, tasks: u64) {
-        let free = self.kind.size.minus(&need.times(tasks));
+        let free = self.machine_type.size.minus(&need.times(tasks));
         self.free.push(free);
     }
 
--- a/crates/saltpitch-core/src/scheduler/autoscaler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/mod.rs
@@ -36,7 +36,7 @@
 pub(in crate::scheduler) use capacity_plan::{CapacityPlan, ScaleOutTerms};
 pub(in crate::scheduler) use pool_key::MachinePoolKey;
 pub(in crate::scheduler) use provisioning_times::ProvisioningClock;
-pub(in crate::scheduler) use scale_out::RentedMachines;
+pub(in crate::scheduler) use scale_out::OrderedMachines;
 
 /// How fast production's past demand fades from the estimate of what is to come.
 const PRODUCTION_DEMAND_MEMORY: Micros = Micros::from_secs(60);
--- a/crates/saltpitch-core/src/scheduler/autoscaler/pool_key.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/pool_key.rs
@@ -25,6 +25,6 @@
 
     /// The pool that a machine belongs to.
     pub(in crate::scheduler) fn of(machine: &Machine) -> MachinePoolKey {
-        MachinePoolKey::new(&machine.kind.name, &machine.zone, machine.spot)
+        MachinePoolKey::new(&machine.machine_type.name, &machine.zone, machine.spot)
     }
 }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
@@ -58,10 +58,18 @@
 
 impl ProvisioningTimes {
     /// A machine sent its first heartbeat.
-    fn add(&mut self, kind: &MachineType, zone: &Arc<str>, ordered_at: Micros, now: Micros) {
+    fn add(
+        &mut self,
+        machine_type: &MachineType,
+        zone: &Arc<str>,
+        ordered_at: Micros,
+        now: Micros,
+    ) {
         let took = now.since(ordered_at);
-        let boot_ratio = took.as_secs_f64() / kind.boot.as_secs_f64().max(MIN_BOOT_SECONDS);
-        let boots = self.observed.entry((kind.name.clone(), zone.clone()));
+        let boot_ratio = took.as_secs_f64() / machine_type.boot.as_secs_f64().max(MIN_BOOT_SECONDS);
+        let boots = self
+            .observed
+            .entry((machine_type.name.clone(), zone.clone()));
         let boots = boots.or_default();
         if boots.len() >= MAX_REMEMBERED_BOOTS {
             boots.pop_front();
@@ -75,25 +83,29 @@
 
     fn recent(
         &self,
-        kind: &MachineType,
+        machine_type: &MachineType,
         zone: &Arc<str>,
         now: Micros,
     ) -> impl Iterator<Item = &Provisioned> {
-        let boots = self.observed.get(&(kind.name.clone(), zone.clone()));
+        let boots = self
+            .observed
+            .get(&(machine_type.name.clone(), zone.clone()));
         let is_recent = move |boot: &&Provisioned| now.since(boot.up_at) < BOOT_MEMORY;
         boots.into_iter().flatten().filter(is_recent)
     }
 
     /// The time by which a machine of this kind is up.
-    fn expected(&self, kind: &MachineType, zone: &Arc<str>, now: Micros) -> Micros {
-        let ratios = self.recent(kind, zone, now).map(|boot| boot.boot_ratio);
+    fn expected(&self, machine_type: &MachineType, zone: &Arc<str>, now: Micros) -> Micros {
+        let ratios = self
+            .recent(machine_type, zone, now)
+            .map(|boot| boot.boot_ratio);
         let longest = ratios.fold(USUAL_BOOT_RATIO, f64::max).min(MAX_BOOT_RATIO);
-        kind.boot.times(longest * BOOT_RATIO_MARGIN)
+        machine_type.boot.times(longest * BOOT_RATIO_MARGIN)
     }
 
     /// Whether a machine of this kind that was ordered later is up.
     fn is_overtaken(&self, machine: &Machine, now: Micros) -> bool {
-        let mut boots = self.recent(&machine.kind, &machine.zone, now);
+        let mut boots = self.recent(&machine.machine_type, &machine.zone, now);
         boots.any(|boot| boot.ordered_at > machine.lifecycle.created_at())
     }
 
@@ -151,7 +163,7 @@
     ) {
         if clock.is_own(machine) && machine.lifecycle.created_at() < clock.now {
             self.provisioning_times.add(
-                &machine.kind,
+                &machine.machine_type,
                 &machine.zone,
                 machine.lifecycle.created_at(),
                 clock.now,
@@ -168,12 +180,13 @@
     ) -> bool {
         let age = clock.now.since(machine.lifecycle.created_at());
         // Most are not, and need no comparison with the others.
-        if !machine.lifecycle.is_unregistered() || age <= machine.kind.boot.times(USUAL_BOOT_RATIO)
+        if !machine.lifecycle.is_unregistered()
+            || age <= machine.machine_type.boot.times(USUAL_BOOT_RATIO)
         {
             return false;
         }
         let times = &self.provisioning_times;
-        let expected = times.expected(&machine.kind, &machine.zone, clock.now);
+        let expected = times.expected(&machine.machine_type, &machine.zone, clock.now);
         let first_heartbeat = clock.heartbeat_interval.plus(FIRST_HEARTBEAT_MARGIN);
         age > expected.plus(first_heartbeat)
     }
@@ -188,7 +201,7 @@
         if !machine.lifecycle.is_unregistered() || clock.may_be_unknown(machine) {
             return false;
         }
-        let longest_boot = machine.kind.boot.times(ABANDON_BOOT_RATIO);
+        let longest_boot = machine.machine_type.boot.times(ABANDON_BOOT_RATIO);
         let limit = longest_boot.plus(ABANDON_MARGIN);
         clock.now.since(machine.lifecycle.created_at()) > limit
             || (self.is_overdue(machine, clock)
--- a/crates/saltpitch-core/src/scheduler/autoscaler/reservation.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/reservation.rs
@@ -1,4 +1,4 @@
-//! Capacity for the tasks of one job: pending machines first, then machines to be rented.
+//! Capacity for the tasks of one job: pending machines first, then machines to be ordered.
 
 use super::capacity_plan::ScaleOutTerms;
 use super::capacity_pools::{CapacityPool, ZoneSpread};
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Adds machines to be rented until every task has capacity, or no pool may grow.
+    /// Adds machines to be ordered until every task has capacity, or no pool may grow.
     pub(super) fn add_machines(&mut self, machines_in_zone: &dyn Fn(&str) -> usize) {
         while self.left > 0 {
             let Some(index) = self.best_pool(machines_in_zone) else {
@@ -69,7 +69,7 @@
         let pools = self.pools.iter().enumerate();
         let candidates = pools.filter(|(_, pool)| self.may_rent(pool));
         let best = candidates.min_by_key(|(_, pool)| {
-            let fitting = self.spec.need.count_in(&pool.kind.size);
+            let fitting = self.spec.need.count_in(&pool.machine_type.size);
             let tasks = fitting.min(self.left).max(1);
             let price = pool.price() * PRICE_PRECISION / tasks;
             let in_zone = machines_in_zone(&pool.zone) + pool.new_machines() as usize;
@@ -78,15 +78,15 @@
         best.map(|(index, _)| index)
     }
 
-    /// Whether a machine of this pool may be rented for the job.
+    /// Whether a machine of this pool may be ordered for the job.
     fn may_rent(&self, pool: &CapacityPool) -> bool {
         let is_cheap = pool.price_per_task(&self.spec.need) <= self.max_price;
         pool.may_grow()
             && self.zones.allowance(&pool.zone) > 0
-            && (is_cheap || self.terms.is_urgent(pool.kind.boot))
+            && (is_cheap || self.terms.is_urgent(pool.machine_type.boot))
     }
 
-    /// Adds a machine to be rented, with as many of the tasks as it holds. Nobody counts on machines of a
+    /// Adds a machine to be ordered, with as many of the tasks as it holds. Nobody counts on machines of a
     /// stalled zone.
     fn add_machine(&mut self, index: usize) {
         let pool = &mut self.pools[index];
@@ -96,7 +96,7 @@
         }
         let need = &self.spec.need;
         let allowed = self.left.min(self.zones.allowance(&pool.zone));
-        let tasks = need.count_in(&pool.kind.size).min(allowed);
+        let tasks = need.count_in(&pool.machine_type.size).min(allowed);
         pool.add_new_machine(need, tasks);
         self.zones.add(&pool.zone, tasks);
         self.left -= tasks;
--- a/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
@@ -74,7 +74,7 @@
 /// How a scale-out request ended.
 #[derive(Clone, Debug)]
 pub enum ScaleOutOutcome {
-    /// These machines were rented, perhaps fewer than asked for.
+    /// These machines were ordered, perhaps fewer than asked for.
     Machines(Vec<String>),
     /// The cloud has no such machines now.
     NoCapacity,
@@ -84,8 +84,8 @@
     Unknown,
 }
 
-/// Machines that were rented.
-pub(in crate::scheduler) struct RentedMachines {
+/// Machines that were ordered.
+pub(in crate::scheduler) struct OrderedMachines {
     /// Their pool.
     pub(in crate::scheduler) pool: MachinePoolKey,
     /// Their names.
@@ -183,13 +183,13 @@
         effects
     }
 
-    /// A request ended. Returns the machines that were rented.
+    /// A request ended. Returns the machines that were ordered.
     pub(in crate::scheduler) fn request_ended(
         &mut self,
         id: &str,
         outcome: ScaleOutOutcome,
         now: Micros,
-    ) -> Option<RentedMachines> {
+    ) -> Option<OrderedMachines> {
         let index = self.requests.iter().position(|request| request.id == id)?;
         if matches!(outcome, ScaleOutOutcome::Unknown) {
             let request = &mut self.requests[index];
@@ -205,7 +205,7 @@
                 } else {
                     self.refusals.clear(&pool);
                 }
-                return Some(RentedMachines { pool, names });
+                return Some(OrderedMachines { pool, names });
             }
             ScaleOutOutcome::NoCapacity => self.refusals.no_capacity(pool, now),
             ScaleOutOutcome::Later => self.refusals.unrelated(pool, now),
--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::autoscaler::{
-    BatchBacklog, BatchTasks, CapacityPlan, ProvisioningClock, RentedMachines, ScaleOutTerms,
+    BatchBacklog, BatchTasks, CapacityPlan, OrderedMachines, ProvisioningClock, ScaleOutTerms,
 };
 use super::queue_order::QueuedJob;
 use super::{Job, ScaleOutOutcome, Scheduler};
@@ -19,8 +19,8 @@
 const RESERVED_BEYOND_MACHINES: u64 = 400;
 /// Until the next pass has placed tasks on a machine that has come up.
 const JUST_UP: Micros = Micros::from_secs(1);
-/// How long the record of a rented machine waits for others.
-const RENTED_RECORD_DELAY: Micros = Micros::from_millis(300);
+/// How long the record of a ordered machine waits for others.
+const ORDERED_RECORD_DELAY: Micros = Micros::from_millis(300);
 
 impl Scheduler {
     /// Scales out for what the waiting tasks need beyond what is pending, and scales in what is idle.
@@ -67,7 +67,7 @@
         plan
     }
 
-    /// Every machine pool on offer, with the machines that are booting or being rented as empty
+    /// Every machine pool on offer, with the machines that are booting or being ordered as empty
     /// capacity.
     fn pending_capacity(&mut self, now: Micros) -> CapacityPlan {
         let clock = self.provisioning_clock(now);
@@ -108,7 +108,7 @@
     fn batch_backlog(&self) -> BatchBacklog {
         let accelerators = self.autoscaler.accelerator_demand();
         let groups = self.inventory.groups().iter();
-        let ordinary = groups.filter(|group| !accelerators.is_contested(&group.kind.size));
+        let ordinary = groups.filter(|group| !accelerators.is_contested(&group.machine_type.size));
         let processors = ordinary.map(|group| group.batch_cpu()).sum();
         self.autoscaler.batch_backlog(processors, &self.catalog)
     }
@@ -157,7 +157,7 @@
             return 0;
         }
         // A gang at the barrier found the team's limit free for all of it. What is served before it
-        // and finds no machine must not keep the machines for its last tasks from being rented.
+        // and finds no machine must not keep the machines for its last tasks from being ordered.
         let is_at_barrier = matches!(job.gang, Gang::Holding { .. }) && job.tasks.placed() > 0;
         if is_at_barrier && self.quota.tasks_allowed(job.team, &spec.need) >= idle {
             return idle;
@@ -169,7 +169,7 @@
         want
     }
 
-    /// On what terms machines are rented for a job, by the policy.
+    /// On what terms machines are ordered for a job, by the policy.
     fn scale_out_terms(&mut self, queued: &QueuedJob, position: usize) -> Option<ScaleOutTerms> {
         let spec = self.job_table.get(queued.number)?.spec.clone();
         let may_use_spot = self.spot_wanted(&spec);
@@ -187,9 +187,9 @@
     }
 
     /// The answer to [`super::Effect::ScaleOut`].
-    pub fn rented(&mut self, request: &str, outcome: ScaleOutOutcome, now: Micros) {
+    pub fn scale_out_ended(&mut self, request: &str, outcome: ScaleOutOutcome, now: Micros) {
         let rented = self.autoscaler.request_ended(request, outcome, now);
-        let Some(RentedMachines { pool, names }) = rented else {
+        let Some(OrderedMachines { pool, names }) = rented else {
             return;
         };
         let Some(kind) = self.catalog.get(&pool.type_name).cloned() else {
@@ -203,7 +203,7 @@
             }
             let mut machine = Machine::new(&name, kind.clone(), zone.clone(), pool.spot, "", now);
             self.persistence
-                .machine_changed(&mut machine, now.plus(RENTED_RECORD_DELAY));
+                .machine_changed(&mut machine, now.plus(ORDERED_RECORD_DELAY));
             self.inventory.add(machine);
         }
     }
--- a/crates/saltpitch-core/src/scheduler/cloud_listing.rs
+++ b/crates/saltpitch-core/src/scheduler/cloud_listing.rs
@@ -54,7 +54,7 @@
     }
 
     /// The cloud confirmed the return of these machines: they and all on them are gone.
-    pub fn returned(&mut self, names: &[Arc<str>], now: Micros) {
+    pub fn scale_in_confirmed(&mut self, names: &[Arc<str>], now: Micros) {
         for name in names {
             self.release_all(name, now);
             if let Some(machine) = self.inventory.get(name) {
--- a/crates/saltpitch-core/src/scheduler/consolidation.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -50,7 +50,7 @@
         let mut spare = self.spare_above_warm_pool(now);
         for source in sources.into_iter().rev().take(MOVES_PER_PASS) {
             let machine = self.inventory.get(&source.machine);
-            let size = machine.map_or(0, |machine| machine.kind.size.cpu);
+            let size = machine.map_or(0, |machine| machine.machine_type.size.cpu);
             if spare < size || !self.fits_elsewhere(&source) {
                 continue;
             }
@@ -84,7 +84,7 @@
         let allocations = &machine.allocations;
         machine.takes_tasks()
             && !allocations.is_empty()
-            && allocations.used().cpu * 10 <= machine.kind.size.cpu * MAX_USED_TENTHS
+            && allocations.used().cpu * 10 <= machine.machine_type.size.cpu * MAX_USED_TENTHS
             && allocations.iter().all(|(number, task)| {
                 let job = self.job_table.get(number);
                 job.is_some_and(|job| is_settled_replica(job, task, now))
@@ -127,9 +127,9 @@
         for number in 0..self.inventory.groups().len() {
             let group = &self.inventory.groups()[number];
             if group.zone != *zone
-                || !spec.need.fits(&group.kind.size)
-                || !spec.allows(&group.kind.name, &group.zone, group.spot)
-                || self.contested_for(spec, &group.kind.size)
+                || !spec.need.fits(&group.machine_type.size)
+                || !spec.allows(&group.machine_type.name, &group.zone, group.spot)
+                || self.contested_for(spec, &group.machine_type.size)
             {
                 continue;
             }
@@ -175,6 +175,6 @@
 
 /// What a processor in use costs on this machine.
 fn unit_price(machine: &Machine) -> u64 {
-    let price = machine.kind.price_of(machine.spot) * PRICE_SCALE;
+    let price = machine.machine_type.price_of(machine.spot) * PRICE_SCALE;
     price / machine.allocations.used().cpu.max(1)
 }
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -153,7 +153,7 @@
         let mut room = 0;
         for number in 0..self.inventory.groups().len() {
             let group = &mut self.inventory.groups_mut()[number];
-            if !spec.allows(&group.kind.name, &group.zone, group.spot) {
+            if !spec.allows(&group.machine_type.name, &group.zone, group.spot) {
                 continue;
             }
             let search = group.search(&spec.need, MAX_MACHINES_CONSIDERED);
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Whether a job may use this machine as far as guests go. A guest for which nothing may be rented
+    /// Whether a job may use this machine as far as guests go. A guest for which nothing may be ordered
     /// keeps no machine either: it goes only where work of this cell's own is.
     pub(super) fn admits_guest(&self, job: &Job, machine: &Machine) -> bool {
         let Some(guest) = &job.guest else {
--- a/crates/saltpitch-core/src/scheduler/interface.rs
+++ b/crates/saltpitch-core/src/scheduler/interface.rs
@@ -134,7 +134,7 @@
         /// Its address.
         addr: String,
     },
-    /// Answer with [`super::Scheduler::rented`].
+    /// Answer with [`super::Scheduler::scale_out_ended`].
     ScaleOut {
         /// The id of the request; a repetition rents nothing more.
         request: String,
@@ -147,7 +147,7 @@
         /// How many.
         count: u32,
     },
-    /// Answer with [`super::Scheduler::returned`].
+    /// Answer with [`super::Scheduler::scale_in_confirmed`].
     ScaleIn {
         /// The machines.
         names: Vec<Arc<str>>,
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_block.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_block.rs
@@ -25,7 +25,7 @@
     /// The kind of block that a machine belongs to.
     pub(super) fn of(machine: &Machine) -> BlockKind {
         BlockKind {
-            type_name: machine.kind.name.clone(),
+            type_name: machine.machine_type.name.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
         }
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -170,8 +170,8 @@
         for at in 0..self.inventory.groups().len() {
             let group = &self.inventory.groups()[at];
             if zone.is_some_and(|zone| zone != &*group.zone)
-                || !(is_blocked || self.ever_suits(spec, &group.kind.size))
-                || !spec.allows(&group.kind.name, &group.zone, group.spot)
+                || !(is_blocked || self.ever_suits(spec, &group.machine_type.size))
+                || !spec.allows(&group.machine_type.name, &group.zone, group.spot)
             {
                 continue;
             }
@@ -228,7 +228,7 @@
                 if !spec.need.fits(&machine.free()) || !Self::zone_allows(job, &machine.zone) {
                     break;
                 }
-                let suits = self.ever_suits(&spec, &machine.kind.size)
+                let suits = self.ever_suits(&spec, &machine.machine_type.size)
                     && self.may_share_accelerators(&spec, machine, now);
                 if takes_any && !suits && job.tasks.placed() > 0 {
                     break;
@@ -262,7 +262,7 @@
     if machine.images.contains(&job.spec.image) {
         return false;
     }
-    let fetch = machine.kind.fetch_time(job.spec.image_mb);
+    let fetch = machine.machine_type.fetch_time(job.spec.image_mb);
     let limit = fetch.times(IMAGE_WAIT_RATIO);
     let waited = now.since(job.times.queued.max(job.times.parked_at));
     image_free_in.is_some_and(|free_in| free_in < limit) && waited < limit
--- a/crates/saltpitch-core/src/scheduler/policy_bindings.rs
+++ b/crates/saltpitch-core/src/scheduler/policy_bindings.rs
@@ -12,14 +12,14 @@
 }
 
 /// The variables of a machine type.
-fn type_variable(kind: &MachineType, spot: bool, name: &str) -> Option<Value> {
+fn type_variable(machine_type: &MachineType, spot: bool, name: &str) -> Option<Value> {
     Some(match name {
-        "type.name" => Value::Text(kind.name.clone()),
-        "type.cpus" => from_thousandths(kind.size.cpu),
-        "type.gpus" => from_thousandths(kind.size.gpu),
-        "type.mem_gb" => from_thousandths(kind.size.mem),
-        "type.price" => from_thousandths(kind.price_of(spot)),
-        "type.boot_s" => Value::Number(kind.boot.as_secs_f64()),
+        "type.name" => Value::Text(machine_type.name.clone()),
+        "type.cpus" => from_thousandths(machine_type.size.cpu),
+        "type.gpus" => from_thousandths(machine_type.size.gpu),
+        "type.mem_gb" => from_thousandths(machine_type.size.mem),
+        "type.price" => from_thousandths(machine_type.price_of(spot)),
+        "type.boot_s" => Value::Number(machine_type.boot.as_secs_f64()),
         "type.spot" => Value::Bool(spot),
         _ => return None,
     })
@@ -80,8 +80,9 @@
         let batch_target = Micros::from_secs_f64(batch_target);
         self.autoscaler.set_batch_completion_target(batch_target);
         for group in self.inventory.groups_mut() {
-            let variables =
-                |name: &str| type_variable(&group.kind, group.spot, name).or_else(|| cluster(name));
+            let variables = |name: &str| {
+                type_variable(&group.machine_type, group.spot, name).or_else(|| cluster(name))
+            };
             let idle_keep = policy.number(rule::IDLE_KEEP, &variables);
             group.set_idle_keep(Micros::from_secs_f64(idle_keep));
         }
@@ -106,7 +107,7 @@
         spec.spot && self.config.policy.flag(rule::USE_SPOT, &variables)
     }
 
-    /// Machines that cost more than this many times the cheapest are rented for urgent work only.
+    /// Machines that cost more than this many times the cheapest are ordered for urgent work only.
     pub(super) fn max_price_ratio(&mut self, spec: &JobSpec) -> f64 {
         self.job_number(rule::MAX_PRICE_RATIO, spec)
     }
--- a/crates/saltpitch-core/src/scheduler/preemption/options.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/options.rs
@@ -54,9 +54,9 @@
         let mut names = Vec::new();
         for at in 0..self.inventory.groups().len() {
             let group = &self.inventory.groups()[at];
-            if !spec.need.fits(&group.kind.size)
-                || !spec.allows(&group.kind.name, &group.zone, group.spot)
-                || self.contested_for(spec, &group.kind.size)
+            if !spec.need.fits(&group.machine_type.size)
+                || !spec.allows(&group.machine_type.name, &group.zone, group.spot)
+                || self.contested_for(spec, &group.machine_type.size)
                 || !(queued.within_quota || group.has_tasks_below(spec.priority))
             {
                 continue;
--- a/crates/saltpitch-core/src/scheduler/scale_in.rs
+++ b/crates/saltpitch-core/src/scheduler/scale_in.rs
@@ -10,8 +10,8 @@
     pub(super) fn spare_above_warm_pool(&self, now: Micros) -> u64 {
         let accelerators = self.autoscaler.accelerator_demand();
         let groups = self.inventory.groups().iter();
-        let ordinary =
-            groups.filter(|group| !group.spot && !accelerators.is_contested(&group.kind.size));
+        let ordinary = groups
+            .filter(|group| !group.spot && !accelerators.is_contested(&group.machine_type.size));
         let available: u64 = ordinary.map(|group| group.batch_cpu()).sum();
         available.saturating_sub(self.autoscaler.warm_pool_cpu(&self.catalog, now))
     }
@@ -21,7 +21,7 @@
     pub(super) fn idle_time_limit(&self, machine: &Machine, now: Micros) -> Micros {
         let limit = self.inventory.group_of(machine).idle_keep();
         let requested_at = self.autoscaler.accelerators_requested_at();
-        if machine.kind.size.gpu > 0 && now.since(requested_at) < limit {
+        if machine.machine_type.size.gpu > 0 && now.since(requested_at) < limit {
             limit.plus(machine.image_worth())
         } else {
             limit
@@ -39,10 +39,10 @@
                 continue;
             }
             if self.is_in_warm_pool(machine) {
-                if spare < machine.kind.size.cpu {
+                if spare < machine.machine_type.size.cpu {
                     continue;
                 }
-                spare -= machine.kind.size.cpu;
+                spare -= machine.machine_type.size.cpu;
             }
             returned.push(machine.name.clone());
         }
@@ -77,6 +77,6 @@
         machine.is_up()
             && !machine.cordon.is_active()
             && !machine.spot
-            && !accelerators.is_contested(&machine.kind.size)
+            && !accelerators.is_contested(&machine.machine_type.size)
     }
 }
--- a/crates/saltpitch-core/src/scheduler/summary.rs
+++ b/crates/saltpitch-core/src/scheduler/summary.rs
@@ -45,12 +45,12 @@
         for machine in self.inventory.iter().filter(|machine| machine.is_up()) {
             usage.up += 1;
             usage.unschedulable += usize::from(!machine.takes_tasks());
-            let name = machine.kind.name.as_str();
+            let name = machine.machine_type.name.as_str();
             let of_type = usage.by_type.entry(name).or_default();
             of_type.name = name;
             of_type.machines += 1;
             of_type.used = of_type.used.plus(&machine.allocations.used());
-            of_type.all = of_type.all.plus(&machine.kind.size);
+            of_type.all = of_type.all.plus(&machine.machine_type.size);
         }
         usage
     }
--- a/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
@@ -55,7 +55,7 @@
         match machine.lifecycle.phase() {
             MachinePhase::Up => !machine.connectivity.is_reachable(),
             MachinePhase::Unregistered => {
-                let boot = machine.kind.boot.times(UP_AFTER_BOOTS);
+                let boot = machine.machine_type.boot.times(UP_AFTER_BOOTS);
                 let up_at = machine.lifecycle.created_at().plus(boot);
                 machine.lifecycle.is_recorded() && up_at < self.elected_at
             }
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -234,7 +234,7 @@
             });
         }
         self.scheduler
-            .rented(request, ScaleOutOutcome::Machines(names), self.now);
+            .scale_out_ended(request, ScaleOutOutcome::Machines(names), self.now);
     }
 
     pub fn submit(&mut self, id: &str, spec: JobSpec) {
@@ -291,7 +291,7 @@
                     Effect::ScaleIn { names } => {
                         self.returns.extend(names.iter().map(|n| n.to_string()));
                         if self.cloud_answers {
-                            self.scheduler.returned(&names, self.now);
+                            self.scheduler.scale_in_confirmed(&names, self.now);
                         }
                     }
                     _ => {}
--- a/crates/saltpitch-core/tests/limits.rs
+++ b/crates/saltpitch-core/tests/limits.rs
@@ -227,7 +227,9 @@
                         let (now, end) = (self.now, CommandOutcome::NotSent);
                         self.scheduler.command_ended(&sent, end, now);
                     }
-                    Effect::ScaleIn { names } => self.scheduler.returned(&names, self.now),
+                    Effect::ScaleIn { names } => {
+                        self.scheduler.scale_in_confirmed(&names, self.now)
+                    }
                     _ => {}
                 }
             }
--- a/crates/saltpitch-core/tests/scheduler.rs
+++ b/crates/saltpitch-core/tests/scheduler.rs
@@ -420,7 +420,7 @@
         elsewhere += starts(&d.heartbeat("vm-2", "east", i + 1, &[]));
     }
     assert!(elsewhere > 0, "its lease was over after 14 s");
-    d.scheduler.returned(&["vm-1".into()], d.now);
+    d.scheduler.scale_in_confirmed(&["vm-1".into()], d.now);
     assert!(d.scheduler.heartbeat(last, false, d.now).is_err());
     assert!(
         !d.scheduler.summary().contains("machines 2 "),
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -130,7 +130,7 @@
             };
             simulation.after(wait, move |simulation| {
                 simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
-                    scheduler.rented(&request.id, outcome, now)
+                    scheduler.scale_out_ended(&request.id, outcome, now)
                 });
             });
         });
@@ -148,7 +148,7 @@
                 }
             }
             simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
-                scheduler.returned(&names, now)
+                scheduler.scale_in_confirmed(&names, now)
             });
         });
     }
--- a/crates/saltpitch/src/effects.rs
+++ b/crates/saltpitch/src/effects.rs
@@ -207,7 +207,7 @@
     } = request;
     tracing::info!("scale out {count} {type_name} in {zone} spot {spot}: {outcome:?}");
     deliver(node, epoch, |scheduler, now| {
-        scheduler.rented(id, outcome, now);
+        scheduler.scale_out_ended(id, outcome, now);
     });
 }
 
@@ -216,7 +216,9 @@
         let returned = node.cloud.scale_in(batch).await;
         tracing::info!("scale in {batch:?}: {returned}");
         if returned {
-            deliver(node, epoch, |scheduler, now| scheduler.returned(batch, now));
+            deliver(node, epoch, |scheduler, now| {
+                scheduler.scale_in_confirmed(batch, now)
+            });
         }
     }
 }
