--- a/crates/saltpitch/tests/end_to_end/site/http.rs
+++ b/crates/saltpitch/tests/end_to_end/site/http.rs
@@ -3,6 +3,7 @@
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener as StdListener};
 use std::sync::atomic::{AtomicU16, Ordering};
+use std::sync::LazyLock;
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -19,8 +20,38 @@
 
 /// Ports below those that outgoing connections are given, so that none of these takes one meanwhile.
 const FIRST_PORT: u16 = 20_000;
-const PORTS: u16 = 12_000;
-static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
+/// The ports of one test process: enough for all tests of this binary.
+const BLOCK_PORTS: u16 = 600;
+const BLOCKS: u16 = 20;
+
+/// The block of ports that belongs to this process.
+///
+/// Tests of several checkouts may run at the same time. A port that was only probed could be taken by another
+/// process before the program under test listens on it, so a process keeps the first port of its block bound.
+struct PortBlock {
+    _claim: StdListener,
+    first: u16,
+    next: AtomicU16,
+}
+
+impl PortBlock {
+    /// Takes the first block that no other test process holds.
+    fn claim() -> PortBlock {
+        for block in 0..BLOCKS {
+            let first = FIRST_PORT + block * BLOCK_PORTS;
+            if let Ok(claim) = StdListener::bind((Ipv4Addr::LOCALHOST, first)) {
+                return PortBlock {
+                    _claim: claim,
+                    first,
+                    next: AtomicU16::new(1),
+                };
+            }
+        }
+        panic!("no free block of ports");
+    }
+}
+
+static PORT_BLOCK: LazyLock<PortBlock> = LazyLock::new(PortBlock::claim);
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often a call is repeated before a test fails, and the pause between two calls.
@@ -50,16 +81,14 @@
 
 /// An address that nobody listens on; each call gives another one.
 pub fn free_addr() -> SocketAddr {
-    let first = std::process::id() as u16;
-    for _ in 0..PORTS {
-        let next = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
-        let port = FIRST_PORT + first.wrapping_mul(97).wrapping_add(next) % PORTS;
-        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
+    loop {
+        let offset = PORT_BLOCK.next.fetch_add(1, Ordering::Relaxed);
+        assert!(offset < BLOCK_PORTS, "no free port");
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, PORT_BLOCK.first + offset));
         if StdListener::bind(address).is_ok() {
             return address;
         }
     }
-    panic!("no free port");
 }
 
 /// Starts a stand-in.
