--- /dev/null
+++ b/crates/saltpitch-testkit/src/cells/controller.rs
@@ -0,0 +1,182 @@
+//! The origin's side of a cell: each leading controller looks after its delegations, and their writes go to
+//! the cell's store.
+
+use rand::Rng;
+use saltpitch_cells::origin::{CellEffect, Delegator, RecordWrite};
+use saltpitch_core::job::JobState;
+use saltpitch_core::records::{job_key, RecordChange};
+use saltpitch_core::scheduler::{TransactionOutcome, Write};
+use saltpitch_core::Micros;
+use serde_json::value::RawValue;
+
+use super::{Cell, Cells, BEGIN, NAMES};
+
+/// The store refuses a transaction above its rate this soon.
+const REFUSAL_DELAY: Micros = Micros::from_millis(5);
+/// How long a controller waits for its store's answer.
+const STORE_TIMEOUT: Micros = Micros::from_millis(1_500);
+
+/// One controller's side of its cell's delegations, while it leads.
+pub(super) struct Leading {
+    epoch: u64,
+    pub(super) delegator: Delegator,
+}
+
+/// Who asked: the cell, its controller, and the epoch.
+#[derive(Clone, Copy)]
+pub(super) struct Requester {
+    pub(super) cell: usize,
+    pub(super) node: usize,
+    pub(super) epoch: u64,
+}
+
+/// What the network and the store make of a write.
+struct WriteFate {
+    applied_after: Micros,
+    answer_lost: bool,
+}
+
+impl Cell {
+    /// The delegator that asked, if its controller still runs and leads in the same epoch.
+    pub(super) fn leading(&mut self, requester: Requester) -> Option<&mut Leading> {
+        let node = &self.simulation.nodes[requester.node];
+        if node.epoch() != requester.epoch || !node.is_up(self.simulation.now) {
+            return None;
+        }
+        let leading = self.leading[requester.node].as_mut();
+        leading.filter(|leading| leading.epoch == requester.epoch)
+    }
+}
+
+impl Cells {
+    /// Lets a controller look after its delegations, if it leads.
+    pub(super) fn poll(&mut self, cell: usize, node: usize) {
+        let seed = self.random.random();
+        let Cell {
+            simulation,
+            settings,
+            leading,
+            ..
+        } = &mut self.cells[cell];
+        let (now, cancel) = (simulation.now, simulation.times.cancel);
+        let process = &mut simulation.nodes[node];
+        let stands_still = !process.is_up(now) || process.frozen(now) > Micros::ZERO;
+        if stands_still || !process.knows_delegations {
+            return;
+        }
+        let epoch = process.epoch();
+        let Some(mut access) = process.controller.delegation_access(now) else {
+            return;
+        };
+        let current = leading[node]
+            .take()
+            .filter(|leading| leading.epoch == epoch);
+        let leading = leading[node].insert(current.unwrap_or_else(|| Leading {
+            epoch,
+            delegator: Delegator::new(settings, cancel, seed),
+        }));
+        let effects = leading.delegator.poll(&mut access, now, now);
+        let notices = leading.delegator.take_notices();
+        let at = now.as_secs_f64() - BEGIN.as_secs_f64();
+        let lines = notices
+            .iter()
+            .map(|notice| format!("{at:.1} {}: {notice}", NAMES[cell]));
+        self.log.extend(lines);
+        let requester = Requester { cell, node, epoch };
+        for effect in effects {
+            match effect {
+                CellEffect::Write(write) => self.write(requester, write),
+                CellEffect::Call(call) => self.call(requester, call),
+            }
+        }
+    }
+
+    /// A transaction may be refused, carried out late, or lose its answer.
+    fn write(&mut self, requester: Requester, write: RecordWrite) {
+        let cell = &self.cells[requester.cell];
+        let reaches_store = cell.serves(requester.node);
+        let losses = cell.simulation.faults.losses;
+        if !reaches_store || (losses && self.random_below(20) == 0) {
+            return self.after(REFUSAL_DELAY, move |cells| {
+                cells.written(requester, &write, TransactionOutcome::Unavailable);
+            });
+        }
+        let fate = self.draw_write_fate(requester.cell);
+        if fate.answer_lost {
+            let write = write.clone();
+            self.after(STORE_TIMEOUT, move |cells| {
+                cells.written(requester, &write, TransactionOutcome::Unknown);
+            });
+        }
+        self.after(fate.applied_after, move |cells| {
+            let outcome = cells.cells[requester.cell].apply(&write);
+            if !fate.answer_lost {
+                cells.written(requester, &write, outcome);
+            }
+        });
+    }
+
+    /// Draws whether a write's answer is lost; such a write is applied up to nine seconds later.
+    fn draw_write_fate(&mut self, cell: usize) -> WriteFate {
+        let faults = self.cells[cell].simulation.faults;
+        let answer_lost = (faults.losses && self.random_below(10) == 0)
+            || (faults.late_writes && self.random_below(12) == 0);
+        let applied_after = if answer_lost {
+            Micros::from_millis(self.random_below(9_000))
+        } else {
+            Micros::from_millis(1 + self.random_below(30))
+        };
+        WriteFate {
+            applied_after,
+            answer_lost,
+        }
+    }
+
+    /// The controller takes in the outcome of its write.
+    fn written(&mut self, requester: Requester, write: &RecordWrite, outcome: TransactionOutcome) {
+        let Cell {
+            simulation,
+            leading,
+            ..
+        } = &mut self.cells[requester.cell];
+        let now = simulation.now;
+        let node = &mut simulation.nodes[requester.node];
+        if node.epoch() != requester.epoch || !node.is_up(now) {
+            return;
+        }
+        if let TransactionOutcome::Committed(revision) = outcome {
+            let text = serde_json::to_string(&write.record).unwrap_or_default();
+            let change = RecordChange {
+                key: job_key(&write.job),
+                value: RawValue::from_string(text).ok(),
+                revision,
+            };
+            node.wrote(&change, now);
+        }
+        let Some(scheduler) = node.scheduler_in(requester.epoch, now) else {
+            return;
+        };
+        let leading = leading[requester.node].as_mut();
+        if let Some(leading) = leading.filter(|leading| leading.epoch == requester.epoch) {
+            let delegator = &mut leading.delegator;
+            delegator.write_ended(&write.job, &outcome, scheduler, now);
+        }
+    }
+}
+
+impl Cell {
+    /// The store applies a write.
+    fn apply(&mut self, write: &RecordWrite) -> TransactionOutcome {
+        let change = Write {
+            key: job_key(&write.job),
+            value: serde_json::to_string(&write.record).ok(),
+        };
+        let store = &mut self.simulation.store;
+        let outcome = store.txn(&write.preconditions, &[change], None);
+        let cancels = write.record.state == JobState::Cancelled;
+        if cancels && matches!(outcome, TransactionOutcome::Committed(_)) {
+            self.simulation.note_cancelled(&write.job);
+        }
+        outcome
+    }
+}
--- a/crates/saltpitch-testkit/src/cells/host.rs
+++ b/crates/saltpitch-testkit/src/cells/host.rs
@@ -1,4 +1,4 @@
-//! The host's side of a simulated cell: it serves a neighbour as the program's listener does.
+//! The host's side of a simulated cell: it serves the peer cell as the program's listener does.
 
 use saltpitch_cells::host::{Admission, HostSite};
 use saltpitch_cells::link::{HostStatus, LinkAnswer, LinkRequest, Refusal, Submission};
@@ -20,7 +20,7 @@
         runs && node.controller.is_synced() && node.reaches_store(store, *now)
     }
 
-    /// Serves a neighbour's request as the program does; `None`: the connection is refused.
+    /// Serves a peer cell's request as the program does; `None`: the connection is refused.
     pub(super) fn serve(&mut self, node: usize, request: &LinkRequest) -> Option<LinkAnswer> {
         let up = self.simulation.nodes[node].is_up(self.simulation.now)
             && self.simulation.nodes[node].started;
@@ -35,9 +35,9 @@
         nodes[node].follow(store, now);
         let records = nodes[node].records();
         Some(match request {
-            LinkRequest::Up if self.door.has_room(records) => LinkAnswer::Ready,
+            LinkRequest::Up if self.admission.has_room(records) => LinkAnswer::Ready,
             LinkRequest::Up => refused(503, "no room", Some(Micros::from_secs(2))),
-            LinkRequest::Status { id } => status(self.door.status(records, id)),
+            LinkRequest::Status { id } => status(self.admission.status(records, id)),
             LinkRequest::Submit(submission) => self.submit(node, submission),
             LinkRequest::Abort { id, unless_begun } => self.abort(node, id, *unless_begun),
         })
@@ -53,7 +53,7 @@
             teams: &simulation.teams,
         };
         let (records, now) = (simulation.nodes[node].records(), simulation.now);
-        let admission = self.door.admit(records, submission, &site, now);
+        let admission = self.admission.admit(records, submission, &site, now);
         let record = match admission {
             Ok(Admission::Known(known)) => return LinkAnswer::Status(known),
             Err(error) => {
@@ -61,7 +61,7 @@
             }
             Ok(Admission::Create(record)) => record,
         };
-        let id = self.door.guest_id(&submission.id);
+        let id = self.admission.guest_id(&submission.id);
         if record.spec.is_some() {
             simulation.submit_record(&id, record);
         } else {
@@ -79,21 +79,21 @@
         nodes[node].follow(store, now);
         match submission.closing {
             true => LinkAnswer::Closed,
-            false => status(self.door.status(nodes[node].records(), &submission.id)),
+            false => status(self.admission.status(nodes[node].records(), &submission.id)),
         }
     }
 
     fn abort(&mut self, node: usize, sent: &str, unless_begun: bool) -> LinkAnswer {
-        let id = self.door.guest_id(sent);
+        let id = self.admission.guest_id(sent);
         let records = self.simulation.nodes[node].records();
-        if self.door.cancels(records, sent, unless_begun) {
+        if self.admission.cancels(records, sent, unless_begun) {
             self.simulation.cancel_by(node, &id);
         }
         let Simulation {
             nodes, store, now, ..
         } = &mut self.simulation;
         nodes[node].follow(store, *now);
-        status(self.door.status(nodes[node].records(), sent))
+        status(self.admission.status(nodes[node].records(), sent))
     }
 }
 
--- /dev/null
+++ b/crates/saltpitch-testkit/src/cells/link.rs
@@ -0,0 +1,135 @@
+//! The link between the cells and its faults: calls are refused, held back, slow, lose their answers, or
+//! arrive twice.
+
+use std::net::{Ipv4Addr, SocketAddr};
+
+use saltpitch_cells::link::{LinkAnswer, LinkRequest};
+use saltpitch_cells::origin::LinkCall;
+use saltpitch_core::Micros;
+
+use super::controller::Requester;
+use super::settings::FIRST_PORT;
+use super::{fingerprint, Cells};
+
+/// How long a controller waits for the answer to a call.
+const CALL_TIMEOUT: Micros = Micros::from_secs(2);
+
+/// What is wrong with the link from one cell to the other.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum LinkState {
+    /// Nothing.
+    #[default]
+    Works,
+    /// Connections are refused.
+    Refuses,
+    /// What is sent is held and delivered when the link works again.
+    Holds,
+    /// Requests arrive, answers don't.
+    LosesAnswers,
+    /// Answers take up to several seconds.
+    IsSlow,
+    /// Says that connections are refused and delivers later nevertheless, which no network does: for tests
+    /// of the invariants.
+    Lies,
+}
+
+impl Cells {
+    /// Sets the state of the link from one cell to the other. What was held is delivered when it works.
+    pub fn set_link(&mut self, cell: usize, state: LinkState) {
+        self.cells[cell].link = state;
+        if matches!(state, LinkState::Works | LinkState::IsSlow) {
+            let held = std::mem::take(&mut self.held);
+            let (own, others) = held.into_iter().partition(|(from, _)| *from == cell);
+            self.held = others;
+            for (_, event) in own {
+                let wait = Micros::from_millis(self.random_below(500));
+                self.after(wait, event);
+            }
+        }
+    }
+
+    /// A controller calls a listener of the other cell.
+    pub(super) fn call(&mut self, requester: Requester, call: LinkCall) {
+        self.calls += 1;
+        let at = self.now;
+        self.trace.event("call", at).number(requester.cell as u64);
+        fingerprint::trace_request(&mut self.trace, &call.request);
+        let host = 1 - requester.cell;
+        let first_address = SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT[host]));
+        let node = usize::from(call.address.port() - first_address.port());
+        let state = self.cells[requester.cell].link;
+        let delay = Micros::from_millis(2 + self.random_below(40));
+        match state {
+            LinkState::Refuses => self.after(delay, move |cells| {
+                cells.answered(requester, call.id, LinkAnswer::NotSent);
+            }),
+            LinkState::Holds => self.hold_call(requester, node, call, LinkAnswer::NoAnswer),
+            LinkState::Lies => self.hold_call(requester, node, call, LinkAnswer::NotSent),
+            LinkState::Works | LinkState::LosesAnswers | LinkState::IsSlow => {
+                self.after(delay, move |cells| {
+                    cells.call_arrives(requester, node, call)
+                });
+            }
+        }
+    }
+
+    /// Holds a call back until the link works; its controller is given this answer meanwhile.
+    fn hold_call(&mut self, requester: Requester, node: usize, call: LinkCall, answer: LinkAnswer) {
+        let (host, id) = (1 - requester.cell, call.id);
+        let arrives = move |cells: &mut Cells| {
+            cells.cells[host].serve(node, &call.request);
+        };
+        self.held.push((requester.cell, Box::new(arrives)));
+        self.after(CALL_TIMEOUT, move |cells| {
+            cells.answered(requester, id, answer)
+        });
+    }
+
+    fn call_arrives(&mut self, requester: Requester, node: usize, call: LinkCall) {
+        let (host, id) = (1 - requester.cell, call.id);
+        let answer = self.cells[host].serve(node, &call.request);
+        if answer.is_some() {
+            self.copy_later(requester.cell, node, call.request);
+        }
+        let answer = answer.unwrap_or(LinkAnswer::NotSent);
+        let wait = match self.cells[requester.cell].link {
+            LinkState::Works => Micros::from_millis(2 + self.random_below(40)),
+            LinkState::IsSlow => Micros::from_millis(self.random_below(5_000)),
+            _ => CALL_TIMEOUT,
+        };
+        let in_time = wait < CALL_TIMEOUT || answer == LinkAnswer::NotSent;
+        let answer = if in_time {
+            answer
+        } else {
+            LinkAnswer::NoAnswer
+        };
+        self.after(wait.min(CALL_TIMEOUT), move |cells| {
+            cells.answered(requester, id, answer);
+        });
+    }
+
+    /// A copy of a request that has arrived may arrive again. Of one whose connection was refused there is
+    /// none.
+    fn copy_later(&mut self, origin: usize, node: usize, request: LinkRequest) {
+        let copies = self.cells[origin].copies;
+        if copies == 0 || self.random_below(copies) > 0 {
+            return;
+        }
+        let late = Micros::from_millis(500 + self.random_below(60_000));
+        self.after(late, move |cells| {
+            cells.cells[1 - origin].serve(node, &request);
+        });
+    }
+
+    /// The controller that called takes in the answer.
+    fn answered(&mut self, requester: Requester, id: u64, answer: LinkAnswer) {
+        let at = self.now;
+        self.trace.event("answer", at).number(requester.cell as u64);
+        fingerprint::trace_answer(&mut self.trace, &answer);
+        let cell = &mut self.cells[requester.cell];
+        let now = cell.simulation.now;
+        if let Some(leading) = cell.leading(requester) {
+            leading.delegator.call_ended(id, answer, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/saltpitch-testkit/src/cells/settings.rs
@@ -0,0 +1,48 @@
+//! The cells' settings files.
+
+use super::{GUESTS, NAMES};
+use crate::nodes::SITE;
+
+/// The ports of the listeners begin with these.
+pub(super) const FIRST_PORT: [u16; 2] = [9_100, 9_200];
+
+/// The listeners' address of one controller, as the file writes it.
+fn address(cell: usize, node: usize) -> String {
+    let port = FIRST_PORT[cell] + node as u16;
+    format!("\"127.0.0.1:{port}\"")
+}
+
+/// A cell's file: each cell delegates jobs to the other one and hosts the other one's.
+pub(super) fn file(cell: usize) -> String {
+    let other = 1 - cell;
+    let addresses: Vec<String> = (0..SITE.len()).map(|node| address(other, node)).collect();
+    let listen: Vec<String> = (0..SITE.len())
+        .map(|node| format!("{} = {}", SITE[node].0, address(cell, node)))
+        .collect();
+    format!(
+        r#"cell = "{}"
+[[neighbour]]
+name = "{}"
+[neighbour.lend]
+addresses = [{}]
+cancel_s = 44.0
+machine_types = ["plain", "accel"]
+after_s = 10.0
+min_run_s = 2.0
+recall_after_s = 15.0
+max_jobs = 8
+max_tasks = 80
+[neighbour.guests]
+team = "{GUESTS}"
+max_jobs = 8
+max_tasks = 80
+max_waiting = 3
+[neighbour.guests.listen]
+{}
+"#,
+        NAMES[cell],
+        NAMES[other],
+        addresses.join(", "),
+        listen.join("\n")
+    )
+}
