--- a/crates/saltpitch-testkit/src/agents.rs
+++ b/crates/saltpitch-testkit/src/agents.rs
@@ -8,62 +8,87 @@
 
 use crate::simulation::Times;
 
+/// A job's id and the number of the task in it.
 pub type TaskId = (String, u32);
 
+/// A task that an agent has, running or ended.
 #[derive(Clone, Debug)]
 pub struct Held {
+    /// The attempt of the task.
     pub attempt: u32,
+    /// Its state, as heartbeats report it.
     pub state: TaskState,
     /// When the present phase ends by itself.
     pub until: Micros,
+    /// How long it runs once it has started.
     pub run: Micros,
 }
 
 impl Held {
+    /// Whether it has ended.
     pub fn exited(&self) -> bool {
         matches!(self.state, TaskState::Exited { .. })
     }
 
-    /// On the machine in the sense of the rules: it has its image and has not exited.
+    /// On the machine in the sense of the invariants: it has its image and has not exited.
     pub fn on(&self) -> bool {
         !self.exited() && self.state != TaskState::Fetching
     }
 }
 
+/// One machine, its agent, and what is wrong with it.
 pub struct Agent {
+    /// Its name.
     pub name: String,
+    /// Its machine type.
     pub type_name: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether the cloud may take it back.
     pub spot: bool,
+    /// The resources that it has.
     pub size: saltpitch_core::catalog::Resources,
     /// Its tasks take three times as long.
     pub slow: bool,
+    /// When it is up.
     pub boots_at: Micros,
+    /// It was returned, was taken back, or has failed for good.
     pub gone: bool,
+    /// It stands still until then.
     pub hung_until: Micros,
     /// Until then its heartbeats go out, and nothing reaches it.
     pub inbound_cut_until: Micros,
     /// Until then it opens no connection to any controller, while direct commands reach it.
     pub outbound_cut_until: Micros,
+    /// Counts the agent's starts and lease expiries.
     pub agent_epoch: u64,
+    /// The sequence number of its newest heartbeat in this epoch.
     pub sequence: u64,
+    /// The highest fencing token that it has seen.
     pub fencing_token: u64,
+    /// Its lease counts from then: when the newest answered heartbeat was sent.
     pub lease_from: Micros,
+    /// The time that the cloud leaves it, once it is to be taken back.
     pub notice: Option<Micros>,
+    /// Its tasks by id and attempt.
     pub tasks: BTreeMap<(TaskId, u32), Held>,
     /// The node that it heartbeats to.
     pub target: usize,
+    /// When its next heartbeat is due.
     pub next_report: Micros,
     /// The heartbeat in flight: its sequence number and when it was sent.
     pub waiting: Option<(u64, Micros)>,
+    /// Something has changed since the last heartbeat.
     pub changed: bool,
 }
 
 impl Agent {
+    /// Whether it runs now.
     pub fn is_up(&self, now: Micros) -> bool {
         !self.gone && now >= self.boots_at && now >= self.hung_until
     }
 
+    /// The next heartbeat, with a sequence number of its own.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         self.copy()
@@ -119,6 +144,7 @@
             })
     }
 
+    /// Executes commands: starts, stops and forgets tasks.
     pub fn execute(
         &mut self,
         commands: &[Command],
--- a/crates/saltpitch-testkit/src/lib.rs
+++ b/crates/saltpitch-testkit/src/lib.rs
@@ -1,8 +1,57 @@
-//! Seeded stand-ins for everything that the service meets: the state service, the cloud, agents,
-//! users and the network between them. Time is virtual; one seed gives one history.
+//! Deterministic simulation of a whole site: a state service, a cloud, agents, users and the network between
+//! them, around the controllers' own code. Time is virtual; one seed gives one history.
 //!
-//! The stand-ins are written from the published protocol alone. [`Simulation::step`] plays one moment
-//! and checks every rule after it.
+//! The stand-ins are written from the published protocol alone. [`Simulation::step`] plays one moment and checks
+//! every invariant after it; [`cells::Cells`] plays two sites and the link between them on one clock.
+//!
+//! # Writing a history
+//!
+//! Submit jobs, play on, force faults at the moment that matters, and say what must hold in the end. The
+//! invariants are checked in between:
+//!
+//! ```
+//! use saltpitch_core::Micros;
+//! use saltpitch_testkit::{Faults, Simulation};
+//!
+//! let mut simulation = Simulation::new(1, Faults::default(), Micros::ZERO);
+//! simulation.run(Micros::from_secs(10))?;
+//! let spec = simulation.draw_job();
+//! assert!(simulation.submit("job-0010", spec));
+//! let leader = simulation.leader().expect("a leader is elected within ten seconds");
+//! simulation.crash_for(leader, Micros::from_secs(3));
+//! simulation.run(Micros::from_secs(60))?;
+//! assert!(simulation.leader().is_some());
+//! # Ok::<(), saltpitch_testkit::invariants::InvariantViolation>(())
+//! ```
+//!
+//! [`histories`] has the histories in which everything is drawn from the seed.
+//!
+//! # Replaying a seed
+//!
+//! A test that fails names its seed and the time. The same call with the same seed and [`Faults`] gives the same
+//! history up to that time: run it to just before the violation, then call [`Simulation::step`] and look at
+//! the public fields. [`InvariantViolation`](invariants::InvariantViolation) names the invariant, the job and the
+//! machine.
+//!
+//! # Adding a fault
+//!
+//! Add a field to [`Faults`] and a method to `simulation/fault_injection.rs`, called after all others. A fault
+//! must draw nothing while it is switched off, so that the histories of existing seeds stay as they are; histories
+//! with [`Faults::all`] change, and so do their fingerprints.
+//!
+//! # Adding an invariant
+//!
+//! Add a variant to [`Invariant`](invariants::Invariant) and a check to `invariants.rs`, or to `cells/history.rs` if
+//! it concerns two cells. An invariant is checked against the agents, the users and the store, never against what
+//! a controller believes. Show with a test that it is reported when it is broken.
+//!
+//! # Comparing fingerprints
+//!
+//! [`Simulation::fingerprint`] is a hash over everything that the controllers did and answered. A change of the
+//! code that leaves its behaviour alone leaves all fingerprints alone: run `examples/trace_hashes.rs` before and
+//! after it, and compare the output. See [`trace`] for what is recorded.
+
+#![warn(missing_docs)]
 
 pub mod agents;
 pub mod cells;
--- a/crates/saltpitch-testkit/src/simulation/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -31,21 +31,32 @@
 /// The times that the protocol's settings give.
 #[derive(Clone, Debug)]
 pub struct Times {
+    /// How often an agent sends a heartbeat.
     pub heartbeat_interval: Micros,
+    /// How long an agent keeps its tasks without an answer.
     pub lease: Micros,
+    /// How long a gang's member waits for the others to be ready.
     pub gang_wait: Micros,
+    /// How long a running member goes on without the others.
     pub gang_peer: Micros,
+    /// How long after a cancellation a task may still run.
     pub cancel: Micros,
 }
 
-/// Which troubles a history may have; each is drawn from the seed.
+/// Which faults a history may have; each is drawn from the seed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
+    /// Controllers whose processes end, one or all of them.
     pub crashes: bool,
+    /// Controllers that are cut from the store or from the agents.
     pub cuts: bool,
+    /// Zones that can't reach each other.
     pub zone_cuts: bool,
+    /// A store that serves nobody.
     pub outages: bool,
+    /// Machines that disappear, hang, come up late or never, are slow, or are taken back.
     pub machines: bool,
+    /// Messages whose answers are lost, and transactions that are refused.
     pub losses: bool,
     /// Machines whose heartbeats arrive while answers and commands don't reach them.
     pub inbound_partition: bool,
@@ -64,6 +75,7 @@
         self.crashes || self.cuts || self.zone_cuts || self.outages || self.freezes
     }
 
+    /// Every kind of fault.
     pub fn all() -> Faults {
         Faults {
             crashes: true,
@@ -81,22 +93,27 @@
     }
 }
 
+/// A job as its user knows it.
 pub struct UserJob {
+    /// What was submitted.
     pub spec: JobSpec,
+    /// The store has confirmed the submission.
     pub accepted: bool,
+    /// When its cancellation was confirmed.
     pub cancelled_at: Option<Micros>,
+    /// When it was first submitted.
     pub submitted_at: Micros,
-    /// When all of it first ran that runs at a time (of an array: any of it).
+    /// When all of its tasks first ran at the same time (of an array: any task).
     pub begun_at: Option<Micros>,
     /// When each node last could answer a question about it.
     pub answered: Vec<Micros>,
-    /// When its user was told that a job it needs, directly or through others, is cancelled.
+    /// When a job that it depends on, directly or through others, was cancelled.
     pub withdrawn_at: Option<Micros>,
     /// Submitted with a mistake: it fails on every machine until its user cancels it.
     pub mistaken: bool,
     /// Another cell may own it.
     pub elsewhere: bool,
-    /// Since when, in calm, it waits whole although a machine that fits has room and its team
+    /// Since when, in calm, nothing of it runs although a machine that fits has room and its team
     /// is under its limit.
     pub waits_since: Option<Micros>,
 }
@@ -127,16 +144,25 @@
     }
 }
 
+/// A site in virtual time: controllers, store, cloud, agents, users, and the network between them.
 pub struct Simulation {
+    /// The present time. Histories begin at 60 s.
     pub now: Micros,
+    /// The times that the settings give.
     pub times: Times,
+    /// The teams and their limits.
     pub teams: Vec<TeamLimits>,
+    /// The state service.
     pub store: Store,
+    /// The controllers.
     pub nodes: Vec<Node>,
+    /// The machines by name, those that are gone included.
     pub agents: BTreeMap<String, Agent>,
+    /// The jobs by id, as their users know them.
     pub jobs: BTreeMap<String, UserJob>,
     /// Tasks whose result is kept.
     pub done: BTreeMap<String, BTreeSet<u32>>,
+    /// The faults that occur until the history's quiet part.
     pub faults: Faults,
     /// The two zones can't reach each other until then.
     pub apart_until: Micros,
@@ -243,7 +269,7 @@
 }
 
 impl Simulation {
-    /// A site with three nodes and no machines. From `quiet_from` on no new trouble begins.
+    /// A site with three nodes and no machines. From `quiet_from` on no new fault begins.
     pub fn new(seed: u64, faults: Faults, quiet_from: Micros) -> Simulation {
         let times = site_times();
         let teams = vec![team_limits("red"), team_limits("blue")];
@@ -285,10 +311,12 @@
         }
     }
 
+    /// The machine types that the cloud offers.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
+    /// A number below `n`, drawn from the seed.
     pub fn random_below(&mut self, n: u64) -> u64 {
         self.rng.random_range(0..n.max(1))
     }
@@ -380,6 +408,7 @@
         trace.hash()
     }
 
+    /// Ends all faults that are drawn, and a store's outage.
     pub fn heal(&mut self) {
         self.faults = Faults::default();
         self.store.down = false;
--- a/crates/saltpitch-testkit/src/store.rs
+++ b/crates/saltpitch-testkit/src/store.rs
@@ -7,21 +7,29 @@
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
+/// The value of a key.
 #[derive(Clone)]
 pub struct Entry {
+    /// The value.
     pub value: String,
+    /// The revision of its last change.
     pub rev: u64,
+    /// The lease that it ends with, if any.
     pub lease: Option<u64>,
 }
 
+/// Keys with revisions, and the leases that some are bound to.
 #[derive(Default)]
 pub struct Store {
+    /// The revision of the last change.
     pub rev: u64,
+    /// The keys that exist.
     pub keys: BTreeMap<String, Entry>,
-    /// (revision, key, value or deletion)
+    /// All changes in order: revision, key, and the new value or `None` for a deletion.
     pub log: Vec<(u64, String, Option<String>)>,
     leases: BTreeMap<u64, (Micros, Micros)>,
     next_lease: u64,
+    /// It serves nobody.
     pub down: bool,
     /// The most bytes of a value and writes of a transaction, and changes a second, once the store has
     /// its next limits.
@@ -115,6 +123,7 @@
         TransactionOutcome::Committed(rev)
     }
 
+    /// Grants a lease of this length; `None`: it does not serve.
     pub fn grant_lease(&mut self, ttl: Micros, now: Micros) -> Option<u64> {
         if self.down {
             return None;
@@ -124,7 +133,7 @@
         Some(self.next_lease)
     }
 
-    /// Some(true): renewed; Some(false): gone; None: no answer.
+    /// Renews a lease. `Some(false)`: it has expired; `None`: no answer.
     pub fn keep_alive(&mut self, lease: u64, now: Micros) -> Option<bool> {
         if self.down {
             return None;
@@ -158,6 +167,7 @@
         }
     }
 
+    /// Ends a lease and deletes the keys that are bound to it.
     pub fn revoke_lease(&mut self, id: u64) {
         if self.leases.remove(&id).is_none() {
             return;
