--- a/crates/saltpitch-testkit/tests/cells.rs
+++ b/crates/saltpitch-testkit/tests/cells.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn work_that_cannot_begin_at_home_runs_at_the_host() {
+fn jobs_that_cannot_begin_at_the_origin_run_at_the_host() {
     let mut cells = full_home(1);
     submit(&mut cells, "job-0010", 4, 8);
     until(&mut cells, 60, |c| {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn services_and_bound_jobs_stay() {
+fn services_and_bound_jobs_are_not_delegated() {
     let mut cells = full_home(2);
     let service = JobSpec {
         kind: JobKind::Service,
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn both_cells_go_on_while_the_link_is_cut_and_every_job_completes_once() {
+fn a_partitioned_link_stops_neither_cell_and_every_job_completes_once() {
     for (seed, state) in [
         (3, LinkState::Refuses),
         (4, LinkState::Holds),
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn what_does_not_run_comes_back_when_home_has_room() {
+fn delegated_jobs_that_wait_are_reclaimed_when_the_origin_has_capacity() {
     let mut cells = full_home(7);
     // The host's own work takes all of its room right after it said that it had some.
     submit(&mut cells, "job-0010", 2, 10);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_service_of_the_host_takes_a_guests_room_at_once() {
+fn a_service_of_the_host_preempts_a_delegated_job_at_once() {
     let mut cells = full_home(9);
     for i in 0..4 {
         submit(&mut cells, &format!("job-01{i}0"), 1, 300);
@@ -232,7 +232,7 @@
 /// Found by a heartbeat on two cells under load: own work that had just begun counted as less of a loss than a
 /// guest that had run for long.
 #[test]
-fn a_guest_makes_way_before_any_own_work() {
+fn a_delegated_job_is_preempted_before_the_hosts_own_jobs() {
     let mut cells = full_home(16);
     for i in 0..3 {
         submit(&mut cells, &format!("job-01{i}0"), 1, 300);
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn nothing_is_lent_while_one_controller_does_not_know_delegations() {
+fn nothing_is_delegated_while_one_controller_does_not_know_delegations() {
     let mut cells = Cells::new(10, Faults::default(), Micros::ZERO);
     cells.cells[HOME].simulation.nodes[2].knows_delegations = false;
     cells.cells[HOME].simulation.machine_limit = 0;
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn lent_work_rents_nothing_at_the_host() {
+fn delegated_jobs_cause_no_scale_out_at_the_host() {
     let mut cells = Cells::new(11, Faults::default(), Micros::ZERO);
     cells.cells[HOME].simulation.machine_limit = 0;
     submit(&mut cells, "job-0010", 2, 30);
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn a_neighbour_that_stops_listening_keeps_what_it_has_and_gets_no_more() {
+fn a_peer_cell_that_stops_listening_keeps_its_jobs_and_gets_no_more() {
     let mut cells = full_home(12);
     submit(&mut cells, "job-0010", 2, 20);
     until(&mut cells, 60, |c| {
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_host_that_has_lost_its_records_is_not_sent_the_job_again() {
+fn a_host_without_its_records_is_not_sent_the_job_again() {
     let mut cells = full_home(13);
     submit(&mut cells, "job-0010", 1, 300);
     until(&mut cells, 60, |c| {
@@ -374,7 +374,7 @@
 /// The checker sees a job that two cells own: here because home believes that the host's machines drop
 /// tasks sooner than they do.
 #[test]
-fn the_checker_sees_a_job_that_is_taken_back_too_early() {
+fn a_job_reclaimed_too_early_is_reported_as_owned_twice() {
     let mut cells = Cells::new(14, Faults::default(), Micros::ZERO);
     if let Some(lend) = &mut cells.cells[HOME].settings.neighbour[0].lend {
         lend.cancel_s = 0.1;
@@ -407,7 +407,7 @@
 
 /// And one that a submission reaches which home was told had never left.
 #[test]
-fn the_checker_sees_a_submission_that_arrives_after_its_end() {
+fn a_submission_that_arrives_after_its_end_is_reported_as_owned_twice() {
     let mut cells = full_home(15);
     submit(&mut cells, "job-0010", 1, 20);
     until(&mut cells, 60, |c| delegation(c, "job-0010").is_some());
@@ -437,12 +437,12 @@
 }
 
 #[test]
-fn links_fail_at_random() {
+fn random_link_faults_break_no_invariant() {
     histories(0..6, Faults::default());
 }
 
 #[test]
-fn links_and_controllers_fail_at_random() {
+fn random_link_and_controller_faults_break_no_invariant() {
     let faults = Faults {
         crashes: true,
         cuts: true,
@@ -453,6 +453,6 @@
 }
 
 #[test]
-fn everything_fails_at_random() {
+fn all_faults_in_two_cells_break_no_invariant() {
     histories(200..206, Faults::all());
 }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
@@ -7,7 +7,7 @@
 use crate::common::{all_over, at_work, other, plain, run, secs};
 
 #[test]
-fn cancelled_elsewhere_while_the_leader_alone_is_refused_then_an_outage() {
+fn cancellation_by_a_follower_holds_when_the_leader_loses_the_store_before_an_outage() {
     for seed in 10..16 {
         let (mut w, ids, leader) = at_work(seed, 4);
         w.nodes[leader].no_store_until = w.now.plus(secs(14));
@@ -29,7 +29,7 @@
 
 /// The leader has its agents and nobody else; another takes over and users cancel through that one.
 #[test]
-fn a_leader_without_store_and_peers_while_jobs_are_cancelled_through_the_new_one() {
+fn cancellation_by_a_new_leader_holds_while_the_old_one_has_only_its_agents() {
     for seed in 150..158 {
         let (mut w, ids, old) = at_work(seed, 4);
         let until = w.now.plus(secs(90));
@@ -53,7 +53,7 @@
 
 /// Cancelled at the very moment at which the store refuses the leader; a second later it is out.
 #[test]
-fn cancelled_when_the_store_refuses_the_leader_and_a_second_later_all() {
+fn cancellation_holds_when_the_store_refuses_the_leader_and_then_all() {
     for seed in 250..258 {
         let (mut w, ids, leader) = at_work(seed, 4);
         w.nodes[leader].no_store_until = w.now.plus(secs(14));
@@ -80,7 +80,7 @@
 
 /// A cancellation, a question or a repeated submission meets the end of a job's last task.
 #[test]
-fn users_meet_the_end_of_the_last_task() {
+fn cancellation_at_the_end_of_the_last_task_has_one_outcome() {
     for seed in 280..300 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
--- a/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
@@ -6,7 +6,7 @@
 
 /// An outage common to all costs no task its lease, however long it lasts.
 #[test]
-fn an_outage_common_to_all_is_survived() {
+fn a_store_outage_common_to_all_expires_no_lease() {
     for seed in 20..24 {
         let (mut w, ids, leader) = at_work(seed, 4);
         w.store.down = true;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn leaders_change_ten_times_in_two_minutes_also_inside_an_outage() {
+fn ten_failovers_in_two_minutes_with_an_outage_break_no_invariant() {
     for seed in 100..106 {
         let (mut w, _, _) = at_work(seed, 2);
         for round in 0..10 {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn handed_over_and_back_then_all_end_and_one_returns_within_a_second() {
+fn failover_and_back_then_a_restart_of_all_breaks_no_invariant() {
     for seed in 110..116 {
         let (mut w, _, first) = at_work(seed, 2);
         disturb(&mut w, seed, 0);
@@ -66,7 +66,7 @@
 
 /// A job is done when its last task is, whoever leads by then.
 #[test]
-fn tasks_of_a_small_job_end_far_apart_across_a_change_of_leader() {
+fn a_job_whose_tasks_end_across_a_failover_is_done() {
     for seed in 190..198 {
         let (mut w, ids, leader) = at_work(seed, 4);
         // The first tasks end now, the second ones half a minute later.
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
+fn all_controllers_down_for_longer_than_a_lease_break_no_invariant() {
     for seed in 310..318 {
         let (mut w, ids, _) = at_work(seed, 4);
         w.cancel(&ids[0]);
@@ -111,7 +111,7 @@
 /// and leads again. That nobody led in between proves nothing of the first: what runs in its zone counts
 /// until that one can have answered nobody any more.
 #[test]
-fn two_quick_successions_while_the_first_leader_still_answers() {
+fn two_failovers_while_the_first_leader_still_answers_break_no_invariant() {
     let mut played = 0;
     for seed in 340..376 {
         let (mut w, _, first) = at_work(seed, 4);
--- a/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
@@ -10,7 +10,7 @@
 /// counts until it is proven gone, so nothing more of the team starts, and a cancellation that falls
 /// into that spell frees nothing before its tasks are gone.
 #[test]
-fn a_team_at_its_limit_when_the_leader_changes_and_machines_cannot_be_asked() {
+fn quota_holds_when_a_new_leader_cannot_reach_machines() {
     for seed in 120..128 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
@@ -51,7 +51,7 @@
 /// Agents that open no connection to any controller while direct commands reach them: their tasks
 /// end with their leases, so the work goes on elsewhere and nothing new goes there.
 #[test]
-fn mute_machines_lose_their_leases_and_nothing_new_goes_there() {
+fn outbound_partitioned_machines_lose_their_leases_and_get_no_tasks() {
     for seed in 130..138 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
@@ -90,7 +90,7 @@
 /// A zone with agents and a controller is cut off for longer than a lease, with the leader inside it
 /// or outside: nothing runs twice and nothing is returned in panic.
 #[test]
-fn a_zone_with_a_controller_is_cut_off_for_longer_than_a_lease() {
+fn a_zone_partition_longer_than_a_lease_breaks_no_invariant() {
     for seed in 200..208 {
         let (mut w, ids, _) = at_work(seed, 4);
         let until = w.now.plus(secs(40));
@@ -112,7 +112,7 @@
 
 /// Jobs bound to one zone, by name or all together, lose machines: what is started again stays there.
 #[test]
-fn jobs_bound_to_one_zone_lose_machines() {
+fn jobs_bound_to_one_zone_restart_there_after_machine_loss() {
     for seed in 210..218 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
@@ -151,7 +151,7 @@
 /// More work than room, urgent and not, over links that take a second: everything is served in the
 /// end, and the largest begin in time.
 #[test]
-fn more_work_than_room_over_slow_links() {
+fn overload_over_slow_links_serves_every_group() {
     for seed in 220..223 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
@@ -184,7 +184,7 @@
 
 /// The leader ends while machines with long tasks can't be reached, or don't hear the new one.
 #[test]
-fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached() {
+fn failover_while_busy_machines_are_unreachable_breaks_no_invariant() {
     for seed in 230..240 {
         let (mut w, ids, leader) = at_work(seed, 5);
         let until = w.now.plus(secs(8 + (seed % 5) * 12));
@@ -210,7 +210,7 @@
 /// Once calm, no job waits beside room that fits. Both of these did: the checker found them in histories
 /// with all troubles.
 #[test]
-fn nobody_waits_beside_room_that_fits() {
+fn no_job_waits_while_machines_have_room() {
     for seed in 330..336 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
--- a/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
@@ -7,7 +7,7 @@
 use crate::common::{all_over, at_work, disturb, plain, run, secs};
 
 #[test]
-fn writes_carried_out_late_after_newer_ones_of_the_same_leader() {
+fn late_writes_after_newer_ones_of_the_same_leader_break_no_invariant() {
     for seed in 140..148 {
         let (mut w, ids, leader) = at_work(seed, 3);
         w.late_writes_until = w.now.plus(secs(40));
@@ -29,7 +29,7 @@
 /// The same, and the leader ends some time after: what the late ones did to the records is what the next
 /// one goes by.
 #[test]
-fn a_leader_ends_after_its_writes_came_late() {
+fn failover_after_late_writes_breaks_no_invariant() {
     for seed in 400..424 {
         let (mut w, _, leader) = at_work(seed, 2);
         w.late_writes_until = w.now.plus(secs(5));
@@ -48,7 +48,7 @@
 
 /// A heartbeat from an earlier epoch, and one of an earlier attempt, come after newer ones.
 #[test]
-fn old_reports_arrive_after_newer_ones() {
+fn old_heartbeats_after_newer_ones_change_nothing() {
     for seed in 160..168 {
         let (mut w, ids, leader) = at_work(seed, 3);
         let name = (w.agents.values())
@@ -73,7 +73,7 @@
 
 /// Starts, stops and their answers are held up while the machine hangs; then it goes on.
 #[test]
-fn commands_held_up_while_a_machine_hangs_and_then_goes_on() {
+fn commands_delayed_by_a_hanging_machine_break_no_invariant() {
     for seed in 170..178 {
         let (mut w, ids, _) = at_work(seed, 3);
         let busy: Vec<String> = w.agents.keys().take(3).cloned().collect();
@@ -97,7 +97,7 @@
 /// Direct commands that stay without an answer and are carried out up to twenty seconds later, starts of
 /// jobs that are cancelled meanwhile among them.
 #[test]
-fn direct_orders_are_carried_out_long_after_they_were_given_up() {
+fn commands_executed_after_their_timeout_break_no_invariant() {
     for seed in 430..446 {
         let losses = Faults {
             losses: true,
@@ -132,7 +132,7 @@
 
 /// The store answers slowly, then refuses the leader alone, then all, while users cancel and ask.
 #[test]
-fn the_store_is_slow_then_refuses_the_leader_then_everybody() {
+fn cancellations_while_the_store_is_slow_then_refuses_the_leader_then_all_hold() {
     for seed in 180..188 {
         let (mut w, ids, leader) = at_work(seed, 5);
         w.late_writes_until = w.now.plus(secs(6));
@@ -155,7 +155,7 @@
 
 /// A heartbeat is held back until a new leader has acted on what it knows, and then arrives there.
 #[test]
-fn a_report_is_held_back_until_a_new_leader_has_acted() {
+fn heartbeats_delivered_after_a_failover_break_no_invariant() {
     for seed in 260..270 {
         let (mut w, ids, leader) = at_work(seed, 4);
         let held: Vec<_> = w.agents.values().map(|m| m.copy()).collect();
--- a/crates/saltpitch-testkit/tests/dependencies.rs
+++ b/crates/saltpitch-testkit/tests/dependencies.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn each_stage_starts_when_all_that_it_needs_are_done() {
+fn a_job_starts_when_all_its_dependencies_are_done() {
     for seed in 0..8 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
@@ -77,7 +77,7 @@
 /// Whatever needs a cancelled job is withdrawn with it, whoever leads and when, and so is what comes
 /// later and names one of them.
 #[test]
-fn a_cancellation_withdraws_all_that_needs_the_job() {
+fn a_cancellation_cancels_all_dependents() {
     for seed in 20..32 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
@@ -123,7 +123,7 @@
 
 /// A waiting job holds nothing of its team's limit or guarantee, and no machine is rented for it.
 #[test]
-fn a_waiting_job_holds_nothing() {
+fn a_job_with_open_dependencies_uses_no_quota_and_no_machine() {
     for seed in 40..44 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
@@ -176,7 +176,7 @@
 /// The last job's priority and deadline serve the jobs before it: under steady overload of work that is
 /// more urgent than they are by themselves, the chain comes through.
 #[test]
-fn the_last_jobs_priority_serves_the_whole_chain() {
+fn dependencies_inherit_the_last_jobs_priority() {
     for seed in 60..64 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
--- /dev/null
+++ b/crates/saltpitch-testkit/tests/invariant_violations.rs
@@ -0,0 +1,86 @@
+//! Broken invariants are reported with their name, job, machine and time.
+
+use saltpitch_core::job::JobKind;
+use saltpitch_core::Micros;
+use saltpitch_testkit::invariants::{Invariant, InvariantViolation};
+use saltpitch_testkit::{Faults, Simulation};
+
+const JOB: &str = "job-000001";
+
+/// A site on which two services of one task run, and the name of the first one's machine.
+fn site_with_a_service() -> (Simulation, String) {
+    let mut simulation = Simulation::new(1, Faults::default(), Micros::ZERO);
+    simulation.run(Micros::from_secs(5)).expect("a quiet start");
+    let mut spec = simulation.draw_job();
+    (spec.kind, spec.tasks) = (JobKind::Service, 1);
+    (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, false);
+    // The second job needs a second machine.
+    spec.need.cpu = 5_000;
+    spec.need.gpu = 0;
+    assert!(simulation.submit(JOB, spec.clone()));
+    assert!(simulation.submit("job-000002", spec));
+    simulation.run(Micros::from_secs(60)).expect("a quiet site");
+    assert_eq!(simulation.running(JOB), 1);
+    let runs_it = simulation
+        .agents
+        .values()
+        .find(|agent| agent.tasks.keys().any(|(id, _)| id.0 == JOB));
+    let machine = runs_it.expect("a machine that runs it").name.clone();
+    (simulation, machine)
+}
+
+#[test]
+fn a_task_of_an_unknown_job_is_reported_with_job_machine_and_time() {
+    let (mut simulation, machine) = site_with_a_service();
+    simulation.jobs.remove(JOB);
+    let end = Micros::from_secs(70);
+    let violation = simulation.run(end).expect_err("a task without a job");
+    assert_eq!(violation.invariant, Invariant::Invented);
+    assert_eq!(violation.job.as_deref(), Some(JOB));
+    assert_eq!(violation.machine.as_deref(), Some(machine.as_str()));
+    assert_eq!(violation.at, Some(simulation.now));
+    let since_start = simulation.now.as_secs_f64() - 60.0;
+    let text = format!("at {since_start:.1} s: invented: {JOB} on {machine}");
+    assert_eq!(violation.to_string(), text);
+}
+
+#[test]
+fn a_task_on_two_machines_is_reported_as_ran_twice() {
+    let (mut simulation, machine) = site_with_a_service();
+    let tasks = simulation.agents[&machine].tasks.clone();
+    let other = simulation
+        .agents
+        .values_mut()
+        .find(|agent| agent.name != machine)
+        .expect("a second machine");
+    let other_name = other.name.clone();
+    (other.gone, other.tasks) = (false, tasks);
+    (other.boots_at, other.lease_from) = (simulation.now, simulation.now);
+    let violation = simulation.step().expect_err("a task on two machines");
+    assert_eq!(violation.invariant, Invariant::RanTwice);
+    assert_eq!(violation.job.as_deref(), Some(JOB));
+    let found_on = violation.machine.as_deref().expect("a machine");
+    assert!([machine.as_str(), other_name.as_str()].contains(&found_on));
+    assert_eq!(violation.at, None);
+    let text = violation.to_string();
+    assert!(
+        text.starts_with("ran_twice: job-000001/0 attempt "),
+        "{text}"
+    );
+}
+
+#[test]
+fn a_violation_names_time_cell_and_invariant_in_this_order() {
+    let violation = InvariantViolation::new(Invariant::OwnedTwice, "two owners".to_owned());
+    assert_eq!(violation.to_string(), "owned_twice: two owners");
+    let violation = violation.in_cell("canal").found_at(Micros::from_secs(75));
+    let text = "at 15.0 s: canal: owned_twice: two owners";
+    assert_eq!(violation.to_string(), text);
+}
+
+#[test]
+fn a_violation_of_a_whole_history_is_shown_by_its_text_alone() {
+    let text = "class web: 1 of 3 served".to_owned();
+    let violation = InvariantViolation::new(Invariant::Unserved, text.clone());
+    assert_eq!(violation.to_string(), text);
+}
--- a/crates/saltpitch-testkit/tests/operations.rs
+++ b/crates/saltpitch-testkit/tests/operations.rs
@@ -30,7 +30,7 @@
 /// A huge array with a mistake (its id ends in 7) fails on every machine, and the leader ends twice
 /// meanwhile. Others are served beside it; its cancellation takes effect at once.
 #[test]
-fn a_huge_array_with_a_mistake_while_the_leader_changes() {
+fn a_failing_array_across_failovers_blocks_no_other_job() {
     for seed in 900..905 {
         let mut simulation = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut simulation, seed, 5);
@@ -65,7 +65,7 @@
 /// Machines that come up late or never, and the zones can't reach each other while they should heartbeat:
 /// what is cut off is not counted on, and everything is served once the cut is over.
 #[test]
-fn machines_come_up_late_or_never_in_a_zone_that_is_cut_off() {
+fn machines_provisioned_late_or_never_in_a_partitioned_zone_break_no_invariant() {
     for seed in 910..915 {
         let faults = Faults {
             machines: true,
--- a/crates/saltpitch-testkit/tests/simulation.rs
+++ b/crates/saltpitch-testkit/tests/simulation.rs
@@ -15,12 +15,12 @@
 }
 
 #[test]
-fn a_quiet_site_serves_everyone() {
+fn without_faults_every_job_completes() {
     many(0..6, Faults::default(), 80, 240);
 }
 
 #[test]
-fn nodes_that_crash_and_return() {
+fn crashing_controllers_break_no_invariant() {
     let f = Faults {
         crashes: true,
         ..Faults::default()
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn nodes_cut_from_store_or_workers() {
+fn controllers_partitioned_from_store_or_agents_break_no_invariant() {
     let f = Faults {
         cuts: true,
         ..Faults::default()
@@ -40,7 +40,7 @@
 /// Some for longer than a lease and than any bound on answers: what they read on waking is old, and
 /// others may have led meanwhile.
 #[test]
-fn nodes_that_stand_still() {
+fn frozen_controllers_break_no_invariant() {
     let f = Faults {
         freezes: true,
         ..Faults::default()
@@ -50,7 +50,7 @@
 
 /// The same together with outages, in which nobody else can take over, and with late messages.
 #[test]
-fn nodes_that_stand_still_through_outages() {
+fn frozen_controllers_during_store_outages_break_no_invariant() {
     let f = Faults {
         freezes: true,
         outages: true,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn outages_of_the_state_service() {
+fn store_outages_break_no_invariant() {
     let f = Faults {
         outages: true,
         ..Faults::default()
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn machines_that_die_hang_and_are_taken_back() {
+fn failing_hanging_and_preempted_machines_break_no_invariant() {
     let f = Faults {
         machines: true,
         ..Faults::default()
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn lost_answers_late_transactions_and_late_orders() {
+fn lost_answers_late_transactions_and_late_commands_break_no_invariant() {
     let f = Faults {
         losses: true,
         ..Faults::default()
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn zones_that_cannot_reach_each_other() {
+fn zone_partitions_break_no_invariant_and_return_no_busy_machine() {
     let f = Faults {
         zone_cuts: true,
         ..Faults::default()
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn machines_that_do_not_hear_the_controllers() {
+fn inbound_partitions_break_no_invariant() {
     let f = Faults {
         inbound_partition: true,
         ..Faults::default()
@@ -124,7 +124,7 @@
 /// Nothing new goes to a inbound-partitioned machine, its work goes on elsewhere, and it is returned in the end. A
 /// group of them, most of those there are, does not unseat a healthy leader.
 #[test]
-fn deaf_machines_are_left_and_the_leader_stays() {
+fn inbound_partitioned_machines_are_replaced_without_a_failover() {
     for seed in 820..826 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         let mut spec = w.draw_job();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn copies_of_reports_come_late() {
+fn late_copies_of_heartbeats_break_no_invariant() {
     let f = Faults {
         copies: true,
         crashes: true,
@@ -165,7 +165,7 @@
 /// The leader loses the state service and the other controllers, but not its agents, for longer
 /// than any bound: another takes over, the agents move, cancellations stay within their time.
 #[test]
-fn a_leader_without_store_and_peers() {
+fn a_leader_without_store_and_peers_is_replaced_and_jobs_are_served() {
     for seed in 840..848 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, 5);
@@ -192,7 +192,7 @@
 /// Small jobs keep coming, more than the site can serve: the large ones begin all the same, and
 /// half of everything is served.
 #[test]
-fn the_largest_begin_under_steady_overload() {
+fn the_largest_jobs_begin_under_steady_overload() {
     for seed in 860..863 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         let mut count = 0;
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn everything_at_once() {
+fn all_faults_together_break_no_invariant() {
     many(600..630, Faults::all(), 120, 400);
 }
 
--- a/crates/saltpitch-testkit/tests/upgrade.rs
+++ b/crates/saltpitch-testkit/tests/upgrade.rs
@@ -88,12 +88,12 @@
 }
 
 #[test]
-fn nodes_are_replaced_and_then_the_limits_fall() {
+fn lower_store_limits_after_a_rolling_upgrade_break_no_invariant() {
     many(0..8, Faults::default());
 }
 
 #[test]
-fn nodes_are_replaced_while_others_crash_and_come_back_old() {
+fn crashes_into_the_old_version_during_an_upgrade_break_no_invariant() {
     let f = Faults {
         crashes: true,
         machines: true,
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn nodes_are_replaced_through_outages_cuts_and_lost_answers() {
+fn outages_partitions_and_lost_answers_during_an_upgrade_break_no_invariant() {
     let f = Faults {
         cuts: true,
         outages: true,
@@ -116,7 +116,7 @@
 
 /// The limits fall in the moment in which the last node is replaced.
 #[test]
-fn the_limits_fall_right_after_the_upgrade() {
+fn lower_store_limits_with_the_last_upgraded_node_break_no_invariant() {
     let f = Faults {
         crashes: true,
         ..Faults::default()
@@ -131,7 +131,7 @@
 /// The limits fall while a node of the old version is left, which writes larger values and has them turned
 /// down. No rule breaks, and once it is replaced everything is served.
 #[test]
-fn the_limits_fall_while_an_old_node_is_left() {
+fn lower_store_limits_while_an_old_node_is_left_break_no_invariant() {
     for seed in 70..76 {
         let end = upgrade(seed, Faults::default(), (700, 3, 20), DURING_THE_UPGRADE);
         end.unwrap_or_else(|e| panic!("seed {seed}: {e}"));
@@ -226,7 +226,7 @@
 /// The leadership passes from old to new, back to old and to new again, a job is submitted and one
 /// cancelled under each, and a node comes back old in between.
 #[test]
-fn the_leadership_passes_between_versions_and_back() {
+fn failovers_between_versions_and_back_break_no_invariant() {
     for seed in 100..106 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         for n in &mut w.nodes {
--- a/crates/saltpitch-testkit/tests/waiting_jobs.rs
+++ b/crates/saltpitch-testkit/tests/waiting_jobs.rs
@@ -35,7 +35,7 @@
 /// Services use most of the team's limit for good, so that a gang never finds it free for all of its
 /// tasks. What the team has left is not kept for that gang: small arrays go on running.
 #[test]
-fn nothing_is_kept_for_a_gang_that_services_leave_no_room_for() {
+fn a_gang_without_quota_does_not_block_small_arrays() {
     for seed in 500..504 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         run(&mut w, seed, 5);
