--- a/crates/saltpitch-cells/src/lib.rs
+++ b/crates/saltpitch-cells/src/lib.rs
@@ -14,8 +14,6 @@
 //! - [`ids`]: the ids under which a delegated job is known.
 //! - [`notice`]: what the log is told.
 
-#![warn(missing_docs)]
-
 pub mod host;
 pub mod ids;
 pub mod link;
--- a/crates/saltpitch-core/src/lib.rs
+++ b/crates/saltpitch-core/src/lib.rs
@@ -28,8 +28,6 @@
 //! commanded to forget the task. When all tasks are done, so is the job, and its record shrinks to a few
 //! bytes.
 
-#![warn(missing_docs)]
-
 pub mod agent;
 pub mod catalog;
 pub mod controller;
--- a/crates/saltpitch-core/src/scheduler/interface.rs
+++ b/crates/saltpitch-core/src/scheduler/interface.rs
@@ -1,7 +1,5 @@
 //! What the scheduler is told by the settings, and what it wants done.
 
-#![warn(missing_docs)]
-
 use std::sync::Arc;
 
 use crate::agent::Command;
--- a/crates/saltpitch-testkit/src/lib.rs
+++ b/crates/saltpitch-testkit/src/lib.rs
@@ -51,8 +51,6 @@
 //! code that leaves its behaviour alone leaves all fingerprints alone: run `examples/trace_hashes.rs` before and
 //! after it, and compare the output. See [`trace`] for what is recorded.
 
-#![warn(missing_docs)]
-
 pub mod agents;
 pub mod cells;
 pub mod histories;
