--- a/crates/saltpitch-core/src/policy/tests.rs
+++ b/crates/saltpitch-core/src/policy/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_fault_is_told_once_and_the_default_is_used() {
+fn an_error_is_reported_once_and_the_default_is_used() {
     let mut p = Policy::parse("idle_keep_s = 9 / cluster.machines").expect("sound");
     for _ in 0..3 {
         assert_eq!(p.number("idle_keep_s", &machine), 50.0);
@@ -99,7 +99,7 @@
 
 /// The texts that operators see, word for word.
 #[test]
-fn mistakes_are_reported_in_these_words() {
+fn errors_have_exact_messages() {
     for (text, message) in [
         ("idle_keep = 3", "1:1: there is no rule `idle_keep`"),
         (
--- a/crates/saltpitch-testkit/src/agents.rs
+++ b/crates/saltpitch-testkit/src/agents.rs
@@ -82,6 +82,14 @@
     pub changed: bool,
 }
 
+/// How long an attempt runs: half to one and a half of its job's estimate; a service runs until it is stopped.
+fn run_time(spec: &JobSpec, random_below: &mut dyn FnMut(u64) -> u64) -> Micros {
+    match spec.kind {
+        JobKind::Service => Micros::from_secs(1_000_000),
+        _ => spec.estimate.times(0.5 + random_below(100) as f64 / 100.0),
+    }
+}
+
 impl Agent {
     /// Whether it runs now.
     pub fn is_up(&self, now: Micros) -> bool {
@@ -152,41 +160,13 @@
         random_below: &mut dyn FnMut(u64) -> u64,
         now: Micros,
     ) {
-        for o in commands {
-            match o {
+        for command in commands {
+            match command {
                 Command::Start { job, task, attempt } => {
-                    let id = (job.to_string(), *task);
-                    if self.tasks.contains_key(&(id.clone(), *attempt)) {
-                        continue;
+                    let key = ((job.to_string(), *task), *attempt);
+                    if !self.tasks.contains_key(&key) {
+                        self.start(key, spec_of, random_below, now);
                     }
-                    let refused = |cause| TaskState::Exited {
-                        cause,
-                        saved: false,
-                    };
-                    let other = self.tasks.iter().any(|((i, _), h)| *i == id && !h.exited());
-                    let (state, run) = match spec_of(job) {
-                        None => (refused(ExitCause::Unknown), Micros::ZERO),
-                        Some(_) if other => (refused(ExitCause::Busy), Micros::ZERO),
-                        Some(s) if !s.need.plus(&self.used(spec_of)).fits(&self.size) => {
-                            (refused(ExitCause::NoRoom), Micros::ZERO)
-                        }
-                        Some(s) => {
-                            let run = match s.kind {
-                                JobKind::Service => Micros::from_secs(1_000_000),
-                                _ => s.estimate.times(0.5 + random_below(100) as f64 / 100.0),
-                            };
-                            (TaskState::Fetching, run)
-                        }
-                    };
-                    let fetch = Micros::from_millis(200 + random_below(4_000));
-                    let held = Held {
-                        attempt: *attempt,
-                        state,
-                        until: now.plus(fetch),
-                        run: run.times(if self.slow { 3.0 } else { 1.0 }),
-                    };
-                    self.tasks.insert((id, *attempt), held);
-                    self.changed = true;
                 }
                 Command::Stop {
                     job,
@@ -195,21 +175,7 @@
                     grace,
                 } => {
                     let key = ((job.to_string(), *task), *attempt);
-                    let Some(h) = self.tasks.get_mut(&key).filter(|h| !h.exited()) else {
-                        continue;
-                    };
-                    let save = spec_of(job).filter(|s| s.saves()).map(|s| s.save);
-                    let can = save.is_some_and(|s| *grace >= s) && h.state == TaskState::Running;
-                    if can {
-                        h.state = TaskState::Saving;
-                        h.until = now.plus(save.unwrap_or_default());
-                    } else if h.state != TaskState::Saving || *grace == Micros::ZERO {
-                        h.state = TaskState::Exited {
-                            cause: ExitCause::Stopped,
-                            saved: false,
-                        };
-                    }
-                    self.changed = true;
+                    self.stop(&key, spec_of, *grace, now);
                 }
                 Command::Forget { job, task, attempt } => {
                     let key = ((job.to_string(), *task), *attempt);
@@ -221,6 +187,70 @@
         }
     }
 
+    /// Begins an attempt, or refuses it as a machine would: unknown job, task already here, no capacity.
+    fn start(
+        &mut self,
+        key: ((String, u32), u32),
+        spec_of: &dyn Fn(&str) -> Option<JobSpec>,
+        random_below: &mut dyn FnMut(u64) -> u64,
+        now: Micros,
+    ) {
+        let refused = |cause| TaskState::Exited {
+            cause,
+            saved: false,
+        };
+        let (task, attempt) = &key;
+        let is_busy = self
+            .tasks
+            .iter()
+            .any(|((other, _), held)| other == task && !held.exited());
+        let (state, run) = match spec_of(&task.0) {
+            None => (refused(ExitCause::Unknown), Micros::ZERO),
+            Some(_) if is_busy => (refused(ExitCause::Busy), Micros::ZERO),
+            Some(spec) if !spec.need.plus(&self.used(spec_of)).fits(&self.size) => {
+                (refused(ExitCause::NoRoom), Micros::ZERO)
+            }
+            Some(spec) => (TaskState::Fetching, run_time(&spec, random_below)),
+        };
+        let fetch = Micros::from_millis(200 + random_below(4_000));
+        let held = Held {
+            attempt: *attempt,
+            state,
+            until: now.plus(fetch),
+            run: run.times(if self.slow { 3.0 } else { 1.0 }),
+        };
+        self.tasks.insert(key, held);
+        self.changed = true;
+    }
+
+    /// Ends an attempt; it saves its progress first if it can and the grace period suffices.
+    fn stop(
+        &mut self,
+        key: &((String, u32), u32),
+        spec_of: &dyn Fn(&str) -> Option<JobSpec>,
+        grace: Micros,
+        now: Micros,
+    ) {
+        let Some(held) = self.tasks.get_mut(key).filter(|held| !held.exited()) else {
+            return;
+        };
+        let (task, _) = key;
+        let save = spec_of(&task.0)
+            .filter(JobSpec::saves)
+            .map(|spec| spec.save);
+        let can_save = save.is_some_and(|time| grace >= time) && held.state == TaskState::Running;
+        if can_save {
+            held.state = TaskState::Saving;
+            held.until = now.plus(save.unwrap_or_default());
+        } else if held.state != TaskState::Saving || grace == Micros::ZERO {
+            held.state = TaskState::Exited {
+                cause: ExitCause::Stopped,
+                saved: false,
+            };
+        }
+        self.changed = true;
+    }
+
     /// The lease: without an answer in time, everything is killed and a new epoch begins.
     pub fn check_lease(&mut self, times: &Times, now: Micros) {
         if now.since(self.lease_from) > times.lease {
--- a/crates/saltpitch-testkit/src/simulation/cloud.rs
+++ b/crates/saltpitch-testkit/src/simulation/cloud.rs
@@ -110,7 +110,7 @@
         self.after(lag, move |simulation| {
             let records = simulation.nodes[node_index].records();
             let returned = records.returned_machines.clone();
-            simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+            simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
                 scheduler.listed(&list, &|machine| returned.contains(machine), now)
             });
         });
--- a/crates/saltpitch-testkit/src/simulation/controllers.rs
+++ b/crates/saltpitch-testkit/src/simulation/controllers.rs
@@ -320,7 +320,7 @@
     }
 
     /// Gives an answer to the scheduler that asked, if it still leads; then runs its loops.
-    pub(super) fn tell_scheduler(
+    pub(super) fn notify_scheduler(
         &mut self,
         node_index: usize,
         epoch: u64,
@@ -330,7 +330,7 @@
         let frozen = self.nodes[node_index].frozen(now);
         if frozen > Micros::ZERO {
             return self.after(frozen, move |simulation| {
-                simulation.tell_scheduler(node_index, epoch, deliver)
+                simulation.notify_scheduler(node_index, epoch, deliver)
             });
         }
         if let Some(scheduler) = self.nodes[node_index].scheduler_in(epoch, now) {
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -105,13 +105,13 @@
             .filter(|agent| !unreachable && agent.is_up(now))
             .map(Agent::heartbeat);
         let Some(heartbeat) = heartbeat else {
-            return self.tell_scheduler(node_index, epoch, move |scheduler, now| {
+            return self.notify_scheduler(node_index, epoch, move |scheduler, now| {
                 scheduler.probe_failed(&machine, now)
             });
         };
         let delay = self.delay();
         self.after(delay, move |simulation| {
-            simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+            simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
                 scheduler.probe_answered(heartbeat, now)
             });
         });
@@ -129,7 +129,7 @@
                 (outcome, CLOUD_ANSWER_DELAY)
             };
             simulation.after(wait, move |simulation| {
-                simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+                simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
                     scheduler.scale_out_ended(&request.id, outcome, now)
                 });
             });
@@ -147,7 +147,7 @@
                     agent.gone = true;
                 }
             }
-            simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+            simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
                 scheduler.scale_in_confirmed(&names, now)
             });
         });
@@ -169,7 +169,7 @@
         };
         let delay = self.delay();
         self.after(delay, move |simulation| {
-            simulation.tell_scheduler(node_index, epoch, move |scheduler, _| match outcome {
+            simulation.notify_scheduler(node_index, epoch, move |scheduler, _| match outcome {
                 TransactionOutcome::Committed(revision) => {
                     scheduler.term_raised(increment.term, revision)
                 }
@@ -266,7 +266,7 @@
     }
 
     fn transaction_answered(&mut self, node_index: usize, epoch: u64, outcome: TransactionOutcome) {
-        self.tell_scheduler(node_index, epoch, move |scheduler, now| {
+        self.notify_scheduler(node_index, epoch, move |scheduler, now| {
             scheduler.committed(outcome, now)
         });
     }
@@ -306,7 +306,7 @@
         if unanswered {
             let sent = sent.clone();
             self.after(ANSWER_TIMEOUT, move |simulation| {
-                simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+                simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
                     scheduler.command_ended(&sent, CommandOutcome::Unknown, now);
                 });
             });
@@ -318,7 +318,7 @@
             };
             let delay = simulation.delay();
             simulation.after(delay, move |simulation| {
-                simulation.tell_scheduler(node_index, epoch, move |scheduler, now| {
+                simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
                     scheduler.command_ended(&sent, outcome, now);
                 });
             });
