--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -183,7 +183,7 @@
 
     /// Hands on what a status changed.
     fn status_applied(&mut self, name: &Arc<str>, changes: StatusChanges, now: Micros) {
-        self.inventory.machine_heard(now);
+        self.inventory.record_contact(now);
         self.inventory.images_removed(name, changes.removed_images);
         if changes.address_changed {
             self.address_changed(name, now);
--- a/crates/saltpitch-core/src/scheduler/inventory.rs
+++ b/crates/saltpitch-core/src/scheduler/inventory.rs
@@ -28,7 +28,7 @@
     health_checks: BTreeSet<(Micros, Arc<str>)>,
     unreachable: UnreachableMachines,
     /// When any machine was last heard from.
-    last_heard: Micros,
+    last_contact: Micros,
     /// When any machine last sent a heartbeat.
     last_heartbeat: Micros,
     /// Zones in which a controller can be reached from here: an unresponsive machine there is no sign of
@@ -47,7 +47,7 @@
             returned: ReturnedMachines::default(),
             health_checks: BTreeSet::new(),
             unreachable: UnreachableMachines::new(elected_at),
-            last_heard: Micros::ZERO,
+            last_contact: Micros::ZERO,
             last_heartbeat: Micros::ZERO,
             reachable_zones: BTreeSet::new(),
         }
@@ -249,8 +249,8 @@
     }
 
     /// A machine was heard, by a heartbeat or an answer to a direct call.
-    pub(super) fn machine_heard(&mut self, now: Micros) {
-        self.last_heard = now;
+    pub(super) fn record_contact(&mut self, now: Micros) {
+        self.last_contact = now;
     }
 
     /// A machine sent a heartbeat that is answered.
@@ -259,8 +259,8 @@
     }
 
     /// When any machine was last heard, by a heartbeat or an answer to a direct call.
-    pub(super) fn last_heard(&self) -> Micros {
-        self.last_heard
+    pub(super) fn last_contact(&self) -> Micros {
+        self.last_contact
     }
 
     /// When any machine last sent a heartbeat that was answered.
--- a/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
@@ -73,7 +73,7 @@
     /// Returns those of the unresponsive machines that seem to have failed for themselves.
     pub(super) fn return_unresponsive(&mut self, unresponsive: &[Arc<str>], now: Micros) {
         let nobody_heard = self.config.heartbeat_interval.times(NOBODY_HEARD_INTERVALS);
-        if unresponsive.is_empty() || now.since(self.inventory.last_heard()) > nobody_heard {
+        if unresponsive.is_empty() || now.since(self.inventory.last_contact()) > nobody_heard {
             return;
         }
         self.steps += self.inventory.len() as u64;
