--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -192,7 +192,7 @@
             self.placement_pass.request();
         }
         if changes.registered {
-            self.note_provisioned(name, now);
+            self.machine_joined(name, now);
         }
         if changes.spot_notice_received {
             self.evict_gracefully(name, now);
--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -209,7 +209,7 @@
     }
 
     /// A machine sent its first heartbeat to this leader.
-    pub(super) fn note_provisioned(&mut self, name: &Arc<str>, now: Micros) {
+    pub(super) fn machine_joined(&mut self, name: &Arc<str>, now: Micros) {
         let clock = self.provisioning_clock(now);
         if let Some(machine) = self.inventory.get(name) {
             self.autoscaler.machine_joined(machine, clock);
