--- a/crates/saltpitch-core/src/scheduler/autoscaler/batch_backlog.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/batch_backlog.rs
@@ -1,41 +1,43 @@
-//! Batch work against the processors that there are: how much of it they won't get to in time.
+//! Estimates how much batch work the existing machines cannot run in time.
 
 use crate::time::Micros;
 
-/// Batch work is to be under way within this many times the policy's target, whatever its slack.
+/// The least time allowed for batch work, as a multiple of the policy's target, however short its slack is.
 const MIN_TARGET_RATIO: f64 = 0.5;
-/// The same at the most.
+/// The most time allowed for batch work, as a multiple of the policy's target, however long its slack is. It
+/// also applies to work without a known slack.
 const MAX_TARGET_RATIO: f64 = 3.0;
-/// A machine that runs one task after another takes this many times their estimates.
+/// The time that a machine takes for each task when it runs several in sequence, as a multiple of the task's
+/// estimate.
 const TURNAROUND_RATIO: f64 = 1.2;
 
-/// Batch work that is to be done on the machines that there are, in the order of service.
+/// The batch work that the existing machines have to run, added up in queue order.
 pub(in crate::scheduler) struct BatchBacklog {
-    /// Thousandths of a processor that take batch work.
+    /// The processors available to batch work, in thousandths.
     processors: u64,
-    /// Thousandths of a processor-second to be done before the next job.
+    /// The work ahead of the next job, in thousandths of a processor-second.
     work: u64,
-    /// How soon batch work is to be under way, by the policy.
+    /// The policy's target time for draining the backlog of batch work.
     target: Micros,
-    /// The boot time of the type that boots fastest.
+    /// The shortest boot time of any machine type.
     shortest_boot: Micros,
 }
 
-/// The tasks of one array job.
+/// The tasks of one array job that have to be placed.
 pub(in crate::scheduler) struct BatchTasks {
-    /// How many there are to place.
+    /// The number of tasks.
     pub(in crate::scheduler) count: u64,
-    /// Thousandths of a processor that each takes.
+    /// The processors that each task takes, in thousandths.
     pub(in crate::scheduler) cpu: u64,
-    /// How long each is estimated to run.
+    /// The estimated run time of each task.
     pub(in crate::scheduler) estimate: Micros,
-    /// Time left until the job has to start.
+    /// The time left until the job has to start.
     pub(in crate::scheduler) slack: Option<Micros>,
 }
 
 impl BatchBacklog {
-    /// The backlog before the first waiting job; `placed_processor_seconds` are those of batch work that
-    /// is running, half of which is left on average.
+    /// Creates the backlog that is ahead of the first waiting job. `placed_processor_seconds` is the
+    /// estimate for batch tasks that are placed; on average, half of their work is still to be done.
     pub(in crate::scheduler) fn new(
         processors: u64,
         placed_processor_seconds: f64,
@@ -50,21 +52,21 @@
         }
     }
 
-    /// Adds a job's tasks to the backlog; returns for how many tasks at a time capacity has to be added,
-    /// since the machines that there are won't get to them in time. Added capacity takes one task after
-    /// the other.
+    /// Adds a job's tasks to the backlog and returns for how many concurrent tasks capacity has to be
+    /// added, because the existing machines cannot run the tasks in time. Added capacity runs several
+    /// tasks in sequence.
     pub(in crate::scheduler) fn add(&mut self, tasks: &BatchTasks) -> u64 {
         let min_time = self.target.times(MIN_TARGET_RATIO);
         let max_time = self.target.times(MAX_TARGET_RATIO);
-        let time = tasks
+        let time_limit = tasks
             .slack
             .map_or(max_time, |slack| slack.max(min_time).min(max_time));
         let work_per_task = (tasks.cpu * tasks.estimate.0 / 1_000_000).max(1);
-        let capacity = (self.processors * time.0 / 1_000_000).saturating_sub(self.work);
+        let capacity = (self.processors * time_limit.0 / 1_000_000).saturating_sub(self.work);
         self.work += tasks.count * work_per_task;
         let unserved = tasks.count - (capacity / work_per_task).min(tasks.count);
         let turnaround = tasks.estimate.times(TURNAROUND_RATIO);
-        let turns = time.since(self.shortest_boot).0 / turnaround.0;
-        unserved.div_ceil(turns.max(1))
+        let tasks_in_sequence = time_limit.since(self.shortest_boot).0 / turnaround.0;
+        unserved.div_ceil(tasks_in_sequence.max(1))
     }
 }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_plan.rs
@@ -1,5 +1,5 @@
-//! The plan of one pass: which pending capacity the waiting jobs take, and which machines are to be ordered
-//! beside it.
+//! The capacity plan of one pass: which pending capacity the waiting jobs take, and which machines have to
+//! be ordered in addition.
 
 use std::sync::Arc;
 
@@ -13,50 +13,51 @@
 use crate::scheduler::Job;
 use crate::time::Micros;
 
-/// Machines of one pool that may be on their way in a zone where nothing boots, to see whether it does
-/// again.
-const STALLED_ZONE_PROBES: u32 = 2;
-/// A machine is urgent for a job only if at least this many boot times are left: later it is too late.
-const MIN_URGENT_BOOTS: f64 = 0.5;
-/// Beyond the boot time, a machine becomes urgent for a job with this much time left: sooner, there is
-/// still hope for cheaper capacity.
+/// The most pending machines of one pool in a stalled zone. They show when machines boot there again.
+const MAX_STALLED_ZONE_PROBES: u32 = 2;
+/// A machine is urgent for a job only if the job's slack exceeds this many boot times. With less slack, the
+/// machine would come too late.
+const MIN_URGENT_BOOT_RATIO: f64 = 0.5;
+/// A machine becomes urgent for a job once the job's slack is less than the boot time plus this margin. With
+/// more slack, cheaper capacity may still become available.
 const URGENT_MARGIN: Micros = Micros::from_secs(25);
 
-/// On what terms machines are ordered for a job.
+/// The conditions under which machines are ordered for a job.
 pub(in crate::scheduler) struct ScaleOutTerms {
-    /// Spot machines may be ordered.
+    /// Whether spot machines may be ordered.
     pub(in crate::scheduler) may_use_spot: bool,
-    /// Machines that cost more than this many times the cheapest are ordered for urgent work only.
+    /// Machines that cost more than this many times the cheapest are ordered only for urgent work.
     pub(in crate::scheduler) max_price_ratio: f64,
-    /// Time left until the job has to start; `None` if that is late already or was never said.
+    /// The time left until the job has to start; `None` if it is late already or has no objective.
     pub(in crate::scheduler) slack: Option<Micros>,
-    /// The job's place in the order of service.
-    pub(in crate::scheduler) position: usize,
+    /// The job's position in the queue.
+    pub(in crate::scheduler) queue_position: usize,
 }
 
 impl ScaleOutTerms {
-    /// Whether a machine that is ordered now comes just in time.
+    /// Returns whether a machine with this boot time has to be ordered now to be up in time for the job.
     pub(super) fn is_urgent(&self, boot: Micros) -> bool {
         self.slack.is_some_and(|slack| {
-            slack > boot.times(MIN_URGENT_BOOTS) && slack < boot.plus(URGENT_MARGIN)
+            slack > boot.times(MIN_URGENT_BOOT_RATIO) && slack < boot.plus(URGENT_MARGIN)
         })
     }
 }
 
-/// The pending capacity of all pools, and the machines to be ordered.
+/// The pending capacity of all machine pools, and the machines to be ordered.
 pub(in crate::scheduler) struct CapacityPlan {
     pools: Vec<CapacityPool>,
 }
 
 impl CapacityPlan {
-    /// Every pool on offer, without pending machines.
+    /// Creates a plan with every pool of the catalogue, without pending machines.
     fn new(catalog: &Catalog, smallest_need_cpu: u64) -> CapacityPlan {
         let mut pools = Vec::new();
-        for kind in &catalog.types {
-            let kind = Arc::new(kind.clone());
-            for zone in &kind.zones {
+        for machine_type in &catalog.types {
+            let machine_type = Arc::new(machine_type.clone());
+            for zone in &machine_type.zones {
                 for spot in [true, false] {
-                    let pool = CapacityPool::new(kind.clone(), zone, spot, smallest_need_cpu);
+                    let pool =
+                        CapacityPool::new(machine_type.clone(), zone, spot, smallest_need_cpu);
                     pools.push(pool);
                 }
             }
@@ -64,7 +65,7 @@
         CapacityPlan { pools }
     }
 
-    /// The pools with their new machines.
+    /// Returns the pools with the machines to be ordered in each.
     pub(super) fn pools(&self) -> &[CapacityPool] {
         &self.pools
     }
@@ -80,13 +81,14 @@
         }
     }
 
-    /// Gives `want` tasks of a job pending capacity, and adds machines to be ordered where that is short.
-    /// `machines_in_zone` is how many machines there are already.
+    /// Reserves pending capacity for `task_count` tasks of a job, and adds machines to be ordered for the
+    /// tasks that it does not suffice for. `machines_in_zone` returns the number of existing machines in a
+    /// zone.
     pub(in crate::scheduler) fn reserve(
         &mut self,
         job: &Job,
         terms: &ScaleOutTerms,
-        want: u64,
+        task_count: u64,
         accelerators: &AcceleratorDemand,
         machines_in_zone: &dyn Fn(&str) -> usize,
     ) {
@@ -97,15 +99,15 @@
                 && !accelerators.is_contested_for(spec, &pool.machine_type.size)
         });
         let zones = ZoneSpread::new(spec, job.tasks.zones());
-        let mut reservation = Reservation::new(spec, terms, suitable.collect(), zones, want);
+        let mut reservation = Reservation::new(spec, terms, suitable.collect(), zones, task_count);
         reservation.take_pending();
         reservation.add_machines(machines_in_zone);
     }
 }
 
 impl Autoscaler {
-    /// A plan with what is pending: these machines, which hold no tasks yet, and what has been asked of
-    /// the cloud.
+    /// Creates a plan with all pending capacity: the machines in `pending`, which hold no tasks yet, and
+    /// those of open scale-out requests.
     pub(in crate::scheduler) fn new_plan<'a>(
         &self,
         catalog: &Catalog,
@@ -119,16 +121,16 @@
             plan.add_pending(&MachinePoolKey::of(machine), machine.free(), 1);
         }
         for request in &self.requests {
-            if let Some(kind) = catalog.get(&request.pool.type_name) {
-                plan.add_pending(&request.pool, kind.size, request.count as usize);
+            if let Some(machine_type) = catalog.get(&request.pool.type_name) {
+                plan.add_pending(&request.pool, machine_type.size, request.count as usize);
             }
         }
         for pool in &mut plan.pools {
             if self.refusals.is_refused(&pool.key(), now) {
-                pool.refuse();
+                pool.mark_refused();
             }
             if stalled_zones.contains(&pool.zone) {
-                pool.stall(STALLED_ZONE_PROBES);
+                pool.mark_stalled(MAX_STALLED_ZONE_PROBES);
             }
         }
         plan
--- a/crates/saltpitch-core/src/scheduler/autoscaler/decaying_sum.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/decaying_sum.rs
@@ -1,9 +1,9 @@
-//! A sum of past events that counts the older ones less.
+//! An exponentially decaying sum of events.
 
 use crate::time::Micros;
 
-/// A sum whose parts fade exponentially. In a steady state it is the rate of the events times the time
-/// constant.
+/// A sum of event sizes that decays exponentially with their age. In a steady state it equals the rate of the
+/// events times the time constant.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DecayingSum {
     sum: f64,
@@ -12,7 +12,7 @@
 }
 
 impl DecayingSum {
-    /// An empty sum.
+    /// Creates an empty sum.
     pub(super) fn new(time_constant: Micros, now: Micros) -> DecayingSum {
         DecayingSum {
             sum: 0.0,
@@ -27,7 +27,7 @@
         self.updated_at = now;
     }
 
-    /// The estimated rate of the events, a second.
+    /// Returns the estimated rate of the events per second.
     pub(super) fn rate_per_second(&self, now: Micros) -> f64 {
         self.value(now) / self.time_constant.as_secs_f64()
     }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/mod.rs
@@ -1,9 +1,8 @@
-//! Scaling out and in: what is asked of the cloud, what it refused, and how long machines take to come up.
+//! Scale-out and scale-in state: requests to the cloud, its refusals, and how long machines take to boot.
 //!
-//! The scheduler reports demand ([`Autoscaler::job_queued`]) and what the cloud and the machines do. In each
-//! pass it takes a [`CapacityPlan`] of what is pending, reserves capacity in it
-//! for the waiting jobs in the order of service, and hands it back to [`Autoscaler::plan_requests`] for the
-//! machines that are missing.
+//! The scheduler reports demand ([`Autoscaler::job_queued`]) and the events of the cloud and the machines. In
+//! each pass it creates a [`CapacityPlan`] of the pending capacity, reserves capacity in it for the waiting
+//! jobs in queue order, and passes it to [`Autoscaler::plan_requests`], which requests the missing machines.
 
 mod accelerator_demand;
 mod batch_backlog;
@@ -35,38 +34,38 @@
 pub(in crate::scheduler) use batch_backlog::{BatchBacklog, BatchTasks};
 pub(in crate::scheduler) use capacity_plan::{CapacityPlan, ScaleOutTerms};
 pub(in crate::scheduler) use pool_key::MachinePoolKey;
-pub(in crate::scheduler) use provisioning_times::ProvisioningClock;
+pub(in crate::scheduler) use provisioning_times::ProvisioningContext;
 pub(in crate::scheduler) use scale_out::OrderedMachines;
 
-/// How fast production's past demand fades from the estimate of what is to come.
-const PRODUCTION_DEMAND_MEMORY: Micros = Micros::from_secs(60);
-/// Until the policy has said otherwise.
+/// The time constant with which past demand of production decays in the estimate of its future demand.
+const PRODUCTION_DEMAND_TIME_CONSTANT: Micros = Micros::from_secs(60);
+/// The batch completion target until the policy has been applied.
 const DEFAULT_BATCH_COMPLETION_TARGET: Micros = Micros::from_secs(90);
-/// Scale-out requests that may be made at once, in seconds' worth of their rate.
+/// The burst size of scale-out requests, as a multiple of the number allowed per second.
 const SCALE_OUT_BURST_SECONDS: f64 = 2.0;
-/// Capacity kept warm for production, as a multiple of what is expected: arrivals come in clusters.
+/// The capacity of the warm pool as a multiple of production's expected demand, since jobs arrive in bursts.
 const WARM_POOL_RATIO: f64 = 1.5;
 
-/// The state of scaling.
+/// The state of scale-out and scale-in.
 pub(in crate::scheduler) struct Autoscaler {
     requests: Vec<ScaleOutRequest>,
     request_budget: TokenBucket,
     recent_requests: HashMap<MachinePoolKey, RecentRequests>,
-    /// The number of the next request of this term.
+    /// The number of the next request in this term.
     next_request: u64,
     provisioning_times: ProvisioningTimes,
     refusals: Refusals,
-    /// How soon batch work is to be under way, by the policy.
+    /// The policy's target time for draining the backlog of batch work.
     batch_completion_target: Micros,
     accelerator_demand: AcceleratorDemand,
-    /// Batch work that is placed, in processor-seconds of its estimates.
-    placed_batch_seconds: f64,
-    /// Thousandths of a processor that production asked for.
+    /// The estimated processor-seconds of the batch tasks that are placed.
+    placed_batch_processor_seconds: f64,
+    /// The decaying sum of the processors that production requested, in thousandths.
     production_demand: DecayingSum,
 }
 
 impl Autoscaler {
-    /// Nothing is asked of the cloud yet.
+    /// Creates the state of a new leader, without requests.
     pub(in crate::scheduler) fn new(config: &SchedulerConfig, now: Micros) -> Autoscaler {
         Autoscaler {
             requests: Vec::new(),
@@ -81,86 +80,102 @@
             refusals: Refusals::default(),
             batch_completion_target: DEFAULT_BATCH_COMPLETION_TARGET,
             accelerator_demand: AcceleratorDemand::default(),
-            placed_batch_seconds: 0.0,
-            production_demand: DecayingSum::new(PRODUCTION_DEMAND_MEMORY, now),
+            placed_batch_processor_seconds: 0.0,
+            production_demand: DecayingSum::new(PRODUCTION_DEMAND_TIME_CONSTANT, now),
         }
     }
 
-    /// Sets how soon batch work is to be under way.
+    /// Sets the target time for draining the backlog of batch work.
     pub(in crate::scheduler) fn set_batch_completion_target(&mut self, target: Micros) {
         self.batch_completion_target = target;
     }
 
-    /// A job was queued at `queued`, perhaps in an earlier leader's time. Demand of production that is
-    /// older than [`PRODUCTION_DEMAND_MEMORY`] no longer counts.
-    pub(in crate::scheduler) fn job_queued(&mut self, spec: &JobSpec, queued: Micros, now: Micros) {
-        self.accelerator_demand.job_queued(spec, queued);
-        if spec.priority == Priority::Production && now.since(queued) < PRODUCTION_DEMAND_MEMORY {
+    /// Records a job that was queued at `queued_at`, possibly under an earlier leader. Demand of production
+    /// that is older than [`PRODUCTION_DEMAND_TIME_CONSTANT`] does not count.
+    pub(in crate::scheduler) fn job_queued(
+        &mut self,
+        spec: &JobSpec,
+        queued_at: Micros,
+        now: Micros,
+    ) {
+        self.accelerator_demand.job_queued(spec, queued_at);
+        if spec.priority == Priority::Production
+            && now.since(queued_at) < PRODUCTION_DEMAND_TIME_CONSTANT
+        {
             let cpu = spec.need.cpu as f64 * f64::from(spec.tasks);
             self.production_demand.add(cpu, now);
         }
     }
 
-    /// A task was placed.
+    /// Records that a task was placed.
     pub(in crate::scheduler) fn task_placed(&mut self, spec: &JobSpec) {
         if spec.kind == JobKind::Array {
-            self.placed_batch_seconds += processor_seconds(spec);
+            self.placed_batch_processor_seconds += processor_seconds(spec);
         }
     }
 
-    /// A task left its machine.
+    /// Records that a task is no longer placed on its machine.
     pub(in crate::scheduler) fn task_released(&mut self, spec: &JobSpec) {
         if spec.kind == JobKind::Array {
-            self.placed_batch_seconds -= processor_seconds(spec);
+            self.placed_batch_processor_seconds -= processor_seconds(spec);
         }
     }
 
-    /// The demand for accelerators.
+    /// Returns the demand for accelerators.
     pub(in crate::scheduler) fn accelerator_demand(&self) -> &AcceleratorDemand {
         &self.accelerator_demand
     }
 
-    /// When a job that needs accelerators was last queued.
+    /// Returns when a job that needs accelerators was last queued.
     pub(in crate::scheduler) fn accelerators_requested_at(&self) -> Micros {
         self.accelerator_demand.last_requested_at()
     }
 
-    /// Thousandths of a processor to be kept free for what production is expected to ask for before a
-    /// machine could boot.
+    /// Returns the processors, in thousandths, to keep free for the demand that production is expected to
+    /// add in the time that a machine takes to boot.
     pub(in crate::scheduler) fn warm_pool_cpu(&self, catalog: &Catalog, now: Micros) -> u64 {
-        let boot = catalog.types.iter().map(|kind| kind.boot).max();
+        let longest_boot = catalog
+            .types
+            .iter()
+            .map(|machine_type| machine_type.boot)
+            .max();
         let rate = self.production_demand.rate_per_second(now);
-        let expected = rate * boot.unwrap_or_default().as_secs_f64();
+        let expected = rate * longest_boot.unwrap_or_default().as_secs_f64();
         (expected * WARM_POOL_RATIO) as u64
     }
 
-    /// Batch work against the processors that there are, before the first waiting job.
+    /// Returns the backlog of batch work ahead of the first waiting job. `processors` is what the existing
+    /// machines have for batch work, in thousandths.
     pub(in crate::scheduler) fn batch_backlog(
         &self,
         processors: u64,
         catalog: &Catalog,
     ) -> BatchBacklog {
-        let shortest_boot = catalog.types.iter().map(|kind| kind.boot).min();
+        let shortest_boot = catalog
+            .types
+            .iter()
+            .map(|machine_type| machine_type.boot)
+            .min();
         BatchBacklog::new(
             processors,
-            self.placed_batch_seconds,
+            self.placed_batch_processor_seconds,
             self.batch_completion_target,
             shortest_boot.unwrap_or_default(),
         )
     }
 
-    /// Whether the cloud refused machines of this pool so lately that it is not asked for more.
+    /// Returns whether no machines of this pool are requested now because the cloud refused some recently.
     pub(in crate::scheduler) fn is_refused(&self, pool: &MachinePoolKey, now: Micros) -> bool {
         self.refusals.is_refused(pool, now)
     }
 
-    /// A machine of this pool was returned: it can be had again.
+    /// Records that a machine of this pool was returned, so that the cloud can provide one again.
     pub(in crate::scheduler) fn machine_returned(&mut self, pool: &MachinePoolKey) {
         self.refusals.clear(pool);
     }
 }
 
-/// Processor-seconds of one task by its owner's estimate.
+/// Returns the processor-seconds of one task by its owner's estimate of the run time.
 fn processor_seconds(spec: &JobSpec) -> f64 {
     spec.need.cpu as f64 / 1e3 * spec.estimate.as_secs_f64()
 }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/pool_key.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/pool_key.rs
@@ -2,10 +2,11 @@
 
 use crate::machine::Machine;
 
-/// A machine pool: the machines of one type in one zone, spot machines apart from ordinary ones.
+/// Identifies a machine pool: the machines of one type in one zone that are either all spot machines or all
+/// ordinary ones.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(in crate::scheduler) struct MachinePoolKey {
-    /// The machine type.
+    /// The name of the machine type.
     pub(in crate::scheduler) type_name: String,
     /// The zone.
     pub(in crate::scheduler) zone: String,
@@ -14,7 +15,7 @@
 }
 
 impl MachinePoolKey {
-    /// The key of a pool.
+    /// Creates the key of a pool.
     pub(in crate::scheduler) fn new(type_name: &str, zone: &str, spot: bool) -> MachinePoolKey {
         MachinePoolKey {
             type_name: type_name.to_owned(),
@@ -23,7 +24,7 @@
         }
     }
 
-    /// The pool that a machine belongs to.
+    /// Returns the key of the pool that a machine belongs to.
     pub(in crate::scheduler) fn of(machine: &Machine) -> MachinePoolKey {
         MachinePoolKey::new(&machine.machine_type.name, &machine.zone, machine.spot)
     }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
@@ -1,4 +1,5 @@
-//! Scale-out requests to the cloud: planned by turns, repeated until answered, refusals remembered.
+//! Scale-out requests to the cloud: they are planned in rounds and repeated until they are answered, and
+//! refusals delay further requests for their pool.
 
 use super::capacity_plan::CapacityPlan;
 use super::capacity_pools::CapacityPool;
@@ -7,32 +8,34 @@
 use crate::scheduler::Effect;
 use crate::time::Micros;
 
-/// Requests for one pool that are planned at a time.
+/// The most requests for one pool that are planned in one pass.
 const MAX_REQUESTS_PER_POOL: u32 = 4;
-/// Requests of this age no longer count when pools take turns.
-const RUSH: Micros = Micros::from_secs(10);
-/// Requests that a pool wanted by production gets in one turn, where others get one.
-const PRODUCTION_REQUESTS_PER_TURN: u32 = 3;
-/// The most machines of one request.
+/// A pool's count of recent requests ends once its last request is this old.
+const RECENT_REQUEST_WINDOW: Micros = Micros::from_secs(10);
+/// The requests in one round for a pool that production needs; other pools get one.
+const PRODUCTION_REQUESTS_PER_ROUND: u32 = 3;
+/// The most machines in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// When a request without an answer is repeated.
-const REPEAT_AFTER: Micros = Micros::from_secs(2);
+/// The delay before a request whose outcome is unknown is repeated.
+const RETRY_DELAY: Micros = Micros::from_secs(2);
 
 /// A scale-out request.
 #[derive(Clone, Debug)]
 pub(super) struct ScaleOutRequest {
     id: String,
-    /// The pool that machines are asked of.
+    /// The pool of the requested machines.
     pub(super) pool: MachinePoolKey,
-    /// How many machines.
+    /// The number of requested machines.
     pub(super) count: u32,
-    in_flight: bool,
-    /// The cloud may have had it: from then on it is repeated as it is until it is answered.
+    /// Whether an answer is awaited.
+    is_in_flight: bool,
+    /// Whether the cloud may have received the request. If so, it is repeated unchanged until it is answered.
     was_sent: bool,
+    /// The earliest time at which it is sent.
     not_before: Micros,
 }
 
-/// How often a pool was asked for in this rush, and when last.
+/// The number of recent requests for a pool, and the time of the last one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RecentRequests {
     count: u32,
@@ -40,16 +43,17 @@
 }
 
 impl RecentRequests {
-    /// How many requests still count.
+    /// Returns the number of requests that followed each other within [`RECENT_REQUEST_WINDOW`], or zero if
+    /// the last one is older.
     fn count(&self, now: Micros) -> u32 {
-        if now.since(self.last_at) < RUSH {
+        if now.since(self.last_at) < RECENT_REQUEST_WINDOW {
             self.count
         } else {
             0
         }
     }
 
-    fn note(&mut self, now: Micros) {
+    fn record(&mut self, now: Micros) {
         *self = RecentRequests {
             count: self.count(now) + 1,
             last_at: now,
@@ -57,34 +61,34 @@
     }
 }
 
-/// When a request is made: by rounds, and within a round in the order of service.
+/// The order in which requests are sent: by round, and within a round by queue position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
+struct RequestOrder {
     round: u32,
-    position: usize,
+    queue_position: usize,
 }
 
-/// A request that is not numbered yet.
+/// A request that has no id yet.
 struct PlannedRequest {
-    turn: Turn,
+    order: RequestOrder,
     pool: MachinePoolKey,
     count: u32,
 }
 
-/// How a scale-out request ended.
+/// The outcome of a scale-out request.
 #[derive(Clone, Debug)]
 pub enum ScaleOutOutcome {
-    /// These machines were ordered, perhaps fewer than asked for.
+    /// The cloud provides these machines, possibly fewer than requested.
     Machines(Vec<String>),
     /// The cloud has no such machines now.
     NoCapacity,
-    /// Refused without effect for another reason: rate limit, outage, not sent.
+    /// The request had no effect for another reason: it hit a rate limit or an outage, or was not sent.
     Later,
-    /// No answer: the same request is repeated, since it may have been carried out.
+    /// The request was not answered. It is repeated unchanged, since the cloud may have carried it out.
     Unknown,
 }
 
-/// Machines that were ordered.
+/// The machines that the cloud provides for a request.
 pub(in crate::scheduler) struct OrderedMachines {
     /// Their pool.
     pub(in crate::scheduler) pool: MachinePoolKey,
@@ -93,14 +97,14 @@
 }
 
 impl Autoscaler {
-    /// Drops the requests that were planned and not sent: they are planned anew.
+    /// Drops the planned requests that were not sent, since each pass plans them again.
     pub(in crate::scheduler) fn discard_unsent_requests(&mut self) {
         self.requests.retain(|request| request.was_sent);
     }
 
-    /// Plans the requests for the plan's new machines, by turns: requests are scarce, and a rush that
-    /// takes dozens of them for one type must not keep others waiting for theirs. Production gets more
-    /// requests than others in a turn.
+    /// Plans the requests for the plan's new machines in rounds. The cloud's rate limit allows few requests,
+    /// and a burst of demand that takes dozens of them for one machine type must not delay the others. In
+    /// each round, a pool that production needs gets more requests than the others.
     pub(in crate::scheduler) fn plan_requests(
         &mut self,
         plan: &CapacityPlan,
@@ -111,23 +115,23 @@
         let mut planned: Vec<PlannedRequest> = pools
             .flat_map(|pool| self.planned_requests(pool, now))
             .collect();
-        planned.sort_by_key(|request| request.turn);
+        planned.sort_by_key(|request| request.order);
         for PlannedRequest { pool, count, .. } in planned {
-            // A request's id is never used again: the term is this leader's alone.
+            // No other request has this id, because only this leader has this term.
             let id = format!("t{term}-{}", self.next_request);
             self.next_request += 1;
             self.requests.push(ScaleOutRequest {
                 id,
                 pool,
                 count,
-                in_flight: false,
+                is_in_flight: false,
                 was_sent: false,
                 not_before: now,
             });
         }
     }
 
-    /// The requests for one pool's new machines.
+    /// Returns the requests for one pool's new machines.
     fn planned_requests(&self, pool: &CapacityPool, now: Micros) -> Vec<PlannedRequest> {
         let new_machines = pool.new_machines();
         if new_machines == 0 {
@@ -136,17 +140,17 @@
         let key = pool.key();
         let recent = self.recent_requests.get(&key);
         let already_sent = recent.map_or(0, |recent| recent.count(now));
-        let per_turn = if pool.is_for_production() {
-            PRODUCTION_REQUESTS_PER_TURN
+        let per_round = if pool.is_for_production() {
+            PRODUCTION_REQUESTS_PER_ROUND
         } else {
             1
         };
         let requests = new_machines.div_ceil(MAX_MACHINES_PER_REQUEST);
         (0..requests.min(MAX_REQUESTS_PER_POOL))
             .map(|index| PlannedRequest {
-                turn: Turn {
-                    round: (already_sent + index) / per_turn,
-                    position: pool.wanted_at(),
+                order: RequestOrder {
+                    round: (already_sent + index) / per_round,
+                    queue_position: pool.queue_position(),
                 },
                 pool: key.clone(),
                 count: (new_machines - index * MAX_MACHINES_PER_REQUEST)
@@ -155,12 +159,12 @@
             .collect()
     }
 
-    /// Sends what was planned, as far as the cloud's rate limit allows.
+    /// Returns the effects that send the requests that are due, as far as the cloud's rate limit allows.
     pub(in crate::scheduler) fn send_requests(&mut self, now: Micros) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut allowed = self.request_budget.available(now);
         for request in &mut self.requests {
-            if request.in_flight || now < request.not_before {
+            if request.is_in_flight || now < request.not_before {
                 continue;
             }
             if allowed < 1.0 {
@@ -168,10 +172,10 @@
             }
             allowed -= 1.0;
             self.request_budget.spend(1.0);
-            request.in_flight = true;
+            request.is_in_flight = true;
             request.was_sent = true;
             let recent = self.recent_requests.entry(request.pool.clone());
-            recent.or_default().note(now);
+            recent.or_default().record(now);
             effects.push(Effect::ScaleOut {
                 request: request.id.clone(),
                 type_name: request.pool.type_name.clone(),
@@ -183,7 +187,7 @@
         effects
     }
 
-    /// A request ended. Returns the machines that were ordered.
+    /// Records the outcome of a request and returns the machines that the cloud provides, if any.
     pub(in crate::scheduler) fn request_ended(
         &mut self,
         id: &str,
@@ -193,22 +197,22 @@
         let index = self.requests.iter().position(|request| request.id == id)?;
         if matches!(outcome, ScaleOutOutcome::Unknown) {
             let request = &mut self.requests[index];
-            request.in_flight = false;
-            request.not_before = now.plus(REPEAT_AFTER);
+            request.is_in_flight = false;
+            request.not_before = now.plus(RETRY_DELAY);
             return None;
         }
         let ScaleOutRequest { pool, count, .. } = self.requests.remove(index);
         match outcome {
             ScaleOutOutcome::Machines(names) => {
                 if (names.len() as u32) < count {
-                    self.refusals.no_capacity(pool.clone(), now);
+                    self.refusals.record_no_capacity(pool.clone(), now);
                 } else {
                     self.refusals.clear(&pool);
                 }
                 return Some(OrderedMachines { pool, names });
             }
-            ScaleOutOutcome::NoCapacity => self.refusals.no_capacity(pool, now),
-            ScaleOutOutcome::Later => self.refusals.unrelated(pool, now),
+            ScaleOutOutcome::NoCapacity => self.refusals.record_no_capacity(pool, now),
+            ScaleOutOutcome::Later => self.refusals.record_other_refusal(pool, now),
             ScaleOutOutcome::Unknown => {}
         }
         None
--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -1,9 +1,9 @@
-//! Machines against need: which waiting jobs need new machines, and what is asked of the cloud for them.
+//! Capacity planning: finds which waiting jobs need new machines, and requests these from the cloud.
 
 use std::sync::Arc;
 
 use super::autoscaler::{
-    BatchBacklog, BatchTasks, CapacityPlan, OrderedMachines, ProvisioningClock, ScaleOutTerms,
+    BatchBacklog, BatchTasks, CapacityPlan, OrderedMachines, ProvisioningContext, ScaleOutTerms,
 };
 use super::queue_order::QueuedJob;
 use super::{Job, ScaleOutOutcome, Scheduler};
@@ -13,17 +13,17 @@
 use crate::machine::Machine;
 use crate::time::Micros;
 
-/// The most tasks of one job that are planned for at a time, beyond one for each machine of the site: a
-/// job of 100,000 tasks must not hold up everything else. So one job can make a site grow to any size, by
-/// this much in each pass.
-const RESERVED_BEYOND_MACHINES: u64 = 400;
-/// Until the next pass has placed tasks on a machine that has come up.
-const JUST_UP: Micros = Micros::from_secs(1);
-/// How long the record of a ordered machine waits for others.
+/// The most tasks of one job for which one pass reserves capacity, in addition to one for each machine of the
+/// site. The limit keeps a job of 100,000 tasks from delaying all other work. One job can still make a site
+/// grow to any size, by this much in each pass.
+const MAX_RESERVED_BEYOND_MACHINES: u64 = 400;
+/// The time in which the next pass places tasks on a machine that has come up.
+const NEWLY_UP_PERIOD: Micros = Micros::from_secs(1);
+/// How long the record of an ordered machine may be delayed, to be written together with others.
 const ORDERED_RECORD_DELAY: Micros = Micros::from_millis(300);
 
 impl Scheduler {
-    /// Scales out for what the waiting tasks need beyond what is pending, and scales in what is idle.
+    /// Scales out for the waiting tasks that exceed the pending capacity, and scales in idle machines.
     pub(super) fn plan_capacity(&mut self, now: Micros) {
         self.autoscaler.discard_unsent_requests();
         if !self.too_many_unreachable(now) {
@@ -35,22 +35,22 @@
         self.effects.extend(self.autoscaler.send_requests(now));
     }
 
-    /// What the waiting jobs take of the pending capacity, and the machines that are missing.
+    /// Plans which pending capacity the waiting jobs take, and which machines are missing.
     fn capacity_plan(&mut self, now: Micros) -> CapacityPlan {
         let mut plan = self.pending_capacity(now);
         let mut backlog = self.batch_backlog();
         let teams = 0..self.quota.len();
         let mut claimed: Vec<Resources> = teams.map(|team| self.quota.used(team)).collect();
-        let max_tasks = self.inventory.len() as u64 + RESERVED_BEYOND_MACHINES;
-        for (position, queued) in self.queued_jobs(now).into_iter().enumerate() {
+        let max_tasks = self.inventory.len() as u64 + MAX_RESERVED_BEYOND_MACHINES;
+        for (queue_position, queued) in self.queued_jobs(now).into_iter().enumerate() {
             let Some(job) = self.job_table.get(queued.number) else {
                 continue;
             };
-            let want = self.unserved_tasks(job, &queued, &mut claimed, &mut backlog);
-            if want == 0 {
+            let unserved = self.unserved_tasks(job, &queued, &mut claimed, &mut backlog);
+            if unserved == 0 {
                 continue;
             }
-            let Some(terms) = self.scale_out_terms(&queued, position) else {
+            let Some(terms) = self.scale_out_terms(&queued, queue_position) else {
                 continue;
             };
             let Some(job) = self.job_table.get(queued.number) else {
@@ -59,7 +59,7 @@
             plan.reserve(
                 job,
                 &terms,
-                want.min(max_tasks),
+                unserved.min(max_tasks),
                 self.autoscaler.accelerator_demand(),
                 &|zone| self.inventory.machines_in_zone(zone),
             );
@@ -67,44 +67,44 @@
         plan
     }
 
-    /// Every machine pool on offer, with the machines that are booting or being ordered as empty
-    /// capacity.
+    /// Returns a plan with every machine pool of the catalogue. Machines that are booting or being ordered
+    /// are its pending capacity, and count as empty.
     fn pending_capacity(&mut self, now: Micros) -> CapacityPlan {
-        let clock = self.provisioning_clock(now);
+        let context = self.provisioning_context(now);
         let unplaced = self.job_table.unplaced();
         let waiting = unplaced
             .iter()
             .filter_map(|number| self.job_table.get(*number));
         let smallest_need = waiting.map(|job| job.spec.need.cpu).min().unwrap_or(0);
         let idle = self.inventory.idle();
-        // Found by a test: what had just come up was neither pending nor in use yet, and was ordered
-        // once more.
-        let just_up = idle.filter(|machine| {
-            machine.takes_tasks() && now.since(machine.lifecycle.up_since()) < JUST_UP
+        // A machine that has just come up counts as pending until tasks are placed on it; otherwise it would
+        // be neither pending nor in use and would be ordered a second time. Found by a test.
+        let newly_up = idle.filter(|machine| {
+            machine.takes_tasks() && now.since(machine.lifecycle.up_since()) < NEWLY_UP_PERIOD
         });
         let is_pending = |machine: &&Machine| {
-            let is_booting =
-                machine.lifecycle.is_unregistered() && !self.autoscaler.is_overdue(machine, clock);
+            let is_booting = machine.lifecycle.is_unregistered()
+                && !self.autoscaler.is_overdue(machine, context);
             machine.allocations.is_empty() && (is_booting || machine.is_up())
         };
         let pending = self
             .inventory
             .provisioning()
-            .chain(just_up)
+            .chain(newly_up)
             .filter(is_pending);
         let stalled_zones = self
             .autoscaler
-            .stalled_zones(self.inventory.provisioning(), clock);
+            .stalled_zones(self.inventory.provisioning(), context);
         let plan =
             self.autoscaler
                 .new_plan(&self.catalog, smallest_need, pending, &stalled_zones, now);
-        let looked_at =
+        let examined =
             unplaced.len() + self.inventory.provisioning_count() + self.inventory.idle_count();
-        self.steps += looked_at as u64;
+        self.steps += examined as u64;
         plan
     }
 
-    /// The batch work that is placed, against the processors that take batch work.
+    /// Returns the backlog of batch work that is placed, for the processors that are available to batch work.
     fn batch_backlog(&self) -> BatchBacklog {
         let accelerators = self.autoscaler.accelerator_demand();
         let groups = self.inventory.groups().iter();
@@ -113,7 +113,8 @@
         self.autoscaler.batch_backlog(processors, &self.catalog)
     }
 
-    /// For how many tasks of a job capacity has to be found beyond the machines that there are.
+    /// Returns for how many tasks of a job capacity is needed beyond the existing machines, and adds these
+    /// tasks to what the job's team claims.
     fn unserved_tasks(
         &self,
         job: &Job,
@@ -123,26 +124,29 @@
     ) -> u64 {
         let spec = &job.spec;
         let idle = job.idle_in_good_standing();
-        let mut want = self.wanted_tasks(job, idle, claimed);
-        if want > 0 && spec.kind == JobKind::Array {
-            // All that is left of it, though no more at a time than its team's limit allows.
-            let unserved = backlog.add(&BatchTasks {
+        let mut unserved = self.allowed_tasks(job, idle, claimed);
+        if unserved > 0 && spec.kind == JobKind::Array {
+            // The backlog counts all of the job's idle tasks, although its team's limit may allow only some
+            // of them to run at a time.
+            let beyond_existing_machines = backlog.add(&BatchTasks {
                 count: idle,
                 cpu: spec.need.cpu,
                 estimate: self.estimate(job),
                 slack: queued.slack,
             });
-            want = want.min(unserved);
+            unserved = unserved.min(beyond_existing_machines);
         }
-        // Only what is to run at a time counts against the team's limit.
+        // Only tasks that are to run at the same time count against the team's limit.
         if let Some(claimed) = claimed.get_mut(job.team) {
-            *claimed = claimed.plus(&spec.need.times(want));
+            *claimed = claimed.plus(&spec.need.times(unserved));
         }
-        want
+        unserved
     }
 
-    /// How many of a job's idle tasks may run at a time on top of what earlier jobs of its team claim.
-    fn wanted_tasks(&self, job: &Job, idle: u64, claimed: &[Resources]) -> u64 {
+    /// Returns how many of a job's idle tasks may run at the same time in addition to those that earlier jobs
+    /// of its team claim. The result is 0 for a complete gang, for a gang whose idle tasks may not all run,
+    /// and for a guest job that may not rent machines.
+    fn allowed_tasks(&self, job: &Job, idle: u64, claimed: &[Resources]) -> u64 {
         let spec = &job.spec;
         let is_gang = spec.kind == JobKind::Gang;
         let is_complete_gang = matches!(job.gang, Gang::Committing | Gang::Allowed);
@@ -156,21 +160,25 @@
         if is_gang && idle < job.tasks.idle().len() as u64 {
             return 0;
         }
-        // A gang at the barrier found the team's limit free for all of it. What is served before it
-        // and finds no machine must not keep the machines for its last tasks from being ordered.
+        // The team's limit had room for the whole gang when it reached the barrier. Jobs that precede it in
+        // the queue but find no machine must not prevent machines from being ordered for its last tasks.
         let is_at_barrier = matches!(job.gang, Gang::Holding { .. }) && job.tasks.placed() > 0;
         if is_at_barrier && self.quota.tasks_allowed(job.team, &spec.need) >= idle {
             return idle;
         }
-        let want = team.tasks_allowed(used, &spec.need).min(idle);
-        if is_gang && want < idle {
+        let allowed = team.tasks_allowed(used, &spec.need).min(idle);
+        if is_gang && allowed < idle {
             return 0;
         }
-        want
+        allowed
     }
 
-    /// On what terms machines are ordered for a job, by the policy.
-    fn scale_out_terms(&mut self, queued: &QueuedJob, position: usize) -> Option<ScaleOutTerms> {
+    /// Returns the conditions under which the policy allows machines to be ordered for a job.
+    fn scale_out_terms(
+        &mut self,
+        queued: &QueuedJob,
+        queue_position: usize,
+    ) -> Option<ScaleOutTerms> {
         let spec = self.job_table.get(queued.number)?.spec.clone();
         let may_use_spot = self.spot_wanted(&spec);
         let max_price_ratio = if spec.kind == JobKind::Array {
@@ -182,42 +190,49 @@
             may_use_spot,
             max_price_ratio,
             slack: queued.slack,
-            position,
+            queue_position,
         })
     }
 
-    /// The answer to [`super::Effect::ScaleOut`].
+    /// Handles the outcome of [`super::Effect::ScaleOut`] by adding the ordered machines to the inventory.
     pub fn scale_out_ended(&mut self, request: &str, outcome: ScaleOutOutcome, now: Micros) {
-        let rented = self.autoscaler.request_ended(request, outcome, now);
-        let Some(OrderedMachines { pool, names }) = rented else {
+        let ordered = self.autoscaler.request_ended(request, outcome, now);
+        let Some(OrderedMachines { pool, names }) = ordered else {
             return;
         };
-        let Some(kind) = self.catalog.get(&pool.type_name).cloned() else {
+        let Some(machine_type) = self.catalog.get(&pool.type_name).cloned() else {
             return;
         };
-        let kind = Arc::new(kind);
+        let machine_type = Arc::new(machine_type);
         let zone: Arc<str> = pool.zone.as_str().into();
         for name in names {
             if self.inventory.contains(&name) {
                 continue;
             }
-            let mut machine = Machine::new(&name, kind.clone(), zone.clone(), pool.spot, "", now);
+            let mut machine = Machine::new(
+                &name,
+                machine_type.clone(),
+                zone.clone(),
+                pool.spot,
+                "",
+                now,
+            );
             self.persistence
                 .machine_changed(&mut machine, now.plus(ORDERED_RECORD_DELAY));
             self.inventory.add(machine);
         }
     }
 
-    /// A machine sent its first heartbeat to this leader.
+    /// Records that a machine sent its first heartbeat to this leader.
     pub(super) fn machine_joined(&mut self, name: &Arc<str>, now: Micros) {
-        let clock = self.provisioning_clock(now);
+        let context = self.provisioning_context(now);
         if let Some(machine) = self.inventory.get(name) {
-            self.autoscaler.machine_joined(machine, clock);
+            self.autoscaler.machine_joined(machine, context);
         }
     }
 
-    /// What decides whether machines have come up in time.
-    pub(super) fn provisioning_clock(&self, now: Micros) -> ProvisioningClock {
-        ProvisioningClock::new(&self.config, self.leader_term.elected_at(), now)
+    /// Returns the times that decide whether machines have come up in time.
+    pub(super) fn provisioning_context(&self, now: Micros) -> ProvisioningContext {
+        ProvisioningContext::new(&self.config, self.leader_term.elected_at(), now)
     }
 }
--- a/crates/saltpitch-core/src/scheduler/inventory.rs
+++ b/crates/saltpitch-core/src/scheduler/inventory.rs
@@ -1,7 +1,7 @@
-//! The machines that the scheduler knows, and the indexes by which it finds them.
+//! The machines that the scheduler knows, and the indexes over them.
 //!
-//! A machine's own state is changed through [`MachineInventory::get_mut`]; a caller that changes something
-//! that counts for placement calls [`MachineInventory::update`] afterwards.
+//! A machine's own state is changed through [`MachineInventory::get_mut`]. A caller that changes something
+//! that affects placement must call [`MachineInventory::update`] afterwards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,31 +13,31 @@
 use crate::records::ReturnedMachines;
 use crate::time::Micros;
 
-/// The machines in memory.
+/// The known machines with their indexes.
 pub(super) struct MachineInventory {
     machines: BTreeMap<Arc<str>, Machine>,
-    /// Free capacity by type, zone and kind.
+    /// Free capacity by machine type, zone, and whether the machines are spot machines.
     index: MachineIndex,
     /// Machines without allocations.
     idle: BTreeSet<Arc<str>>,
-    /// Machines that are not yet heard from or not yet fenced by this leader's term.
+    /// Machines that have sent no heartbeat yet or are not yet fenced by this leader's term.
     provisioning: BTreeSet<Arc<str>>,
-    /// Machines that were returned to the cloud in this leadership.
+    /// Machines that were returned to the cloud in this leader's term.
     returned: ReturnedMachines,
     /// When each machine's health is checked next.
     health_checks: BTreeSet<(Micros, Arc<str>)>,
     unreachable: UnreachableMachines,
-    /// When any machine was last heard from.
+    /// The time of the last heartbeat of any machine or answer to a direct call.
     last_contact: Micros,
-    /// When any machine last sent a heartbeat.
+    /// The time of the last heartbeat that was answered.
     last_heartbeat: Micros,
-    /// Zones in which a controller can be reached from here: an unresponsive machine there is no sign of
-    /// a partition.
+    /// Zones in which this leader can reach a controller. An unresponsive machine there does not indicate a
+    /// partition.
     reachable_zones: BTreeSet<String>,
 }
 
 impl MachineInventory {
-    /// No machines, for a leader that was elected at this time.
+    /// Creates an empty inventory for a leader that was elected at this time.
     pub(super) fn new(elected_at: Micros) -> MachineInventory {
         MachineInventory {
             machines: BTreeMap::new(),
@@ -53,77 +53,80 @@
         }
     }
 
-    /// How many machines there are.
+    /// Returns the number of machines.
     pub(super) fn len(&self) -> usize {
         self.machines.len()
     }
 
-    /// Whether the machine is known.
+    /// Returns whether a machine of this name is known.
     pub(super) fn contains(&self, name: &str) -> bool {
         self.machines.contains_key(name)
     }
 
-    /// A machine.
+    /// Returns the machine of this name.
     pub(super) fn get(&self, name: &str) -> Option<&Machine> {
         self.machines.get(name)
     }
 
-    /// A machine, to change what the indexes don't hold; see [`MachineInventory::update`].
+    /// Returns the machine of this name for changes to its own state. The indexes are not updated; see
+    /// [`MachineInventory::update`].
     pub(super) fn get_mut(&mut self, name: &str) -> Option<&mut Machine> {
         self.machines.get_mut(name)
     }
 
-    /// All machines, by name.
+    /// Returns all machines, sorted by name.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Machine> {
         self.machines.values()
     }
 
-    /// Machines without allocations, by name.
+    /// Returns the machines without allocations, sorted by name.
     pub(super) fn idle(&self) -> impl Iterator<Item = &Machine> {
         self.idle.iter().filter_map(|name| self.get(name))
     }
 
-    /// How many machines have no allocations.
+    /// Returns the number of machines without allocations.
     pub(super) fn idle_count(&self) -> usize {
         self.idle.len()
     }
 
-    /// Machines that are not yet heard from or not yet fenced by this leader's term, by name.
+    /// Returns the machines that have sent no heartbeat yet or are not yet fenced by this leader's term,
+    /// sorted by name.
     pub(super) fn provisioning(&self) -> impl Iterator<Item = &Machine> {
         self.provisioning.iter().filter_map(|name| self.get(name))
     }
 
-    /// How many machines are not yet heard from or not yet fenced by this leader's term.
+    /// Returns the number of machines that have sent no heartbeat yet or are not yet fenced by this leader's
+    /// term.
     pub(super) fn provisioning_count(&self) -> usize {
         self.provisioning.len()
     }
 
-    /// Machines by type, zone and kind.
+    /// Returns the machines grouped by type, zone, and whether they are spot machines.
     pub(super) fn groups(&self) -> &[MachineGroup] {
         self.index.groups()
     }
 
-    /// Machines by type, zone and kind, to search them or hand out their members in turn.
+    /// Returns the machine groups, to search them or to take their members in turn.
     pub(super) fn groups_mut(&mut self) -> &mut [MachineGroup] {
         self.index.groups_mut()
     }
 
-    /// The machines of the same type, zone and kind.
+    /// Returns the group that a machine belongs to.
     pub(super) fn group_of(&self, machine: &Machine) -> &MachineGroup {
         self.index.group_of(machine)
     }
 
-    /// How many machines there are in a zone.
+    /// Returns the number of machines in a zone.
     pub(super) fn machines_in_zone(&self, zone: &str) -> usize {
         self.index.machines_in_zone(zone)
     }
 
-    /// How many machines of the zone that has most of them have this image.
+    /// Returns how many machines have this image in the zone in which most machines have it.
     pub(super) fn image_holders(&self, image: &str) -> usize {
         self.index.image_holders(image)
     }
 
-    /// A machine became known, with nothing on it.
+    /// Adds a machine without allocations.
     pub(super) fn add(&mut self, mut machine: Machine) {
         let name = machine.name.clone();
         self.index.add(&mut machine);
@@ -134,7 +137,7 @@
         self.machines.insert(name, machine);
     }
 
-    /// A machine was returned; nothing is on it any more.
+    /// Removes a machine that was returned to the cloud and has no allocations any more.
     pub(super) fn remove(&mut self, name: &Arc<str>) -> Option<Machine> {
         let mut machine = self.machines.remove(name)?;
         self.index.remove(&mut machine);
@@ -147,12 +150,12 @@
         Some(machine)
     }
 
-    /// Whether a machine of this name was returned in this leadership.
+    /// Returns whether a machine of this name was returned in this leader's term.
     pub(super) fn was_returned(&self, name: &str) -> bool {
         self.returned.contains(name)
     }
 
-    /// Something about a machine changed that counts for placement.
+    /// Updates the indexes after a change to a machine that affects placement.
     pub(super) fn update(&mut self, name: &Arc<str>) {
         if let Some(machine) = self.machines.get_mut(name) {
             self.index.update(machine);
@@ -164,18 +167,19 @@
         self.update_reachability(name);
     }
 
-    /// Something about a machine changed that may have brought it into reach or out of it.
+    /// Updates the set of unreachable machines after a change to a machine that may affect whether it can be
+    /// reached.
     pub(super) fn update_reachability(&mut self, name: &Arc<str>) {
         self.unreachable.update(name, self.machines.get(name));
     }
 
-    /// Whether many machines have been out of reach for less than `period`.
+    /// Returns whether many machines are unreachable and have been so for at most `period`.
     pub(super) fn too_many_unreachable(&mut self, period: Micros, now: Micros) -> bool {
         let machines = self.machines.len();
         self.unreachable.too_many(machines, period, now)
     }
 
-    /// A task is placed on a machine.
+    /// Records that a task is placed on a machine.
     pub(super) fn task_placed(
         &mut self,
         name: &Arc<str>,
@@ -192,7 +196,7 @@
         self.idle.remove(name);
     }
 
-    /// A task is no longer placed on a machine.
+    /// Records that a task is no longer placed on a machine.
     pub(super) fn task_released(
         &mut self,
         name: &Arc<str>,
@@ -212,7 +216,7 @@
         self.index.update(machine);
     }
 
-    /// A task with this image ran on a machine.
+    /// Records that a task used this image on a machine.
     pub(super) fn image_used(&mut self, name: &str, image: &str, size_mb: u64, used_at: Micros) {
         if let Some(machine) = self.machines.get_mut(name) {
             let changes = machine.use_image(image, size_mb, used_at);
@@ -220,7 +224,7 @@
         }
     }
 
-    /// These images are no longer in a machine's cache.
+    /// Records that these images are no longer in a machine's cache.
     pub(super) fn images_removed(&mut self, name: &str, removed: Vec<String>) {
         if let Some(machine) = self.machines.get(name) {
             let changes = ImageChanges {
@@ -231,7 +235,7 @@
         }
     }
 
-    /// A machine's health is checked next at this time.
+    /// Schedules a machine's next health check.
     pub(super) fn schedule_health_check(&mut self, name: &Arc<str>, at: Micros) {
         if let Some(machine) = self.machines.get_mut(name) {
             self.health_checks
@@ -241,39 +245,39 @@
         }
     }
 
-    /// The machine whose health check has been due for longest, if one is. It stays due until the next
-    /// check is scheduled.
+    /// Returns the machine whose health check has been due for the longest time, if any is due. It stays due
+    /// until its next check is scheduled.
     pub(super) fn due_health_check(&self, now: Micros) -> Option<Arc<str>> {
         let (due, name) = self.health_checks.first()?;
         (*due <= now).then(|| name.clone())
     }
 
-    /// A machine was heard, by a heartbeat or an answer to a direct call.
+    /// Records that a machine sent a heartbeat or answered a direct call.
     pub(super) fn record_contact(&mut self, now: Micros) {
         self.last_contact = now;
     }
 
-    /// A machine sent a heartbeat that is answered.
+    /// Records that a machine sent a heartbeat that is answered.
     pub(super) fn heartbeat_received(&mut self, now: Micros) {
         self.last_heartbeat = now;
     }
 
-    /// When any machine was last heard, by a heartbeat or an answer to a direct call.
+    /// Returns when any machine last sent a heartbeat or answered a direct call.
     pub(super) fn last_contact(&self) -> Micros {
         self.last_contact
     }
 
-    /// When any machine last sent a heartbeat that was answered.
+    /// Returns when any machine last sent a heartbeat that was answered.
     pub(super) fn last_heartbeat(&self) -> Micros {
         self.last_heartbeat
     }
 
-    /// Zones in which a controller can be reached from here.
+    /// Returns the zones in which this leader can reach a controller.
     pub(super) fn reachable_zones(&self) -> &BTreeSet<String> {
         &self.reachable_zones
     }
 
-    /// Sets the zones in which a controller can be reached from here.
+    /// Sets the zones in which this leader can reach a controller.
     pub(super) fn set_reachable_zones(&mut self, zones: BTreeSet<String>) {
         self.reachable_zones = zones;
     }
--- a/crates/saltpitch-core/src/scheduler/scale_in.rs
+++ b/crates/saltpitch-core/src/scheduler/scale_in.rs
@@ -1,12 +1,13 @@
-//! Which idle machines go back to the cloud.
+//! Scale-in: selects the idle machines that are returned to the cloud.
 
 use super::Scheduler;
 use crate::machine::{Machine, MachinePhase};
 use crate::time::Micros;
 
 impl Scheduler {
-    /// Thousandths of a processor of ordinary machines beyond what production is expected to ask for
-    /// before a machine could boot. Batch work there makes way for it.
+    /// Returns the processors of ordinary machines, in thousandths, that exceed the warm pool. The warm pool
+    /// covers the demand that production is expected to add in the time that a machine takes to boot.
+    /// Processors that run batch work count as available, because production can preempt it.
     pub(super) fn spare_above_warm_pool(&self, now: Micros) -> u64 {
         let accelerators = self.autoscaler.accelerator_demand();
         let groups = self.inventory.groups().iter();
@@ -16,8 +17,9 @@
         available.saturating_sub(self.autoscaler.warm_pool_cpu(&self.catalog, now))
     }
 
-    /// How long an idle machine is kept: what the policy says; and while work with accelerators keeps
-    /// coming, a machine for it as long again as its images would take to fetch elsewhere.
+    /// Returns how long an idle machine is kept. The policy sets the time. As long as jobs that need
+    /// accelerators keep arriving, a machine with accelerators is kept longer, by the time that another
+    /// machine would take to fetch its largest image.
     pub(super) fn idle_time_limit(&self, machine: &Machine, now: Micros) -> Micros {
         let limit = self.inventory.group_of(machine).idle_keep();
         let requested_at = self.autoscaler.accelerators_requested_at();
@@ -28,8 +30,8 @@
         }
     }
 
-    /// Returns machines that have been idle for too long, down to the warm pool, and those that have not
-    /// come up.
+    /// Returns to the cloud the machines that have been idle for too long, as far as the warm pool does not
+    /// need them, and those that have not come up.
     pub(super) fn scale_in_idle(&mut self, now: Micros) {
         let mut spare = self.spare_above_warm_pool(now);
         self.steps += self.inventory.idle_count() as u64;
@@ -51,7 +53,8 @@
         }
     }
 
-    /// Whether nothing is on the machine and it has been idle, or not come up, for too long.
+    /// Returns whether the machine has no tasks and has been idle for too long, is cordoned, or is abandoned
+    /// because it has not come up.
     fn is_dispensable(&self, machine: &Machine, now: Micros) -> bool {
         if !machine.allocations.is_empty() || machine.allocations.has_running_unowned() {
             return false;
@@ -64,14 +67,14 @@
                     || now.since(machine.allocations.wanted_at()) > limit
             }
             MachinePhase::Unregistered => {
-                let clock = self.provisioning_clock(now);
-                self.autoscaler.is_abandoned(machine, clock)
+                let context = self.provisioning_context(now);
+                self.autoscaler.is_abandoned(machine, context)
             }
             MachinePhase::ReturnRequested | MachinePhase::Returning => false,
         }
     }
 
-    /// Whether the machine's processors count as warm for production.
+    /// Returns whether the machine's processors count towards production's warm pool.
     fn is_in_warm_pool(&self, machine: &Machine) -> bool {
         let accelerators = self.autoscaler.accelerator_demand();
         machine.is_up()
