--- a/crates/saltpitch-core/src/catalog.rs
+++ b/crates/saltpitch-core/src/catalog.rs
@@ -1,14 +1,14 @@
-//! Machine types and amounts of resources.
+//! The catalogue of machine types, and resource amounts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::time::Micros;
 
-/// The boot time that is assumed of a type that the catalogue does not list.
+/// The boot time assumed for a machine type that the catalogue does not list.
 const UNKNOWN_BOOT_TIME: Micros = Micros::from_secs(60);
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Amounts in thousandths: of a processor, of an accelerator, of a gigabyte.
+/// Resource amounts, in thousandths of a processor, an accelerator and a gigabyte.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
     /// Processors.
@@ -23,12 +23,12 @@
 }
 
 impl Resources {
-    /// Whether this much fits into `capacity`.
+    /// Returns whether this amount fits into `capacity`.
     pub fn fits(&self, capacity: &Resources) -> bool {
         self.cpu <= capacity.cpu && self.gpu <= capacity.gpu && self.mem <= capacity.mem
     }
 
-    /// The sum of both.
+    /// Returns the sum of both amounts.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_add(other.cpu),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The difference, or zero where `other` is more.
+    /// Returns the difference, with zero for each resource of which `other` has more.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// This much for each of `count` tasks.
+    /// Returns the amount that `count` tasks of this need take together.
     pub fn times(&self, count: u64) -> Resources {
         Resources {
             cpu: self.cpu.saturating_mul(count),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// How many tasks that need this much fit into `capacity`.
+    /// Returns how many tasks of this need fit into `capacity`.
     pub fn count_in(&self, capacity: &Resources) -> u64 {
         let tasks = |need: u64, available: u64| available.checked_div(need).unwrap_or(u64::MAX);
         tasks(self.cpu, capacity.cpu)
@@ -63,35 +63,35 @@
             .min(tasks(self.mem, capacity.mem))
     }
 
-    /// Whether this is nothing.
+    /// Returns whether every amount is zero.
     pub fn is_zero(&self) -> bool {
         *self == Resources::default()
     }
 }
 
-/// One type of machine, as the cloud offers it.
+/// A machine type that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// The name.
+    /// The type's name.
     pub name: String,
-    /// What a machine has for tasks.
+    /// The resources that a machine has for tasks.
     pub size: Resources,
     /// The size of a machine's image cache, in thousandths of a gigabyte.
     pub cache_mb: u64,
-    /// How fast a machine fetches images, in thousandths of a gigabyte a second.
+    /// The rate at which a machine fetches images, in thousandths of a gigabyte per second.
     pub fetch_mb_per_s: u64,
-    /// The price of an ordinary machine, in thousandths of a unit of money an hour.
+    /// The price of an ordinary machine, in thousandths of a currency unit per hour.
     pub price: u64,
     /// The price of a spot machine, in the same unit.
     pub spot_price: u64,
-    /// How long a machine takes from the request until it is up.
+    /// The time from the request for a machine until it is up.
     pub boot: Micros,
     /// The zones in which the type is offered.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// Stands for a type that the catalogue does not list: nothing fits on it.
+    /// Creates a placeholder for a type that the catalogue does not list. No task fits on its machines.
     pub fn unknown(name: &str) -> MachineType {
         MachineType {
             name: name.to_owned(),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The price of a spot or an ordinary machine.
+    /// Returns the price of a spot machine or of an ordinary one.
     pub fn price_of(&self, spot: bool) -> u64 {
         if spot {
             self.spot_price
@@ -114,7 +114,7 @@
         }
     }
 
-    /// About how long a machine takes to fetch an image of this size.
+    /// Returns the approximate time that a machine takes to fetch an image of this size.
     pub fn fetch_time(&self, image_mb: u64) -> Micros {
         let rate = self.fetch_mb_per_s.max(1);
         Micros(image_mb.saturating_mul(MICROS_PER_SECOND) / rate)
@@ -124,13 +124,15 @@
 /// The machine types that the cloud offers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// The types.
+    /// The machine types.
     pub types: Vec<MachineType>,
 }
 
 impl Catalog {
-    /// The type with this name.
+    /// Returns the type with this name.
     pub fn get(&self, name: &str) -> Option<&MachineType> {
-        self.types.iter().find(|kind| kind.name == name)
+        self.types
+            .iter()
+            .find(|machine_type| machine_type.name == name)
     }
 }
--- a/crates/saltpitch-core/src/policy/check.rs
+++ b/crates/saltpitch-core/src/policy/check.rs
@@ -1,4 +1,4 @@
-//! The check of a policy's text: names, types, scopes and, where a rule is constant, its range.
+//! Static checks of a policy's text: names, types, scopes, and the range of constant rules.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use super::parser::{parse, ParsedRule};
 use super::rules::{variable_type, Rule, ValueType};
 
-/// Expressions by the rule that they set.
+/// The expressions of a policy, by rule name.
 pub(super) type RuleSet = BTreeMap<&'static str, Expression>;
 
-/// Parses and checks a text.
+/// Parses a policy's text and checks its rules.
 pub(super) fn checked_rules(text: &str) -> Result<RuleSet, PolicyError> {
     let mut rules = RuleSet::new();
     for parsed in parse(text)? {
@@ -28,6 +28,7 @@
     Ok(rules)
 }
 
+/// Checks an expression's type against its rule, and its range if it is constant.
 fn check_rule(rule: &Rule, parsed: &ParsedRule) -> Result<(), PolicyError> {
     let expression = &parsed.expression;
     let found = type_of(expression, rule)?;
@@ -50,7 +51,7 @@
     })
 }
 
-/// The type of an expression. All of its parts are checked on the way.
+/// Returns the type of an expression after checking all of its parts.
 fn type_of(expression: &Expression, rule: &Rule) -> Result<ValueType, PolicyError> {
     match &expression.node {
         Node::Number(_) => Ok(ValueType::Number),
@@ -95,6 +96,7 @@
     Err(PolicyError::new(expression.position, reason))
 }
 
+/// Returns the type of a variable if the rule may use it.
 fn type_of_variable(name: &str, rule: &Rule) -> Result<ValueType, PolicyErrorReason> {
     let value_type = variable_type(name);
     let value_type =
@@ -143,6 +145,7 @@
     }
 }
 
+/// Checks that the function exists and is called with the right number of arguments.
 fn check_call(name: &str, arguments: &[Expression]) -> Result<(), PolicyErrorReason> {
     let function = Function::find(name);
     let function = function.ok_or_else(|| PolicyErrorReason::UnknownFunction(name.to_owned()))?;
--- a/crates/saltpitch-core/src/policy/error.rs
+++ b/crates/saltpitch-core/src/policy/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a policy: mistakes in its text, and faults when it is evaluated.
+//! Errors in a policy's text, and errors that occur when a rule is evaluated.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 pub struct Position {
     /// The line.
     pub line: u32,
-    /// The column, in characters.
+    /// The column, counted in characters.
     pub column: u32,
 }
 
@@ -19,18 +19,18 @@
     }
 }
 
-/// A mistake in a policy's text.
+/// An error in a policy's text.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{position}: {reason}")]
 pub struct PolicyError {
-    /// Where it is.
+    /// The position of the error.
     pub position: Position,
-    /// What it is.
+    /// What is wrong.
     pub reason: PolicyErrorReason,
 }
 
 impl PolicyError {
-    /// A mistake at a position.
+    /// Creates an error at a position.
     pub(super) fn new(position: Position, reason: PolicyErrorReason) -> PolicyError {
         PolicyError { position, reason }
     }
@@ -39,16 +39,16 @@
 /// What is wrong with a policy's text.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PolicyErrorReason {
-    /// A number that cannot be read.
+    /// A number that cannot be parsed.
     #[error("this is no number")]
     InvalidNumber,
-    /// A text without its second quotation mark.
+    /// A quoted text without its closing quotation mark.
     #[error("this text never ends")]
     UnterminatedText,
-    /// A character that nothing begins with.
+    /// A character with which no token begins.
     #[error("unexpected `{0}`")]
     UnexpectedCharacter(char),
-    /// Another sign or word is required here.
+    /// Another symbol or keyword is required here.
     #[error("expected `{0}`")]
     ExpectedToken(&'static str),
     /// A value is required here.
@@ -57,19 +57,19 @@
     /// The name of a rule is required here.
     #[error("expected the name of a rule")]
     ExpectedRuleName,
-    /// Two rules share a line.
+    /// A rule begins on the line on which the previous one ends.
     #[error("a rule begins on a new line")]
     RuleOnSameLine,
-    /// An expression is nested more deeply than is allowed.
+    /// An expression exceeds the allowed nesting depth.
     #[error("nested too deeply")]
     NestedTooDeeply,
     /// No rule has this name.
     #[error("there is no rule `{0}`")]
     UnknownRule(String),
-    /// A rule is set for a second time.
+    /// A rule is set more than once.
     #[error("`{0}` is set twice")]
     DuplicateRule(&'static str),
-    /// A rule's expression has another type than the rule.
+    /// The type of a rule's expression differs from the rule's type.
     #[error("`{rule}` must be {required}, this is {found}")]
     WrongRuleType {
         /// The rule.
@@ -82,15 +82,15 @@
     /// A part of an expression has the wrong type.
     #[error("expected {required}, found {found}")]
     WrongType {
-        /// The type that is required here.
+        /// The required type.
         required: ValueType,
-        /// The type that was found.
+        /// The actual type.
         found: ValueType,
     },
     /// No variable has this name.
     #[error("there is no variable `{0}`")]
     UnknownVariable(String),
-    /// The rule is evaluated where the variable has no value.
+    /// The variable has no value where the rule is evaluated.
     #[error("`{variable}` is not known to `{rule}`")]
     VariableOutOfScope {
         /// The variable.
@@ -106,12 +106,12 @@
     ArgumentCount {
         /// The function.
         function: &'static str,
-        /// How many arguments it takes.
+        /// The number of arguments that it takes.
         required: usize,
-        /// How many there are.
+        /// The number of arguments in the call.
         found: usize,
     },
-    /// The rule's constant value is not allowed.
+    /// The constant value of a rule is not allowed.
     #[error("`{rule}`: {error}")]
     InvalidConstant {
         /// The rule.
@@ -127,7 +127,7 @@
     /// A variable has no value here.
     #[error("`{0}` is not known")]
     UnknownVariable(String),
-    /// A part has the wrong type, which the check of the text excludes.
+    /// A part of the expression has the wrong type. The check of the policy's text rules this out.
     #[error("expected {0}")]
     WrongType(ValueType),
     /// A division by zero.
@@ -139,16 +139,16 @@
     /// The result is outside the rule's range.
     #[error("{value} is not between {min} and {max}")]
     OutOfRange {
-        /// The result.
+        /// The result of the evaluation.
         value: f64,
-        /// The least that is allowed.
+        /// The least value that is allowed.
         min: f64,
-        /// The most that is allowed.
+        /// The greatest value that is allowed.
         max: f64,
     },
 }
 
-/// A rule whose evaluation failed, so that its default is used.
+/// A rule whose evaluation failed, so that its built-in expression is used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("policy: {rule}: {error}; the default is used")]
 pub struct PolicyFault {
--- a/crates/saltpitch-core/src/policy/expression.rs
+++ b/crates/saltpitch-core/src/policy/expression.rs
@@ -1,17 +1,17 @@
-//! Expressions as they are parsed.
+//! The syntax tree of expressions.
 
 use super::error::Position;
 
-/// An expression and where it stands.
+/// An expression and its position in the text.
 #[derive(Clone, Debug)]
 pub(super) struct Expression {
-    /// Where it begins.
+    /// The position of its beginning.
     pub(super) position: Position,
-    /// What it is.
+    /// The root of the expression's syntax tree.
     pub(super) node: Node,
 }
 
-/// One operation of an expression, or a leaf.
+/// A node of an expression's syntax tree.
 #[derive(Clone, Debug)]
 pub(super) enum Node {
     /// A literal number.
@@ -28,9 +28,9 @@
     Negate(Box<Expression>),
     /// An operation on two operands.
     Binary(BinaryOperator, Box<Expression>, Box<Expression>),
-    /// A choice.
+    /// A conditional expression.
     If {
-        /// What decides it.
+        /// The condition.
         condition: Box<Expression>,
         /// The value if the condition is true.
         then: Box<Expression>,
@@ -41,7 +41,7 @@
     Call(String, Vec<Expression>),
 }
 
-/// An operator between two operands.
+/// A binary operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BinaryOperator {
     /// `or`
@@ -71,7 +71,7 @@
 }
 
 impl BinaryOperator {
-    /// How tightly it binds; larger is tighter.
+    /// Returns the operator's precedence. An operator with a larger one binds more tightly.
     pub(super) fn precedence(self) -> u8 {
         match self {
             BinaryOperator::Or => 1,
@@ -88,16 +88,16 @@
     }
 }
 
-/// A function.
+/// A built-in function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Function {
     /// The smaller of two numbers.
     Min,
     /// The larger of two numbers.
     Max,
-    /// A number within two bounds.
+    /// A number limited to the range between two bounds.
     Clamp,
-    /// The nearest whole number.
+    /// The integer that is nearest to a number.
     Round,
 }
 
@@ -109,14 +109,14 @@
         Function::Round,
     ];
 
-    /// The function with this name.
+    /// Returns the function with this name.
     pub(super) fn find(name: &str) -> Option<Function> {
         Function::ALL
             .into_iter()
             .find(|function| function.name() == name)
     }
 
-    /// Its name.
+    /// Returns the function's name.
     pub(super) fn name(self) -> &'static str {
         match self {
             Function::Min => "min",
@@ -126,7 +126,7 @@
         }
     }
 
-    /// How many arguments it takes.
+    /// Returns the number of arguments that the function takes.
     pub(super) fn argument_count(self) -> usize {
         match self {
             Function::Round => 1,
--- a/crates/saltpitch-core/src/policy/lexer.rs
+++ b/crates/saltpitch-core/src/policy/lexer.rs
@@ -1,44 +1,44 @@
-//! From text to tokens.
+//! Splits a policy's text into tokens.
 
 use super::error::{PolicyError, PolicyErrorReason, Position};
 
-/// The signs. A sign that begins with another one comes before it.
-const SIGNS: [&str; 14] = [
+/// The operators and other symbols. A symbol that begins with another one precedes it in this list.
+const SYMBOLS: [&str; 14] = [
     "<=", ">=", "==", "!=", "<", ">", "=", "+", "-", "*", "/", "(", ")", ",",
 ];
-/// From this character on a line is a comment.
-const COMMENT: char = '#';
+/// The rest of a line from this character on is a comment.
+const COMMENT_START: char = '#';
 const QUOTATION_MARK: char = '"';
 
-/// The smallest part of a text that means something.
+/// The kind and content of a token.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum TokenKind {
-    /// A number.
+    /// A numeric literal.
     Number(f64),
-    /// A text, without its quotation marks.
+    /// A quoted text, without its quotation marks.
     Text(String),
     /// A name or a keyword.
     Word(String),
-    /// One of [`SIGNS`].
-    Sign(&'static str),
+    /// One of [`SYMBOLS`].
+    Symbol(&'static str),
     /// The end of the text.
     End,
 }
 
-/// A token and where it stands.
+/// A token and its position in the text.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Token {
-    /// Where it begins.
+    /// The position of its first character.
     pub(super) position: Position,
-    /// What it is.
+    /// The kind and content.
     pub(super) kind: TokenKind,
 }
 
-/// The tokens of a text. The last one is [`TokenKind::End`].
+/// Returns the tokens of a text. The last one is [`TokenKind::End`].
 pub(super) fn tokenize(text: &str) -> Result<Vec<Token>, PolicyError> {
     let mut tokens = Vec::new();
-    for (number, line) in (1..).zip(text.lines()) {
-        tokenize_line(line, number, &mut tokens)?;
+    for (line_number, line) in (1..).zip(text.lines()) {
+        tokenize_line(line, line_number, &mut tokens)?;
     }
     let last_line = text.lines().last().unwrap_or_default();
     tokens.push(Token {
@@ -51,12 +51,12 @@
     Ok(tokens)
 }
 
-fn tokenize_line(line: &str, number: u32, tokens: &mut Vec<Token>) -> Result<(), PolicyError> {
+fn tokenize_line(line: &str, line_number: u32, tokens: &mut Vec<Token>) -> Result<(), PolicyError> {
     let length = line.chars().count();
     let mut rest = line.trim_start();
-    while let Some(first) = rest.chars().next().filter(|first| *first != COMMENT) {
+    while let Some(first) = rest.chars().next().filter(|first| *first != COMMENT_START) {
         let position = Position {
-            line: number,
+            line: line_number,
             column: (length - rest.chars().count() + 1) as u32,
         };
         let (kind, bytes) =
@@ -67,16 +67,16 @@
     Ok(())
 }
 
-/// The token that `rest` begins with, and how many bytes it takes.
+/// Returns the token that `rest` begins with, and its length in bytes.
 fn read_token(first: char, rest: &str) -> Result<(TokenKind, usize), PolicyErrorReason> {
     if first.is_ascii_digit() {
-        let digits = prefix(rest, |c| c.is_ascii_digit() || c == '.');
+        let digits = prefix_while(rest, |c| c.is_ascii_digit() || c == '.');
         let number = digits.parse();
         let number = number.map_err(|_| PolicyErrorReason::InvalidNumber)?;
         return Ok((TokenKind::Number(number), digits.len()));
     }
     if first.is_ascii_alphabetic() {
-        let word = prefix(rest, |c| c.is_ascii_alphanumeric() || c == '_' || c == '.');
+        let word = prefix_while(rest, |c| c.is_ascii_alphanumeric() || c == '_' || c == '.');
         return Ok((TokenKind::Word(word.to_owned()), word.len()));
     }
     if let Some(quoted) = rest.strip_prefix(QUOTATION_MARK) {
@@ -88,13 +88,13 @@
             text.len() + quotation_marks,
         ));
     }
-    let sign = SIGNS.into_iter().find(|sign| rest.starts_with(sign));
-    let sign = sign.ok_or(PolicyErrorReason::UnexpectedCharacter(first))?;
-    Ok((TokenKind::Sign(sign), sign.len()))
+    let symbol = SYMBOLS.into_iter().find(|symbol| rest.starts_with(symbol));
+    let symbol = symbol.ok_or(PolicyErrorReason::UnexpectedCharacter(first))?;
+    Ok((TokenKind::Symbol(symbol), symbol.len()))
 }
 
-/// The longest prefix of characters that belong to a token.
-fn prefix(rest: &str, belongs: impl Fn(char) -> bool) -> &str {
+/// Returns the longest prefix whose characters all belong to a token.
+fn prefix_while(rest: &str, belongs: impl Fn(char) -> bool) -> &str {
     let end = rest.find(|c| !belongs(c)).unwrap_or(rest.len());
     &rest[..end]
 }
--- a/crates/saltpitch-core/src/policy/parser.rs
+++ b/crates/saltpitch-core/src/policy/parser.rs
@@ -1,27 +1,27 @@
-//! From tokens to expressions.
+//! Parses tokens into rules and their expressions.
 
 use super::error::{PolicyError, PolicyErrorReason, Position};
 use super::expression::{BinaryOperator, Expression, Node};
 use super::lexer::{tokenize, Token, TokenKind};
 
-/// Expressions nested more deeply are refused, so that no text can exhaust the stack.
+/// The nesting depth beyond which an expression is rejected, so that no text can overflow the stack.
 const MAX_DEPTH: u32 = 64;
-/// What binds no more tightly than this ends the operand of `not`.
+/// The operand of `not` contains only operators with a higher precedence than this.
 const NOT_PRECEDENCE: u8 = 2;
-/// What binds no more tightly than this ends the operand of a minus sign.
+/// The operand of a unary minus contains only operators with a higher precedence than this.
 const NEGATE_PRECEDENCE: u8 = 5;
 
-/// A rule as a text sets it.
+/// A rule as it is set in a policy's text.
 pub(super) struct ParsedRule {
-    /// The rule's name, which may not be a known one.
+    /// The rule's name, which is not checked yet.
     pub(super) name: String,
-    /// Where the name stands.
+    /// The position of the name.
     pub(super) position: Position,
-    /// The expression.
+    /// The rule's expression.
     pub(super) expression: Expression,
 }
 
-/// The rules that a text sets, each of which begins on a line of its own.
+/// Parses the rules that a text sets. Each rule has to begin on a line of its own.
 pub(super) fn parse(text: &str) -> Result<Vec<ParsedRule>, PolicyError> {
     let mut parser = Parser {
         tokens: tokenize(text)?,
@@ -44,7 +44,7 @@
             let reason = PolicyErrorReason::RuleOnSameLine;
             return Err(PolicyError::new(position, reason));
         }
-        parser.expect_sign("=")?;
+        parser.expect_symbol("=")?;
         let expression = parser.expression(0)?;
         last_line = parser.last_line();
         rules.push(ParsedRule {
@@ -56,11 +56,11 @@
 }
 
 struct Parser {
-    /// Never empty: the last token is the end.
+    /// The tokens. The last one is [`TokenKind::End`], so the list is never empty.
     tokens: Vec<Token>,
-    /// The index of the next token; past the last one, the end is repeated.
+    /// The index of the next token. Beyond the last token, [`TokenKind::End`] is repeated.
     next: usize,
-    /// How many expressions enclose the present one.
+    /// The nesting depth of the expression that is being parsed.
     depth: u32,
 }
 
@@ -75,13 +75,13 @@
         token
     }
 
-    /// The line of the last token that was taken.
+    /// Returns the line of the last token that was taken.
     fn last_line(&self) -> u32 {
         self.tokens[self.next.saturating_sub(1)].position.line
     }
 
-    fn is_sign(&self, sign: &str) -> bool {
-        matches!(&self.peek().kind, TokenKind::Sign(found) if *found == sign)
+    fn is_symbol(&self, symbol: &str) -> bool {
+        matches!(&self.peek().kind, TokenKind::Symbol(found) if *found == symbol)
     }
 
     fn is_word(&self, word: &str) -> bool {
@@ -92,15 +92,16 @@
         PolicyError::new(self.peek().position, reason)
     }
 
-    fn expect_sign(&mut self, sign: &'static str) -> Result<(), PolicyError> {
-        self.skip_if(self.is_sign(sign), sign)
+    fn expect_symbol(&mut self, symbol: &'static str) -> Result<(), PolicyError> {
+        self.expect(self.is_symbol(symbol), symbol)
     }
 
     fn expect_word(&mut self, word: &'static str) -> Result<(), PolicyError> {
-        self.skip_if(self.is_word(word), word)
+        self.expect(self.is_word(word), word)
     }
 
-    fn skip_if(&mut self, is_found: bool, expected: &'static str) -> Result<(), PolicyError> {
+    /// Skips the next token if it is the expected one, and fails otherwise.
+    fn expect(&mut self, is_found: bool, expected: &'static str) -> Result<(), PolicyError> {
         if !is_found {
             return Err(self.error_here(PolicyErrorReason::ExpectedToken(expected)));
         }
@@ -108,32 +109,37 @@
         Ok(())
     }
 
+    /// Returns the binary operator that the next token stands for, if any.
     fn operator(&self) -> Option<BinaryOperator> {
         Some(match &self.peek().kind {
             TokenKind::Word(word) if word == "or" => BinaryOperator::Or,
             TokenKind::Word(word) if word == "and" => BinaryOperator::And,
-            TokenKind::Sign("==") => BinaryOperator::Equal,
-            TokenKind::Sign("!=") => BinaryOperator::NotEqual,
-            TokenKind::Sign("<") => BinaryOperator::Less,
-            TokenKind::Sign("<=") => BinaryOperator::LessOrEqual,
-            TokenKind::Sign(">") => BinaryOperator::Greater,
-            TokenKind::Sign(">=") => BinaryOperator::GreaterOrEqual,
-            TokenKind::Sign("+") => BinaryOperator::Add,
-            TokenKind::Sign("-") => BinaryOperator::Subtract,
-            TokenKind::Sign("*") => BinaryOperator::Multiply,
-            TokenKind::Sign("/") => BinaryOperator::Divide,
+            TokenKind::Symbol("==") => BinaryOperator::Equal,
+            TokenKind::Symbol("!=") => BinaryOperator::NotEqual,
+            TokenKind::Symbol("<") => BinaryOperator::Less,
+            TokenKind::Symbol("<=") => BinaryOperator::LessOrEqual,
+            TokenKind::Symbol(">") => BinaryOperator::Greater,
+            TokenKind::Symbol(">=") => BinaryOperator::GreaterOrEqual,
+            TokenKind::Symbol("+") => BinaryOperator::Add,
+            TokenKind::Symbol("-") => BinaryOperator::Subtract,
+            TokenKind::Symbol("*") => BinaryOperator::Multiply,
+            TokenKind::Symbol("/") => BinaryOperator::Divide,
             _ => return None,
         })
     }
 
-    /// An expression of operators that bind more tightly than `above`, from the left.
-    fn expression(&mut self, above: u8) -> Result<Expression, PolicyError> {
+    /// Parses an expression whose operators all have a higher precedence than `above_precedence`. Operators
+    /// of equal precedence associate to the left.
+    fn expression(&mut self, above_precedence: u8) -> Result<Expression, PolicyError> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
             return Err(self.error_here(PolicyErrorReason::NestedTooDeeply));
         }
         let mut left = self.operand()?;
-        while let Some(operator) = self.operator().filter(|next| next.precedence() > above) {
+        while let Some(operator) = self
+            .operator()
+            .filter(|next| next.precedence() > above_precedence)
+        {
             self.next += 1;
             let right = self.expression(operator.precedence())?;
             left = Expression {
@@ -150,12 +156,12 @@
         let node = match kind {
             TokenKind::Number(number) => Node::Number(number),
             TokenKind::Text(text) => Node::Text(text),
-            TokenKind::Sign("(") => {
+            TokenKind::Symbol("(") => {
                 let inner = self.expression(0)?;
-                self.expect_sign(")")?;
+                self.expect_symbol(")")?;
                 return Ok(inner);
             }
-            TokenKind::Sign("-") => Node::Negate(self.boxed_expression(NEGATE_PRECEDENCE)?),
+            TokenKind::Symbol("-") => Node::Negate(self.boxed_expression(NEGATE_PRECEDENCE)?),
             TokenKind::Word(word) => self.word_operand(word)?,
             _ => {
                 let reason = PolicyErrorReason::ExpectedValue;
@@ -165,14 +171,14 @@
         Ok(Expression { position, node })
     }
 
-    /// The operand that begins with a word, which has been taken.
+    /// Parses the rest of an operand that begins with a word, which has been taken.
     fn word_operand(&mut self, word: String) -> Result<Node, PolicyError> {
         Ok(match word.as_str() {
             "true" => Node::Bool(true),
             "false" => Node::Bool(false),
             "not" => Node::Not(self.boxed_expression(NOT_PRECEDENCE)?),
-            "if" => self.choice()?,
-            _ if self.is_sign("(") => {
+            "if" => self.conditional()?,
+            _ if self.is_symbol("(") => {
                 self.next += 1;
                 Node::Call(word, self.arguments()?)
             }
@@ -180,7 +186,8 @@
         })
     }
 
-    fn choice(&mut self) -> Result<Node, PolicyError> {
+    /// Parses the rest of a conditional expression after its `if`.
+    fn conditional(&mut self) -> Result<Node, PolicyError> {
         let condition = self.boxed_expression(0)?;
         self.expect_word("then")?;
         let then = self.boxed_expression(0)?;
@@ -193,21 +200,21 @@
         })
     }
 
-    fn boxed_expression(&mut self, above: u8) -> Result<Box<Expression>, PolicyError> {
-        self.expression(above).map(Box::new)
+    fn boxed_expression(&mut self, above_precedence: u8) -> Result<Box<Expression>, PolicyError> {
+        self.expression(above_precedence).map(Box::new)
     }
 
-    /// A function's arguments up to the closing parenthesis; the opening one has been taken.
+    /// Parses a function's arguments and the closing parenthesis; the opening one has been taken.
     fn arguments(&mut self) -> Result<Vec<Expression>, PolicyError> {
         let mut arguments = Vec::new();
-        if self.is_sign(")") {
+        if self.is_symbol(")") {
             self.next += 1;
             return Ok(arguments);
         }
         loop {
             arguments.push(self.expression(0)?);
-            if !self.is_sign(",") {
-                self.expect_sign(")")?;
+            if !self.is_symbol(",") {
+                self.expect_symbol(")")?;
                 return Ok(arguments);
             }
             self.next += 1;
--- a/crates/saltpitch-core/src/policy/rules.rs
+++ b/crates/saltpitch-core/src/policy/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that a policy consists of, and the variables that they may use.
+//! The rules that a policy can set, and the variables that they may use.
 
 use std::fmt;
 
@@ -36,31 +36,32 @@
 
 /// The names of the rules.
 pub mod rule {
-    /// How long an idle machine is kept, in seconds.
+    /// How long an idle machine is kept before it is returned, in seconds.
     pub const IDLE_KEEP: &str = "idle_keep_s";
-    /// How long the members of an incomplete gang keep their capacity, in seconds.
+    /// How long the members of an incomplete gang hold their capacity, in seconds.
     pub const GANG_WAIT: &str = "gang_wait_s";
-    /// Whether a job that may use spot machines does.
+    /// Whether jobs that may use spot machines do use them.
     pub const USE_SPOT: &str = "use_spot";
-    /// Batch work that is not urgent gets no machines that cost more than this many times the cheapest.
+    /// For batch work that is not urgent, no machines are ordered that cost more than this many times the
+    /// cheapest.
     pub const MAX_PRICE_RATIO: &str = "dear_ratio";
     /// Whether replicas are moved off expensive or nearly empty machines.
     pub const CONSOLIDATE: &str = "consolidate";
-    /// How soon batch work is to be under way, in seconds.
+    /// The target time for draining the backlog of batch work, in seconds.
     pub const BATCH_COMPLETION_TARGET: &str = "drain_s";
 }
 
-/// A rule: its name, what values it may have, and the variables that it may use.
+/// A rule: its name, the values that it may have, and the variables that it may use.
 pub(super) struct Rule {
-    /// The name.
+    /// The rule's name.
     pub(super) name: &'static str,
-    /// The type of its value.
+    /// The type of the rule's value.
     pub(super) value_type: ValueType,
-    /// The least value, of a number.
+    /// The least value of a rule that is a number.
     pub(super) min: f64,
-    /// The most, of a number.
+    /// The greatest value of a rule that is a number.
     pub(super) max: f64,
-    /// The groups of variables that have values when the rule is evaluated.
+    /// The scopes whose variables have values when the rule is evaluated.
     pub(super) scopes: &'static [&'static str],
 }
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The rule with this name.
+    /// Returns the rule with this name.
     pub(super) fn find(name: &str) -> Option<&'static Rule> {
         RULES.iter().find(|rule| rule.name == name)
     }
@@ -114,7 +115,7 @@
     ),
 ];
 
-/// All variables; what precedes the point is the group.
+/// All variables with their types. The part of a name before the dot is the variable's scope.
 const VARIABLES: &[(&str, ValueType)] = &[
     ("job.class", ValueType::Text),
     ("job.team", ValueType::Text),
@@ -136,7 +137,7 @@
     ("cluster.jobs", ValueType::Number),
 ];
 
-/// The type of a variable, if there is such a variable.
+/// Returns the type of the variable with this name, if there is one.
 pub(super) fn variable_type(name: &str) -> Option<ValueType> {
     let variable = VARIABLES.iter().find(|(known, _)| *known == name);
     variable.map(|(_, value_type)| *value_type)
--- a/crates/saltpitch-core/src/policy/tests.rs
+++ b/crates/saltpitch-core/src/policy/tests.rs
@@ -1,4 +1,4 @@
-//! Policies: what is accepted, what it evaluates to, and what is said of mistakes.
+//! Tests of policies: accepted texts, the values of their rules, and error messages.
 
 use super::check::checked_rules;
 use super::rules::RULES;
@@ -84,7 +84,7 @@
     assert!(Policy::parse(&deep).is_err());
 }
 
-/// The examples in the operators' page are read and checked as they stand there.
+/// The examples in the policy documentation are valid policies.
 #[test]
 fn the_documented_examples_hold() {
     let page = include_str!("../../../../docs/policy.md");
@@ -97,7 +97,7 @@
     assert!(found >= 3, "{found} examples");
 }
 
-/// The texts that operators see, word for word.
+/// The exact error messages for policies that are rejected.
 #[test]
 fn errors_have_exact_messages() {
     for (text, message) in [
@@ -161,7 +161,7 @@
     assert_eq!(error.to_string(), "1:75: nested too deeply");
 }
 
-/// The faults that operators see in the log, word for word.
+/// The exact messages for faults at evaluation, which are logged for operators.
 #[test]
 fn faults_are_reported_in_these_words() {
     let large = format!("1{}", "0".repeat(200));
