--- a/crates/saltpitch-core/src/machine/mod.rs
+++ b/crates/saltpitch-core/src/machine/mod.rs
@@ -114,7 +114,7 @@
     }
 
     /// Whether new tasks may be placed here now.
-    pub fn takes_tasks(&self) -> bool {
+    pub fn is_schedulable(&self) -> bool {
         self.is_up()
             && self.lifecycle.is_recorded()
             && self.agent.is_fenced()
--- a/crates/saltpitch-core/src/machine_index.rs
+++ b/crates/saltpitch-core/src/machine_index.rs
@@ -311,7 +311,7 @@
 
     /// Anything about the machine that counts for placement may have changed.
     pub fn update(&mut self, machine: &mut Machine) {
-        let free = machine.takes_tasks().then(|| machine.free());
+        let free = machine.is_schedulable().then(|| machine.free());
         self.set_free_capacity(machine, free);
     }
 
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -69,7 +69,7 @@
     /// Whether only work that can be saved is here, and nobody has needed the accelerators for long.
     fn sharing_is_over(&self, machine: &Machine, now: Micros) -> bool {
         let allocations = &machine.allocations;
-        machine.takes_tasks()
+        machine.is_schedulable()
             && !allocations.is_empty()
             && self
                 .autoscaler
--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -80,7 +80,7 @@
         // Found by a test: what had just come up was neither pending nor in use yet, and was ordered
         // once more.
         let just_up = idle.filter(|machine| {
-            machine.takes_tasks() && now.since(machine.lifecycle.up_since()) < JUST_UP
+            machine.is_schedulable() && now.since(machine.lifecycle.up_since()) < JUST_UP
         });
         let is_pending = |machine: &&Machine| {
             let is_booting =
--- a/crates/saltpitch-core/src/scheduler/consolidation.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -82,7 +82,7 @@
     /// Whether only replicas that have run for a while are on the machine, and leave much of it free.
     fn is_movable(&self, machine: &Machine, now: Micros) -> bool {
         let allocations = &machine.allocations;
-        machine.takes_tasks()
+        machine.is_schedulable()
             && !allocations.is_empty()
             && allocations.used().cpu * 10 <= machine.machine_type.size.cpu * MAX_USED_TENTHS
             && allocations.iter().all(|(number, task)| {
--- a/crates/saltpitch-core/src/scheduler/preemption/options.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/options.rs
@@ -41,7 +41,7 @@
         };
         let machines = names.iter().filter_map(|name| self.inventory.get(name));
         let suitable = machines.filter(|machine| {
-            machine.takes_tasks()
+            machine.is_schedulable()
                 && Self::zone_allows(job, &machine.zone)
                 && !job.failures.avoids(&machine.name, now)
         });
--- a/crates/saltpitch-core/src/scheduler/summary.rs
+++ b/crates/saltpitch-core/src/scheduler/summary.rs
@@ -44,7 +44,7 @@
         let mut usage = MachineUsage::default();
         for machine in self.inventory.iter().filter(|machine| machine.is_up()) {
             usage.up += 1;
-            usage.unschedulable += usize::from(!machine.takes_tasks());
+            usage.unschedulable += usize::from(!machine.is_schedulable());
             let name = machine.machine_type.name.as_str();
             let of_type = usage.by_type.entry(name).or_default();
             of_type.name = name;
--- a/crates/saltpitch-core/tests/machine.rs
+++ b/crates/saltpitch-core/tests/machine.rs
@@ -240,16 +240,19 @@
     let changes = machine.status_received(&status(1, 1, 4), context(2));
     assert!(changes.registered && !changes.fenced);
     machine.lifecycle.set_recorded();
-    assert!(!machine.takes_tasks(), "an earlier leader may start tasks");
+    assert!(
+        !machine.is_schedulable(),
+        "an earlier leader may start tasks"
+    );
     let changes = machine.status_received(&status(1, 2, 5), context(4));
     assert!(changes.fenced && !changes.registered);
-    assert!(machine.takes_tasks());
+    assert!(machine.is_schedulable());
     machine.connectivity.set_unresponsive(true);
-    assert!(!machine.takes_tasks());
+    assert!(!machine.is_schedulable());
     machine.status_received(&status(1, 3, 5), context(6));
-    assert!(machine.takes_tasks(), "it is heard again");
+    assert!(machine.is_schedulable(), "it is heard again");
     machine.cordon.close();
-    assert!(!machine.takes_tasks());
+    assert!(!machine.is_schedulable());
 }
 
 #[test]
