--- a/crates/saltpitch-core/src/machine/mod.rs
+++ b/crates/saltpitch-core/src/machine/mod.rs
@@ -131,7 +131,7 @@
     }
 
     /// How long it would take to have the largest of its images elsewhere.
-    pub fn image_worth(&self) -> Micros {
+    pub fn max_image_fetch_time(&self) -> Micros {
         self.machine_type.fetch_time(self.images.largest_mb())
     }
 
--- a/crates/saltpitch-core/src/scheduler/scale_in.rs
+++ b/crates/saltpitch-core/src/scheduler/scale_in.rs
@@ -22,7 +22,7 @@
         let limit = self.inventory.group_of(machine).idle_keep();
         let requested_at = self.autoscaler.accelerators_requested_at();
         if machine.machine_type.size.gpu > 0 && now.since(requested_at) < limit {
-            limit.plus(machine.image_worth())
+            limit.plus(machine.max_image_fetch_time())
         } else {
             limit
         }
