--- a/crates/saltpitch-core/src/machine/allocation_set.rs
+++ b/crates/saltpitch-core/src/machine/allocation_set.rs
@@ -18,7 +18,7 @@
     unowned: Vec<TaskStatus>,
     idle_since: Micros,
     /// When a task that needs what this machine is kept for was last here.
-    wanted_at: Micros,
+    last_intended_use: Micros,
 }
 
 impl AllocationSet {
@@ -30,7 +30,7 @@
             steady_cpu: 0,
             unowned: Vec::new(),
             idle_since: now,
-            wanted_at: now,
+            last_intended_use: now,
         }
     }
 
@@ -70,8 +70,8 @@
     }
 
     /// When a task that needs what this machine is kept for was last here.
-    pub fn wanted_at(&self) -> Micros {
-        self.wanted_at
+    pub fn last_intended_use(&self) -> Micros {
+        self.last_intended_use
     }
 
     /// Tasks that the agent lists without an allocation here.
@@ -109,7 +109,7 @@
             self.steady_cpu = self.steady_cpu.saturating_sub(spec.need.cpu);
         }
         if wanted {
-            self.wanted_at = now;
+            self.last_intended_use = now;
         }
         if self.tasks.is_empty() {
             self.idle_since = now;
@@ -119,7 +119,7 @@
     /// The machine came up: the time that it is idle counts from now.
     pub fn machine_registered(&mut self, now: Micros) {
         self.idle_since = now;
-        self.wanted_at = now;
+        self.last_intended_use = now;
     }
 
     /// The agent's newest list of tasks without an allocation here. Returns the one before.
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -35,7 +35,8 @@
         now: Micros,
     ) -> bool {
         !self.contested_for(spec, &machine.machine_type.size)
-            || now.since(machine.allocations.wanted_at()) < self.idle_time_limit(machine, now)
+            || now.since(machine.allocations.last_intended_use())
+                < self.idle_time_limit(machine, now)
     }
 
     /// Whether machines of this size may take tasks of the job at all. Machines whose accelerators others
@@ -75,7 +76,7 @@
                 .autoscaler
                 .accelerator_demand()
                 .is_contested(&machine.machine_type.size)
-            && now.since(allocations.wanted_at()) > self.idle_time_limit(machine, now)
+            && now.since(allocations.last_intended_use()) > self.idle_time_limit(machine, now)
             && allocations.iter().all(|(number, task)| {
                 let job = self.job_table.get(number);
                 job.is_some_and(|job| shares_and_saves(job, task))
--- a/crates/saltpitch-core/src/scheduler/scale_in.rs
+++ b/crates/saltpitch-core/src/scheduler/scale_in.rs
@@ -61,7 +61,7 @@
                 let limit = self.idle_time_limit(machine, now);
                 machine.cordon.is_active()
                     || now.since(machine.allocations.idle_since()) > limit
-                    || now.since(machine.allocations.wanted_at()) > limit
+                    || now.since(machine.allocations.last_intended_use()) > limit
             }
             MachinePhase::Unregistered => {
                 let clock = self.provisioning_clock(now);
