--- a/crates/saltpitch-core/src/machine/connectivity.rs
+++ b/crates/saltpitch-core/src/machine/connectivity.rs
@@ -13,9 +13,9 @@
     /// Direct questions to an agent that is not heard.
     pub probes: Probes,
     /// Signs that answers don't reach the agent although its heartbeats arrive.
-    pub inbound: InboundPartition,
+    pub inbound_partition: InboundPartition,
     /// Signs that heartbeats don't arrive although the agent answers direct calls.
-    pub outbound: OutboundPartition,
+    pub outbound_partition: OutboundPartition,
 }
 
 impl Connectivity {
@@ -31,7 +31,9 @@
 
     /// Whether nothing speaks against commands having an effect and the lease being renewed.
     pub fn is_reachable(&self) -> bool {
-        !self.unresponsive && !self.outbound.is_detected() && !self.inbound.is_suspected()
+        !self.unresponsive
+            && !self.outbound_partition.is_detected()
+            && !self.inbound_partition.is_suspected()
     }
 
     /// A status arrived that is newer than what was known.
@@ -43,7 +45,7 @@
 
     /// A heartbeat arrived that is answered.
     pub fn heartbeat_received(&mut self) {
-        self.outbound = OutboundPartition::default();
+        self.outbound_partition = OutboundPartition::default();
     }
 
     /// Judged by the time since the agent was last heard. Says whether that is a change.
--- a/crates/saltpitch-core/src/machine/inbound_partition.rs
+++ b/crates/saltpitch-core/src/machine/inbound_partition.rs
@@ -11,7 +11,7 @@
 
 /// What one heartbeat shows of the answers to earlier ones.
 #[derive(Clone, Copy, Debug)]
-pub struct HeartbeatSigns {
+pub struct AnswerEvidence {
     /// The heartbeat's place among the statuses of its epoch.
     pub sequence: u64,
     /// The highest fencing token that the agent has seen.
@@ -41,7 +41,7 @@
     /// When it last showed that an answer reached it.
     answer_seen_at: Option<Micros>,
     /// Since when it is suspected: two signs in a row, since any one answer or call may be lost.
-    since: Option<Micros>,
+    suspected_since: Option<Micros>,
     /// Heartbeats that came since then, and when the first did. A machine behind a partition in both
     /// directions sends none, and when that ends, calls get through soon after the delayed heartbeats.
     heartbeats: u32,
@@ -50,7 +50,7 @@
 
 impl InboundPartition {
     /// The heartbeat is answered with this fencing token.
-    pub fn answered_with(&mut self, fencing_token: u64, heartbeat: HeartbeatSigns) {
+    pub fn answer_sent(&mut self, fencing_token: u64, heartbeat: AnswerEvidence) {
         let is_higher = |answered: AnsweredToken| answered.fencing_token < fencing_token;
         let is_news = heartbeat.fencing_token < fencing_token;
         if is_news && self.unseen_token.is_none_or(is_higher) {
@@ -64,7 +64,7 @@
     /// A heartbeat arrived.
     pub fn heartbeat_received(
         &mut self,
-        heartbeat: HeartbeatSigns,
+        heartbeat: AnswerEvidence,
         heartbeat_freshness: Micros,
         now: Micros,
     ) {
@@ -82,7 +82,7 @@
             self.answer_seen_at = Some(now);
         }
         self.reassess(heartbeat_freshness, now);
-        if self.since.is_some() {
+        if self.suspected_since.is_some() {
             self.heartbeats += 1;
             self.first_heartbeat_at.get_or_insert(now);
         }
@@ -118,16 +118,16 @@
             .answer_seen_at
             .is_some_and(|at| now.since(at) < heartbeat_freshness);
         if self.ignored_answers >= SIGNS || (self.failed_calls >= SIGNS && !answer_seen) {
-            self.since.get_or_insert(now);
+            self.suspected_since.get_or_insert(now);
         } else {
-            self.since = None;
+            self.suspected_since = None;
             self.heartbeats = 0;
             self.first_heartbeat_at = None;
         }
     }
 
     /// Whether its heartbeats have come without any sign of an answer for longer than `wait`.
-    pub fn is_certain(&self, wait: Micros, now: Micros) -> bool {
+    pub fn is_confirmed(&self, wait: Micros, now: Micros) -> bool {
         self.heartbeats >= SIGNS
             && self
                 .first_heartbeat_at
@@ -136,11 +136,11 @@
 
     /// Whether there are signs that answers don't reach it.
     pub fn is_suspected(&self) -> bool {
-        self.since.is_some()
+        self.suspected_since.is_some()
     }
 
     /// Since when there are signs that answers don't reach it.
-    pub fn since(&self) -> Option<Micros> {
-        self.since
+    pub fn suspected_since(&self) -> Option<Micros> {
+        self.suspected_since
     }
 }
--- a/crates/saltpitch-core/src/machine/mod.rs
+++ b/crates/saltpitch-core/src/machine/mod.rs
@@ -29,7 +29,7 @@
 pub use connectivity::Connectivity;
 pub use cordon::Cordon;
 pub use image_cache::{ImageChanges, LocalImages};
-pub use inbound_partition::{HeartbeatSigns, InboundPartition};
+pub use inbound_partition::{AnswerEvidence, InboundPartition};
 pub use lease::AgentLease;
 pub use lifecycle::{Lifecycle, MachinePhase};
 pub use outbound_partition::OutboundPartition;
--- a/crates/saltpitch-core/src/machine/outbound_partition.rs
+++ b/crates/saltpitch-core/src/machine/outbound_partition.rs
@@ -24,12 +24,12 @@
     }
 
     /// For how long the machine has answered direct calls without sending heartbeats.
-    pub fn lasted(&self, now: Micros) -> Micros {
+    pub fn duration(&self, now: Micros) -> Micros {
         self.since.map_or(Micros::ZERO, |since| now.since(since))
     }
 
     /// The machine can't be judged now; the time counts anew.
-    pub fn restart(&mut self) {
+    pub fn reset_timer(&mut self) {
         self.since = None;
     }
 
--- a/crates/saltpitch-core/src/machine/status.rs
+++ b/crates/saltpitch-core/src/machine/status.rs
@@ -76,7 +76,7 @@
             let recent = context.now.since(self.lease.last_answer()) < context.lease;
             let answered = context.is_heartbeat && self.agent.is_fenced() && recent;
             let heartbeat_freshness = context.heartbeat_freshness;
-            let inbound = &mut self.connectivity.inbound;
+            let inbound = &mut self.connectivity.inbound_partition;
             inbound.epoch_started(answered, heartbeat_freshness, context.now);
         }
         removed_images
--- a/crates/saltpitch-core/src/scheduler/agent_health.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_health.rs
@@ -144,13 +144,15 @@
             && machine.lifecycle.created_at() < self.leader_term.elected_at();
         let needs_probe = may_be_up
             || (is_expected && silence > interval.times(MISSED_HEARTBEAT))
-            || connectivity.inbound.is_suspected();
+            || connectivity.inbound_partition.is_suspected();
         let probes_failed =
             connectivity.probes.have_failed() && silence > interval.times(TWO_MISSED_HEARTBEATS);
         let gone_after = interval.times(GONE_INTERVALS).plus(SILENCE_MARGIN);
         // An agent that does not receive any answers is as good as gone: no command has an effect.
         let partition_wait = interval.times(TWO_MISSED_HEARTBEATS);
-        let is_partitioned = connectivity.inbound.is_certain(partition_wait, now);
+        let is_partitioned = connectivity
+            .inbound_partition
+            .is_confirmed(partition_wait, now);
         AgentAssessment {
             needs_probe,
             is_unresponsive: machine.is_up() && silence > self.heartbeat_freshness(),
@@ -221,7 +223,7 @@
         };
         if !machine.is_up() || machine.connectivity.is_unresponsive() || !others_are_heard {
             // After a partition in both directions a machine answers calls before it sends a heartbeat.
-            machine.connectivity.outbound.restart();
+            machine.connectivity.outbound_partition.reset_timer();
             return;
         }
         let wait = if machine.lease.was_answered() {
@@ -238,11 +240,12 @@
             return;
         }
         let connectivity = &mut machine.connectivity;
-        let is_new = connectivity.outbound.detect(now);
+        let is_new = connectivity.outbound_partition.detect(now);
         let is_late = silence > self.config.lease.times(EVICTION_PART_OF_LEASE)
-            && connectivity.outbound.lasted(now) > interval.times(TWO_MISSED_HEARTBEATS)
-            && !connectivity.inbound.is_suspected();
-        let is_to_be_evicted = is_late && connectivity.outbound.begin_eviction();
+            && connectivity.outbound_partition.duration(now)
+                > interval.times(TWO_MISSED_HEARTBEATS)
+            && !connectivity.inbound_partition.is_suspected();
+        let is_to_be_evicted = is_late && connectivity.outbound_partition.begin_eviction();
         if is_new {
             self.inventory.update(name);
         }
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -5,7 +5,7 @@
 
 use super::Scheduler;
 use crate::agent::{Command, Heartbeat};
-use crate::machine::{HeartbeatSigns, Machine, StatusChanges, StatusContext};
+use crate::machine::{AnswerEvidence, Machine, StatusChanges, StatusContext};
 use crate::time::Micros;
 
 /// How long the record of a new address may wait: only a later leader needs it, and the cloud's list has it
@@ -52,7 +52,7 @@
         check_answerable(machine, &heartbeat)?;
         machine.lease.renew(now);
         machine.connectivity.heartbeat_received();
-        let signs = HeartbeatSigns {
+        let signs = AnswerEvidence {
             sequence: heartbeat.sequence,
             fencing_token: heartbeat.fencing_token,
             follows_answer: self.config.nodes > 1 && machine.agent.follows_answer(&heartbeat),
@@ -71,7 +71,7 @@
         &mut self,
         name: &Arc<str>,
         agent_epoch: u64,
-        signs: HeartbeatSigns,
+        signs: AnswerEvidence,
         now: Micros,
     ) -> Result<(), HeartbeatRejection> {
         let heartbeat_freshness = self.heartbeat_freshness();
@@ -81,9 +81,9 @@
         if agent_epoch < machine.agent.epoch() {
             return Err(HeartbeatRejection::OldSession);
         }
-        let inbound = &mut machine.connectivity.inbound;
+        let inbound = &mut machine.connectivity.inbound_partition;
         inbound.heartbeat_received(signs, heartbeat_freshness, now);
-        inbound.answered_with(self.leader_term.term(), signs);
+        inbound.answer_sent(self.leader_term.term(), signs);
         machine.agent.heartbeat_answered(signs.sequence);
         self.inventory.update(name);
         Ok(())
@@ -133,7 +133,7 @@
         let Some(machine) = self.inventory.get_mut(&status.machine) else {
             return;
         };
-        let inbound = &mut machine.connectivity.inbound;
+        let inbound = &mut machine.connectivity.inbound_partition;
         inbound.direct_call_ended(true, heartbeat_freshness, now);
         let name = machine.name.clone();
         self.apply_status(&name, status, false, now);
@@ -148,7 +148,7 @@
             return;
         };
         machine.connectivity.probes.unanswered();
-        let inbound = &mut machine.connectivity.inbound;
+        let inbound = &mut machine.connectivity.inbound_partition;
         inbound.direct_call_ended(false, heartbeat_freshness, now);
         let name = machine.name.clone();
         self.inventory.update(&name);
--- a/crates/saltpitch-core/src/scheduler/command_retries.rs
+++ b/crates/saltpitch-core/src/scheduler/command_retries.rs
@@ -67,7 +67,7 @@
     };
     machine.is_up()
         && !machine.connectivity.is_unresponsive()
-        && !machine.connectivity.inbound.is_suspected()
+        && !machine.connectivity.inbound_partition.is_suspected()
         && now.since(start.since) > ACKNOWLEDGEMENT_WAIT
         && start.fencing_token >= term
 }
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -194,7 +194,7 @@
             outcome,
             CommandOutcome::Executed(_) | CommandOutcome::Stale(_)
         );
-        let inbound = &mut machine.connectivity.inbound;
+        let inbound = &mut machine.connectivity.inbound_partition;
         inbound.direct_call_ended(is_answered, heartbeat_freshness, now);
         match outcome {
             CommandOutcome::Executed(status) | CommandOutcome::Stale(status) => {
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -242,7 +242,7 @@
             if !machine.is_up() {
                 continue;
             }
-            if machine.connectivity.inbound.is_suspected() {
+            if machine.connectivity.inbound_partition.is_suspected() {
                 counts.inbound_partitioned += 1;
                 continue;
             }
--- a/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
@@ -32,7 +32,7 @@
     fn new<'a>(machines: impl Iterator<Item = &'a Machine>) -> LastHeard {
         let mut by_zone: HashMap<Arc<str>, Vec<Micros>> = HashMap::new();
         for machine in machines {
-            if machine.is_up() && !machine.connectivity.inbound.is_suspected() {
+            if machine.is_up() && !machine.connectivity.inbound_partition.is_suspected() {
                 let times = by_zone.entry(machine.zone.clone()).or_default();
                 times.push(machine.connectivity.last_heard());
             }
@@ -115,8 +115,8 @@
         let interval = self.config.heartbeat_interval;
         let connectivity = &machine.connectivity;
         let wait = interval.times(TWO_MISSED_HEARTBEATS);
-        match connectivity.inbound.since() {
-            Some(since) if connectivity.inbound.is_certain(wait, now) => Span {
+        match connectivity.inbound_partition.suspected_since() {
+            Some(since) if connectivity.inbound_partition.is_confirmed(wait, now) => Span {
                 after: since,
                 until: now,
             },
--- a/crates/saltpitch-core/tests/machine.rs
+++ b/crates/saltpitch-core/tests/machine.rs
@@ -4,7 +4,7 @@
 
 use harness::{catalog, heartbeat, secs, spec, Arc, Heartbeat, JobKind, Micros, Resources};
 use saltpitch_core::machine::{
-    AgentLease, AgentState, CommandChannel, Cordon, HeartbeatSigns, InboundPartition, Lifecycle,
+    AgentLease, AgentState, AnswerEvidence, CommandChannel, Cordon, InboundPartition, Lifecycle,
     LocalImages, Machine, MachinePhase, OutboundPartition, Probes, StatusContext,
 };
 use saltpitch_core::machine_index::MachineIndex;
@@ -42,8 +42,8 @@
     }
 }
 
-fn signs(sequence: u64, fencing_token: u64) -> HeartbeatSigns {
-    HeartbeatSigns {
+fn signs(sequence: u64, fencing_token: u64) -> AnswerEvidence {
+    AnswerEvidence {
         sequence,
         fencing_token,
         follows_answer: false,
@@ -140,14 +140,14 @@
 #[test]
 fn two_ignored_answers_make_an_inbound_partition_suspected_and_heartbeats_make_it_certain() {
     let mut inbound = InboundPartition::default();
-    inbound.answered_with(7, signs(1, 5));
+    inbound.answer_sent(7, signs(1, 5));
     inbound.heartbeat_received(signs(2, 5), FRESHNESS, secs(2));
     assert!(!inbound.is_suspected(), "one answer may be lost");
     inbound.heartbeat_received(signs(3, 5), FRESHNESS, secs(4));
-    assert_eq!(inbound.since(), Some(secs(4)));
+    assert_eq!(inbound.suspected_since(), Some(secs(4)));
     inbound.heartbeat_received(signs(4, 5), FRESHNESS, secs(6));
-    assert!(!inbound.is_certain(secs(3), secs(6)));
-    assert!(inbound.is_certain(secs(3), secs(8)));
+    assert!(!inbound.is_confirmed(secs(3), secs(6)));
+    assert!(inbound.is_confirmed(secs(3), secs(8)));
     inbound.heartbeat_received(signs(5, 7), FRESHNESS, secs(9));
     assert!(!inbound.is_suspected(), "the token was seen");
 }
@@ -155,7 +155,7 @@
 #[test]
 fn failed_calls_count_only_while_no_answer_was_seen() {
     let mut inbound = InboundPartition::default();
-    let follows = HeartbeatSigns {
+    let follows = AnswerEvidence {
         follows_answer: true,
         ..signs(2, 5)
     };
@@ -174,9 +174,9 @@
     let mut outbound = OutboundPartition::default();
     assert!(outbound.detect(secs(5)));
     assert!(!outbound.detect(secs(7)));
-    assert_eq!(outbound.lasted(secs(9)), secs(4));
-    outbound.restart();
-    assert_eq!(outbound.lasted(secs(9)), Micros::ZERO);
+    assert_eq!(outbound.duration(secs(9)), secs(4));
+    outbound.reset_timer();
+    assert_eq!(outbound.duration(secs(9)), Micros::ZERO);
     assert!(outbound.is_detected(), "until the next heartbeat");
     assert!(outbound.begin_eviction());
     assert!(!outbound.begin_eviction());
