--- a/crates/saltpitch-core/src/machine/agent_state.rs
+++ b/crates/saltpitch-core/src/machine/agent_state.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether this heartbeat, or a later one of its epoch, was taken in before.
-    pub fn is_repeated(&self, heartbeat: &Heartbeat) -> bool {
+    pub fn is_stale_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.agent_epoch == self.epoch && heartbeat.sequence <= self.heartbeat_sequence
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// The answer to this heartbeat carries a start.
-    pub fn start_answered(&mut self, sequence: u64) {
+    pub fn start_sent(&mut self, sequence: u64) {
         self.start_sequence = self.start_sequence.max(sequence);
     }
 
--- a/crates/saltpitch-core/src/machine/command_channel.rs
+++ b/crates/saltpitch-core/src/machine/command_channel.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub struct CommandChannel {
     in_flight: bool,
-    next_at: Micros,
+    next_call_at: Micros,
     unacknowledged_start: Option<UnacknowledgedStart>,
 }
 
@@ -26,13 +26,13 @@
     }
 
     /// Before when no call is sent.
-    pub fn next_at(&self) -> Micros {
-        self.next_at
+    pub fn next_call_at(&self) -> Micros {
+        self.next_call_at
     }
 
     /// Whether a call may be sent.
     pub fn is_ready(&self, now: Micros) -> bool {
-        !self.in_flight && now >= self.next_at
+        !self.in_flight && now >= self.next_call_at
     }
 
     /// The start that the agent may still execute.
@@ -46,19 +46,19 @@
     }
 
     /// A call is sent; the next one follows after `interval` at the earliest.
-    pub fn sent(&mut self, interval: Micros, now: Micros) {
+    pub fn call_sent(&mut self, interval: Micros, now: Micros) {
         self.in_flight = true;
-        self.next_at = now.plus(interval);
+        self.next_call_at = now.plus(interval);
     }
 
     /// The call is over, answered or not.
-    pub fn ended(&mut self) {
+    pub fn call_ended(&mut self) {
         self.in_flight = false;
     }
 
     /// The next call is sent after `backoff` at the earliest.
     pub fn back_off(&mut self, backoff: Micros, now: Micros) {
-        self.next_at = now.plus(backoff);
+        self.next_call_at = now.plus(backoff);
     }
 
     /// A call with a start got no answer.
--- a/crates/saltpitch-core/src/machine/connectivity.rs
+++ b/crates/saltpitch-core/src/machine/connectivity.rs
@@ -37,10 +37,10 @@
     }
 
     /// A status arrived that is newer than what was known.
-    pub fn agent_heard(&mut self, now: Micros) {
+    pub fn status_received(&mut self, now: Micros) {
         self.last_heard = now;
         self.unresponsive = false;
-        self.probes.agent_heard();
+        self.probes.status_received();
     }
 
     /// A heartbeat arrived that is answered.
--- a/crates/saltpitch-core/src/machine/probes.rs
+++ b/crates/saltpitch-core/src/machine/probes.rs
@@ -11,7 +11,7 @@
     next_at: Micros,
     sent_at: Micros,
     /// When the last probe that got no answer was sent.
-    last_unanswered_at: Micros,
+    last_failed_probe_sent_at: Micros,
     /// Probes without an answer since the agent was last heard.
     failed: u32,
 }
@@ -28,24 +28,24 @@
     }
 
     /// When the last probe that got no answer was sent.
-    pub fn last_unanswered_at(&self) -> Micros {
-        self.last_unanswered_at
+    pub fn last_failed_probe_sent_at(&self) -> Micros {
+        self.last_failed_probe_sent_at
     }
 
     /// A probe is sent; the next one follows after `interval` at the earliest.
-    pub fn sent(&mut self, interval: Micros, now: Micros) {
+    pub fn probe_sent(&mut self, interval: Micros, now: Micros) {
         self.next_at = now.plus(interval);
         self.sent_at = now;
     }
 
     /// The last probe got no answer.
-    pub fn unanswered(&mut self) {
+    pub fn probe_failed(&mut self) {
         self.failed += 1;
-        self.last_unanswered_at = self.sent_at;
+        self.last_failed_probe_sent_at = self.sent_at;
     }
 
     /// The agent was heard.
-    pub fn agent_heard(&mut self) {
+    pub fn status_received(&mut self) {
         self.failed = 0;
     }
 }
--- a/crates/saltpitch-core/src/machine/status.rs
+++ b/crates/saltpitch-core/src/machine/status.rs
@@ -49,7 +49,7 @@
         if changes.address_changed {
             self.addr.clone_from(&status.addr);
         }
-        self.connectivity.agent_heard(now);
+        self.connectivity.status_received(now);
         let token = status.fencing_token;
         changes.fenced = self.agent.token_observed(token, context.first_term, now);
         self.commands.token_observed(token);
--- a/crates/saltpitch-core/src/scheduler/agent_health.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_health.rs
@@ -192,7 +192,7 @@
         } else {
             REGISTRATION_PROBE_INTERVAL
         };
-        machine.connectivity.probes.sent(interval, now);
+        machine.connectivity.probes.probe_sent(interval, now);
         self.dispatch.probe_sent();
         self.effects.push(Effect::Probe {
             machine: name.clone(),
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -147,7 +147,7 @@
         let Some(machine) = self.inventory.get_mut(name) else {
             return;
         };
-        machine.connectivity.probes.unanswered();
+        machine.connectivity.probes.probe_failed();
         let inbound = &mut machine.connectivity.inbound_partition;
         inbound.direct_call_ended(false, heartbeat_freshness, now);
         let name = machine.name.clone();
@@ -225,7 +225,7 @@
     // An agent has one heartbeat in flight: by sending a later one it has given up all before it, and the
     // lease counts from when a heartbeat was sent. So a copy that comes late renews nothing, and its agent
     // does not wait for an answer to it.
-    if machine.agent.is_repeated(heartbeat) {
+    if machine.agent.is_stale_heartbeat(heartbeat) {
         return Err(HeartbeatRejection::Repeated);
     }
     Ok(())
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -87,7 +87,7 @@
         }
         if let (Some(sequence), false) = (answering, starts.is_empty()) {
             if let Some(machine) = self.inventory.get_mut(name) {
-                machine.agent.start_answered(sequence);
+                machine.agent.start_sent(sequence);
             }
         }
         commands.extend(starts);
@@ -155,7 +155,8 @@
             return;
         }
         if !machine.commands.is_ready(now) {
-            self.dispatch.request_at(name, machine.commands.next_at());
+            self.dispatch
+                .request_at(name, machine.commands.next_call_at());
             return;
         }
         if !machine.is_up() || machine.addr.is_empty() {
@@ -170,7 +171,7 @@
         let Some(machine) = self.inventory.get_mut(name) else {
             return;
         };
-        machine.commands.sent(REPEAT_INTERVAL, now);
+        machine.commands.call_sent(REPEAT_INTERVAL, now);
         self.dispatch.command_sent();
         self.effects.push(Effect::SendCommands {
             machine: name.clone(),
@@ -189,7 +190,7 @@
         let Some(machine) = self.inventory.get_mut(name) else {
             return;
         };
-        machine.commands.ended();
+        machine.commands.call_ended();
         let is_answered = matches!(
             outcome,
             CommandOutcome::Executed(_) | CommandOutcome::Stale(_)
--- a/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
@@ -124,7 +124,7 @@
                 after: connectivity
                     .last_heard()
                     .plus(interval.times(MISSED_HEARTBEAT)),
-                until: connectivity.probes.last_unanswered_at(),
+                until: connectivity.probes.last_failed_probe_sent_at(),
             },
         }
     }
--- a/crates/saltpitch-core/tests/machine.rs
+++ b/crates/saltpitch-core/tests/machine.rs
@@ -84,13 +84,13 @@
     let mut agent = AgentState::default();
     agent.status_received(&status(1, 7, 0));
     agent.heartbeat_answered(7);
-    assert!(agent.is_repeated(&status(1, 7, 0)));
+    assert!(agent.is_stale_heartbeat(&status(1, 7, 0)));
     assert!(agent.follows_answer(&status(1, 8, 0)));
     assert!(!agent.is_newer(&status(1, 6, 0)));
     let first_of_second = status(2, 1, 0);
     assert!(agent.is_newer(&first_of_second));
     agent.status_received(&first_of_second);
-    assert!(!agent.is_repeated(&first_of_second));
+    assert!(!agent.is_stale_heartbeat(&first_of_second));
     assert!(!agent.follows_answer(&status(2, 2, 0)), "none was answered");
 }
 
@@ -99,7 +99,7 @@
     let mut agent = AgentState::default();
     agent.status_received(&status(1, 1, 0));
     agent.heartbeat_answered(1);
-    agent.start_answered(1);
+    agent.start_sent(1);
     assert!(agent.may_receive_start());
     agent.heartbeat_answered(2);
     assert!(!agent.may_receive_start());
@@ -121,9 +121,9 @@
 #[test]
 fn an_unacknowledged_start_ends_with_a_higher_token_or_a_new_epoch() {
     let mut commands = CommandChannel::default();
-    commands.sent(secs(2), secs(10));
+    commands.call_sent(secs(2), secs(10));
     assert!(!commands.is_ready(secs(60)), "the call is under way");
-    commands.ended();
+    commands.call_ended();
     commands.back_off(secs(1), secs(11));
     assert!(!commands.is_ready(secs(11)));
     assert!(commands.is_ready(secs(12)));
@@ -185,16 +185,16 @@
 #[test]
 fn two_unanswered_probes_count_until_the_agent_is_heard() {
     let mut probes = Probes::default();
-    probes.sent(secs(1), secs(10));
+    probes.probe_sent(secs(1), secs(10));
     assert!(!probes.is_due(Micros(secs(11).0 - 1)));
     assert!(probes.is_due(secs(11)));
-    probes.unanswered();
+    probes.probe_failed();
     assert!(!probes.have_failed());
-    probes.sent(secs(1), secs(11));
-    probes.unanswered();
+    probes.probe_sent(secs(1), secs(11));
+    probes.probe_failed();
     assert!(probes.have_failed());
-    assert_eq!(probes.last_unanswered_at(), secs(11));
-    probes.agent_heard();
+    assert_eq!(probes.last_failed_probe_sent_at(), secs(11));
+    probes.status_received();
     assert!(!probes.have_failed());
 }
 
