--- a/crates/saltpitch-core/src/machine/cordon.rs
+++ b/crates/saltpitch-core/src/machine/cordon.rs
@@ -19,7 +19,7 @@
     }
 
     /// Closes the machine to new tasks.
-    pub fn close(&mut self) {
+    pub fn activate(&mut self) {
         self.active = true;
     }
 
--- a/crates/saltpitch-core/src/machine/image_cache.rs
+++ b/crates/saltpitch-core/src/machine/image_cache.rs
@@ -86,7 +86,7 @@
     }
 
     /// The images were restored from the records, which prove them for this epoch of the agent.
-    pub fn restored(&mut self, agent_epoch: u64) {
+    pub fn mark_restored(&mut self, agent_epoch: u64) {
         self.restored_epoch = Some(agent_epoch);
     }
 
--- a/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
+++ b/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
@@ -53,7 +53,7 @@
         let Some(machine) = self.inventory.get_mut(name) else {
             return Vec::new();
         };
-        machine.cordon.close();
+        machine.cordon.activate();
         let tasks = machine.allocations.to_vec();
         self.inventory.update(name);
         tasks
--- a/crates/saltpitch-core/src/scheduler/recovery.rs
+++ b/crates/saltpitch-core/src/scheduler/recovery.rs
@@ -130,7 +130,7 @@
         else {
             return;
         };
-        machine.images.restored(cache.agent_epoch);
+        machine.images.mark_restored(cache.agent_epoch);
         let count = cache.images.len() as u64;
         for (i, image) in cache.images.iter().enumerate() {
             // In the order of their use, and all before this leader's own time.
--- a/crates/saltpitch-core/tests/machine.rs
+++ b/crates/saltpitch-core/tests/machine.rs
@@ -214,11 +214,11 @@
 #[test]
 fn restored_images_are_dropped_by_a_later_epoch_only() {
     let mut images = LocalImages::default();
-    images.restored(3);
+    images.mark_restored(3);
     images.use_image("a", 40, 100, secs(1));
     assert!(images.epoch_observed(3).is_empty());
     assert!(images.epoch_observed(4).is_empty(), "it was heard before");
-    images.restored(3);
+    images.mark_restored(3);
     assert_eq!(images.epoch_observed(4), ["a"]);
     assert!(!images.contains("a"));
 }
@@ -251,7 +251,7 @@
     assert!(!machine.is_schedulable());
     machine.status_received(&status(1, 3, 5), context(6));
     assert!(machine.is_schedulable(), "it is heard again");
-    machine.cordon.close();
+    machine.cordon.activate();
     assert!(!machine.is_schedulable());
 }
 
