--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -25,11 +25,11 @@
 pub(crate) enum JobOwner {
     /// This one.
     #[default]
-    Here,
+    Local,
     /// This one, until a record under way says otherwise.
     Reserved,
     /// Another one may own it.
-    Elsewhere,
+    Remote,
 }
 
 /// A waiting job that could be delegated.
@@ -118,7 +118,7 @@
             return;
         };
         if job.owner == JobOwner::Reserved {
-            job.owner = JobOwner::Here;
+            job.owner = JobOwner::Local;
             job.times.came_back_at = now;
             self.enqueue(number, now);
         }
@@ -194,10 +194,10 @@
         }
         let before = job.owner;
         if record.is_delegated() {
-            job.owner = JobOwner::Elsewhere;
+            job.owner = JobOwner::Remote;
             self.job_table.dequeue(number);
-        } else if before == JobOwner::Elsewhere {
-            job.owner = JobOwner::Here;
+        } else if before == JobOwner::Remote {
+            job.owner = JobOwner::Local;
             job.times.came_back_at = now;
             self.enqueue(number, now);
         }
@@ -210,7 +210,7 @@
         records: &RecordCache,
         now: Micros,
     ) {
-        let elsewhere = |job: &&Job| job.owner == JobOwner::Elsewhere;
+        let elsewhere = |job: &&Job| job.owner == JobOwner::Remote;
         let Some(job) = self.job_table.get(number).filter(elsewhere) else {
             return;
         };
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -150,8 +150,8 @@
                 false => entry.record.state,
             },
             owner: match entry.record.is_delegated() {
-                true => JobOwner::Elsewhere,
-                false => JobOwner::Here,
+                true => JobOwner::Remote,
+                false => JobOwner::Local,
             },
             guest: entry.record.guest.clone(),
             times: JobTimes::new(submitted),
--- a/crates/saltpitch-core/src/scheduler/job_table/job.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/job.rs
@@ -110,7 +110,7 @@
 
     /// Its tasks may be placed: it is neither over nor delegated, and its dependencies are done.
     pub(in crate::scheduler) fn is_active(&self) -> bool {
-        self.owner == JobOwner::Here
+        self.owner == JobOwner::Local
             && self.state == JobState::Active
             && !self.is_complete()
             && self.unmet_dependencies.is_empty()
