--- a/crates/saltpitch-core/src/controller/peer_heartbeats.rs
+++ b/crates/saltpitch-core/src/controller/peer_heartbeats.rs
@@ -22,7 +22,7 @@
             term_incarnation: term.incarnation,
             is_leader: self.may_answer(now),
             store_reachable: store.reachable,
-            redirected_workers: self.recently_redirected(now),
+            redirected_agents: self.recently_redirected(now),
             protocol_version: PROTOCOL_VERSION,
             ack_request: None,
             ack: None,
@@ -179,7 +179,7 @@
         self.peers
             .values()
             .filter(|p| p.is_alive(now))
-            .map(|p| p.status.redirected_workers as usize)
+            .map(|p| p.status.redirected_agents as usize)
             .max()
             .unwrap_or(0)
     }
--- a/crates/saltpitch-core/src/messages.rs
+++ b/crates/saltpitch-core/src/messages.rs
@@ -36,7 +36,7 @@
     pub store_reachable: bool,
     /// How many agents lately sent a heartbeat to the sender and were redirected.
     #[serde(rename = "knocks")]
-    pub redirected_workers: u32,
+    pub redirected_agents: u32,
     /// See [`PROTOCOL_VERSION`]; 0 if the sender left it out.
     #[serde(rename = "version", default)]
     pub protocol_version: u32,
--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -87,7 +87,7 @@
         term_incarnation: 1,
         is_leader: false,
         store_reachable: false,
-        redirected_workers: 0,
+        redirected_agents: 0,
         protocol_version: PROTOCOL_VERSION,
         ack_request: None,
         ack: None,
--- a/crates/saltpitch-core/tests/frame_samples.rs
+++ b/crates/saltpitch-core/tests/frame_samples.rs
@@ -41,7 +41,7 @@
         term_incarnation: 1_700_000_000_000_000,
         is_leader: false,
         store_reachable: true,
-        redirected_workers: 3,
+        redirected_agents: 3,
         protocol_version: 1,
         ack_request: None,
         ack: None,
--- a/crates/saltpitch-testkit/src/trace.rs
+++ b/crates/saltpitch-testkit/src/trace.rs
@@ -164,7 +164,7 @@
         self.number(answer.term_incarnation);
         self.number(u64::from(answer.is_leader));
         self.number(u64::from(answer.store_reachable));
-        self.number(u64::from(answer.redirected_workers));
+        self.number(u64::from(answer.redirected_agents));
         for job in answer.ack.iter().flat_map(|ack| &ack.cancelled) {
             self.text(job);
         }
