--- a/crates/saltpitch-core/src/agent.rs
+++ b/crates/saltpitch-core/src/agent.rs
@@ -15,9 +15,9 @@
     /// It was stopped by a command.
     Stopped,
     /// Another task of its gang is gone.
-    Peers,
+    PeerLost,
     /// Its gang was not complete in time.
-    Incomplete,
+    GangIncomplete,
     /// It failed, by a fault of the machine or of the job.
     Error,
     /// Its start was refused: too little is free on the machine.
@@ -25,7 +25,7 @@
     /// Its start was refused: another attempt of the task is still on the machine.
     Busy,
     /// Its start was refused: the agent could not find such a job or task.
-    Unknown,
+    NotFound,
 }
 
 /// What a task does on a machine.
--- a/crates/saltpitch-core/src/scheduler/task_exits.rs
+++ b/crates/saltpitch-core/src/scheduler/task_exits.rs
@@ -38,10 +38,10 @@
                 self.task_completed(number, task, now);
             }
             Some(ExitCause::Error) => backoff = self.task_failed(number, task, now),
-            Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
+            Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::NotFound) => {
                 self.task_refused(number, machine, now);
             }
-            Some(ExitCause::Stopped | ExitCause::Peers | ExitCause::Incomplete) | None => {}
+            Some(ExitCause::Stopped | ExitCause::PeerLost | ExitCause::GangIncomplete) | None => {}
         }
         self.release(number, task, now);
         if backoff > Micros::ZERO {
--- a/crates/saltpitch-testkit/src/agents.rs
+++ b/crates/saltpitch-testkit/src/agents.rs
@@ -205,7 +205,7 @@
             .iter()
             .any(|((other, _), held)| other == task && !held.exited());
         let (state, run) = match spec_of(&task.0) {
-            None => (refused(ExitCause::Unknown), Micros::ZERO),
+            None => (refused(ExitCause::NotFound), Micros::ZERO),
             Some(_) if is_busy => (refused(ExitCause::Busy), Micros::ZERO),
             Some(spec) if !spec.need.plus(&self.used(spec_of)).fits(&self.size) => {
                 (refused(ExitCause::NoRoom), Micros::ZERO)
--- a/crates/saltpitch-testkit/src/simulation/agents.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -221,7 +221,7 @@
                     member.until = now.plus(member.run);
                 }
                 TaskState::Waiting if now.since(member.until) > gang_wait => {
-                    member.state = exited(ExitCause::Incomplete);
+                    member.state = exited(ExitCause::GangIncomplete);
                 }
                 TaskState::Running if counts.running == size && member.until <= now => {
                     finished = true;
@@ -230,7 +230,7 @@
                     if counts.running + counts.done < size
                         && now.plus(member.run).since(member.until) > gang_peer =>
                 {
-                    member.state = exited(ExitCause::Peers);
+                    member.state = exited(ExitCause::PeerLost);
                 }
                 _ => {}
             }
--- a/crates/saltpitch/src/wire/agents.rs
+++ b/crates/saltpitch/src/wire/agents.rs
@@ -65,12 +65,12 @@
         match raw {
             RawCause::Done => ExitCause::Done,
             RawCause::Halted => ExitCause::Stopped,
-            RawCause::Peers => ExitCause::Peers,
-            RawCause::Incomplete => ExitCause::Incomplete,
+            RawCause::Peers => ExitCause::PeerLost,
+            RawCause::Incomplete => ExitCause::GangIncomplete,
             RawCause::Error => ExitCause::Error,
             RawCause::NoRoom => ExitCause::NoRoom,
             RawCause::Busy => ExitCause::Busy,
-            RawCause::NoSuch => ExitCause::Unknown,
+            RawCause::NoSuch => ExitCause::NotFound,
         }
     }
 }
--- a/crates/saltpitch/tests/end_to_end/site/agent_protocol.rs
+++ b/crates/saltpitch/tests/end_to_end/site/agent_protocol.rs
@@ -29,12 +29,12 @@
     match cause {
         ExitCause::Done => "done",
         ExitCause::Stopped => "halted",
-        ExitCause::Peers => "peers",
-        ExitCause::Incomplete => "incomplete",
+        ExitCause::PeerLost => "peers",
+        ExitCause::GangIncomplete => "incomplete",
         ExitCause::Error => "error",
         ExitCause::NoRoom => "no_room",
         ExitCause::Busy => "busy",
-        ExitCause::Unknown => "no_such",
+        ExitCause::NotFound => "no_such",
     }
 }
 
