--- a/crates/saltpitch-core/src/controller/mod.rs
+++ b/crates/saltpitch-core/src/controller/mod.rs
@@ -263,7 +263,7 @@
         }
         if let Some(leadership) = &mut self.leadership {
             let returned = |name: &str| self.records.returned_machines.contains(name);
-            leadership.scheduler.listed(page, &returned, now);
+            leadership.scheduler.machines_listed(page, &returned, now);
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -33,7 +33,7 @@
 impl Scheduler {
     /// An agent's heartbeat. The answer is the commands to send back. `is_returned`: the records say that the
     /// machine was returned.
-    pub fn heartbeat(
+    pub fn heartbeat_received(
         &mut self,
         heartbeat: Heartbeat,
         is_returned: bool,
--- a/crates/saltpitch-core/src/scheduler/cloud_listing.rs
+++ b/crates/saltpitch-core/src/scheduler/cloud_listing.rs
@@ -69,7 +69,7 @@
 
     /// The cloud's list. What is on it is there, or was a while ago; absence proves nothing. `is_returned`:
     /// whether the records say that a machine was returned.
-    pub fn listed(
+    pub fn machines_listed(
         &mut self,
         list: &[ListedMachine],
         is_returned: &dyn Fn(&str) -> bool,
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -308,7 +308,7 @@
         tasks: &[TaskStatus],
     ) -> Vec<Command> {
         self.scheduler
-            .heartbeat(heartbeat(machine, zone, sequence, tasks), false, self.now)
+            .heartbeat_received(heartbeat(machine, zone, sequence, tasks), false, self.now)
             .expect("the report is answered")
     }
 }
--- a/crates/saltpitch-core/tests/harness/site.rs
+++ b/crates/saltpitch-core/tests/harness/site.rs
@@ -112,10 +112,10 @@
             ..heartbeat(name, &zone, self.sequence, &seen)
         };
         // A machine that was returned is heard no more.
-        let Ok(commands) = self
-            .harness
-            .scheduler
-            .heartbeat(heartbeat, false, self.harness.now)
+        let Ok(commands) =
+            self.harness
+                .scheduler
+                .heartbeat_received(heartbeat, false, self.harness.now)
         else {
             return;
         };
--- a/crates/saltpitch-core/tests/large_site.rs
+++ b/crates/saltpitch-core/tests/large_site.rs
@@ -83,7 +83,11 @@
         let name = format!("vm-{machine:05}");
         let heartbeat = heartbeat(&name, zone_of(machine), self.sequence, &tasks);
         let now = self.harness.now;
-        let Ok(commands) = self.harness.scheduler.heartbeat(heartbeat, false, now) else {
+        let Ok(commands) = self
+            .harness
+            .scheduler
+            .heartbeat_received(heartbeat, false, now)
+        else {
             return;
         };
         for order in commands {
--- a/crates/saltpitch-core/tests/limits.rs
+++ b/crates/saltpitch-core/tests/limits.rs
@@ -200,7 +200,7 @@
                 spot_notice: None,
                 tasks: Vec::new(),
             };
-            let _ = self.scheduler.heartbeat(r, false, self.now);
+            let _ = self.scheduler.heartbeat_received(r, false, self.now);
         }
         for _ in 0..20 {
             self.now = self.now.plus(Micros::from_millis(50));
@@ -287,7 +287,7 @@
                 failed: true,
                 age: secs(100),
             };
-            d.scheduler.listed(&[gone], &|_| false, d.now);
+            d.scheduler.machines_listed(&[gone], &|_| false, d.now);
         }
         d.second(&names, s + 1, &there);
     }
--- a/crates/saltpitch-core/tests/provisioning_times.rs
+++ b/crates/saltpitch-core/tests/provisioning_times.rs
@@ -144,11 +144,12 @@
     let late = cloud.site.harness.ordered_machines[2].clone();
     cloud.seconds(40, one_very_late);
     let heartbeat = heartbeat(&late.name, &late.zone, 1_000, &[]);
-    let answer = cloud
-        .site
-        .harness
-        .scheduler
-        .heartbeat(heartbeat, false, cloud.site.harness.now);
+    let answer =
+        cloud
+            .site
+            .harness
+            .scheduler
+            .heartbeat_received(heartbeat, false, cloud.site.harness.now);
     assert!(cloud.site.harness.returns.contains(&late.name));
     assert!(answer.is_err(), "{answer:?}");
 }
--- a/crates/saltpitch-core/tests/scheduler.rs
+++ b/crates/saltpitch-core/tests/scheduler.rs
@@ -142,7 +142,7 @@
             d.pass(Micros::from_millis(200));
             assert!(d
                 .scheduler
-                .heartbeat(said(sequence, m), false, d.now)
+                .heartbeat_received(said(sequence, m), false, d.now)
                 .is_ok());
         }
     }
@@ -154,7 +154,10 @@
     }
     // The cut ends, and they are heard again one after the other.
     for m in 0..10 {
-        assert!(d.scheduler.heartbeat(said(9, m), false, d.now).is_ok());
+        assert!(d
+            .scheduler
+            .heartbeat_received(said(9, m), false, d.now)
+            .is_ok());
         d.pass(Micros::from_millis(100));
     }
     assert!(d.returns.is_empty(), "{:?}", d.returns);
@@ -394,7 +397,7 @@
                 if agent_epoch == 1 { &runs } else { &[] },
             )
         };
-        let commands = d.scheduler.heartbeat(r, false, d.now);
+        let commands = d.scheduler.heartbeat_received(r, false, d.now);
         again += commands.map_or(0, |o| starts(&o));
     }
     assert!(d.returns.contains("vm-1"), "returned in the end");
@@ -411,17 +414,20 @@
     d.pass(secs(1));
     assert_eq!(starts(&d.heartbeat("vm-1", "east", 2, &[])), 1);
     let last = heartbeat("vm-1", "east", 3, &[seen("job-1", TaskState::Running)]);
-    assert!(d.scheduler.heartbeat(last.clone(), false, d.now).is_ok());
+    assert!(d
+        .scheduler
+        .heartbeat_received(last.clone(), false, d.now)
+        .is_ok());
     let mut elsewhere = 0;
     for i in 0..10 {
         d.pass(secs(2));
-        let copy = d.scheduler.heartbeat(last.clone(), false, d.now);
+        let copy = d.scheduler.heartbeat_received(last.clone(), false, d.now);
         assert!(copy.is_err(), "nobody listens for an answer to it");
         elsewhere += starts(&d.heartbeat("vm-2", "east", i + 1, &[]));
     }
     assert!(elsewhere > 0, "its lease was over after 14 s");
     d.scheduler.scale_in_confirmed(&["vm-1".into()], d.now);
-    assert!(d.scheduler.heartbeat(last, false, d.now).is_err());
+    assert!(d.scheduler.heartbeat_received(last, false, d.now).is_err());
     assert!(
         !d.scheduler.summary().contains("machines 2 "),
         "{}",
@@ -522,7 +528,7 @@
         d.heartbeat("vm-000001", "east", sequence, &[]);
         let mut second = heartbeat("vm-000002", "east", sequence, &[]);
         second.agent_epoch = agent_epoch;
-        let _ = d.scheduler.heartbeat(second, false, d.now);
+        let _ = d.scheduler.heartbeat_received(second, false, d.now);
         d.pass(secs(1));
     }
     let mut replica = spec(JobKind::Service, 1, 1);
--- a/crates/saltpitch-testkit/src/nodes.rs
+++ b/crates/saltpitch-testkit/src/nodes.rs
@@ -191,7 +191,7 @@
             return nobody;
         };
         let fencing_token = leader.term();
-        match leader.heartbeat(heartbeat, returned, now) {
+        match leader.heartbeat_received(heartbeat, returned, now) {
             Ok(commands) => HeartbeatAnswer::Commands {
                 fencing_token,
                 commands,
--- a/crates/saltpitch-testkit/src/simulation/cloud.rs
+++ b/crates/saltpitch-testkit/src/simulation/cloud.rs
@@ -111,7 +111,7 @@
             let records = simulation.nodes[node_index].records();
             let returned = records.returned_machines.clone();
             simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
-                scheduler.listed(&list, &|machine| returned.contains(machine), now)
+                scheduler.machines_listed(&list, &|machine| returned.contains(machine), now)
             });
         });
     }
