--- a/crates/saltpitch-core/src/machine/mod.rs
+++ b/crates/saltpitch-core/src/machine/mod.rs
@@ -29,7 +29,7 @@
 pub use connectivity::Connectivity;
 pub use cordon::Cordon;
 pub use image_cache::{ImageChanges, LocalImages};
-pub use inbound_partition::{HeartbeatSigns, InboundPartition};
+pub use inbound_partition::{AnswerEvidence, InboundPartition};
 pub use lease::AgentLease;
 pub use lifecycle::{Lifecycle, MachinePhase};
 pub use outbound_partition::OutboundPartition;
@@ -114,7 +114,7 @@
     }
 
     /// Whether new tasks may be placed here now.
-    pub fn takes_tasks(&self) -> bool {
+    pub fn is_schedulable(&self) -> bool {
         self.is_up()
             && self.lifecycle.is_recorded()
             && self.agent.is_fenced()
@@ -131,7 +131,7 @@
     }
 
     /// How long it would take to have the largest of its images elsewhere.
-    pub fn image_worth(&self) -> Micros {
+    pub fn max_image_fetch_time(&self) -> Micros {
         self.machine_type.fetch_time(self.images.largest_mb())
     }
 
--- a/crates/saltpitch-core/src/machine/status.rs
+++ b/crates/saltpitch-core/src/machine/status.rs
@@ -49,7 +49,7 @@
         if changes.address_changed {
             self.addr.clone_from(&status.addr);
         }
-        self.connectivity.agent_heard(now);
+        self.connectivity.status_received(now);
         let token = status.fencing_token;
         changes.fenced = self.agent.token_observed(token, context.first_term, now);
         self.commands.token_observed(token);
@@ -76,7 +76,7 @@
             let recent = context.now.since(self.lease.last_answer()) < context.lease;
             let answered = context.is_heartbeat && self.agent.is_fenced() && recent;
             let heartbeat_freshness = context.heartbeat_freshness;
-            let inbound = &mut self.connectivity.inbound;
+            let inbound = &mut self.connectivity.inbound_partition;
             inbound.epoch_started(answered, heartbeat_freshness, context.now);
         }
         removed_images
--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -80,7 +80,7 @@
         // A machine that has just come up counts as pending until tasks are placed on it; otherwise it would
         // be neither pending nor in use and would be ordered a second time. Found by a test.
         let newly_up = idle.filter(|machine| {
-            machine.takes_tasks() && now.since(machine.lifecycle.up_since()) < NEWLY_UP_PERIOD
+            machine.is_schedulable() && now.since(machine.lifecycle.up_since()) < NEWLY_UP_PERIOD
         });
         let is_pending = |machine: &&Machine| {
             let is_booting = machine.lifecycle.is_unregistered()
--- a/crates/saltpitch-core/src/scheduler/scale_in.rs
+++ b/crates/saltpitch-core/src/scheduler/scale_in.rs
@@ -24,7 +24,7 @@
         let limit = self.inventory.group_of(machine).idle_keep();
         let requested_at = self.autoscaler.accelerators_requested_at();
         if machine.machine_type.size.gpu > 0 && now.since(requested_at) < limit {
-            limit.plus(machine.image_worth())
+            limit.plus(machine.max_image_fetch_time())
         } else {
             limit
         }
@@ -64,7 +64,7 @@
                 let limit = self.idle_time_limit(machine, now);
                 machine.cordon.is_active()
                     || now.since(machine.allocations.idle_since()) > limit
-                    || now.since(machine.allocations.wanted_at()) > limit
+                    || now.since(machine.allocations.last_intended_use()) > limit
             }
             MachinePhase::Unregistered => {
                 let context = self.provisioning_context(now);
--- a/crates/saltpitch-core/tests/machine.rs
+++ b/crates/saltpitch-core/tests/machine.rs
@@ -4,7 +4,7 @@
 
 use harness::{catalog, heartbeat, secs, spec, Arc, Heartbeat, JobKind, Micros, Resources};
 use saltpitch_core::machine::{
-    AgentLease, AgentState, CommandChannel, Cordon, HeartbeatSigns, InboundPartition, Lifecycle,
+    AgentLease, AgentState, AnswerEvidence, CommandChannel, Cordon, InboundPartition, Lifecycle,
     LocalImages, Machine, MachinePhase, OutboundPartition, Probes, StatusContext,
 };
 use saltpitch_core::machine_index::MachineIndex;
@@ -42,8 +42,8 @@
     }
 }
 
-fn signs(sequence: u64, fencing_token: u64) -> HeartbeatSigns {
-    HeartbeatSigns {
+fn signs(sequence: u64, fencing_token: u64) -> AnswerEvidence {
+    AnswerEvidence {
         sequence,
         fencing_token,
         follows_answer: false,
@@ -84,13 +84,13 @@
     let mut agent = AgentState::default();
     agent.status_received(&status(1, 7, 0));
     agent.heartbeat_answered(7);
-    assert!(agent.is_repeated(&status(1, 7, 0)));
+    assert!(agent.is_stale_heartbeat(&status(1, 7, 0)));
     assert!(agent.follows_answer(&status(1, 8, 0)));
     assert!(!agent.is_newer(&status(1, 6, 0)));
     let first_of_second = status(2, 1, 0);
     assert!(agent.is_newer(&first_of_second));
     agent.status_received(&first_of_second);
-    assert!(!agent.is_repeated(&first_of_second));
+    assert!(!agent.is_stale_heartbeat(&first_of_second));
     assert!(!agent.follows_answer(&status(2, 2, 0)), "none was answered");
 }
 
@@ -99,7 +99,7 @@
     let mut agent = AgentState::default();
     agent.status_received(&status(1, 1, 0));
     agent.heartbeat_answered(1);
-    agent.start_answered(1);
+    agent.start_sent(1);
     assert!(agent.may_receive_start());
     agent.heartbeat_answered(2);
     assert!(!agent.may_receive_start());
@@ -121,9 +121,9 @@
 #[test]
 fn an_unacknowledged_start_ends_with_a_higher_token_or_a_new_epoch() {
     let mut commands = CommandChannel::default();
-    commands.sent(secs(2), secs(10));
+    commands.call_sent(secs(2), secs(10));
     assert!(!commands.is_ready(secs(60)), "the call is under way");
-    commands.ended();
+    commands.call_ended();
     commands.back_off(secs(1), secs(11));
     assert!(!commands.is_ready(secs(11)));
     assert!(commands.is_ready(secs(12)));
@@ -140,14 +140,14 @@
 #[test]
 fn two_ignored_answers_make_an_inbound_partition_suspected_and_heartbeats_make_it_certain() {
     let mut inbound = InboundPartition::default();
-    inbound.answered_with(7, signs(1, 5));
+    inbound.answer_sent(7, signs(1, 5));
     inbound.heartbeat_received(signs(2, 5), FRESHNESS, secs(2));
     assert!(!inbound.is_suspected(), "one answer may be lost");
     inbound.heartbeat_received(signs(3, 5), FRESHNESS, secs(4));
-    assert_eq!(inbound.since(), Some(secs(4)));
+    assert_eq!(inbound.suspected_since(), Some(secs(4)));
     inbound.heartbeat_received(signs(4, 5), FRESHNESS, secs(6));
-    assert!(!inbound.is_certain(secs(3), secs(6)));
-    assert!(inbound.is_certain(secs(3), secs(8)));
+    assert!(!inbound.is_confirmed(secs(3), secs(6)));
+    assert!(inbound.is_confirmed(secs(3), secs(8)));
     inbound.heartbeat_received(signs(5, 7), FRESHNESS, secs(9));
     assert!(!inbound.is_suspected(), "the token was seen");
 }
@@ -155,7 +155,7 @@
 #[test]
 fn failed_calls_count_only_while_no_answer_was_seen() {
     let mut inbound = InboundPartition::default();
-    let follows = HeartbeatSigns {
+    let follows = AnswerEvidence {
         follows_answer: true,
         ..signs(2, 5)
     };
@@ -174,9 +174,9 @@
     let mut outbound = OutboundPartition::default();
     assert!(outbound.detect(secs(5)));
     assert!(!outbound.detect(secs(7)));
-    assert_eq!(outbound.lasted(secs(9)), secs(4));
-    outbound.restart();
-    assert_eq!(outbound.lasted(secs(9)), Micros::ZERO);
+    assert_eq!(outbound.duration(secs(9)), secs(4));
+    outbound.reset_timer();
+    assert_eq!(outbound.duration(secs(9)), Micros::ZERO);
     assert!(outbound.is_detected(), "until the next heartbeat");
     assert!(outbound.begin_eviction());
     assert!(!outbound.begin_eviction());
@@ -185,16 +185,16 @@
 #[test]
 fn two_unanswered_probes_count_until_the_agent_is_heard() {
     let mut probes = Probes::default();
-    probes.sent(secs(1), secs(10));
+    probes.probe_sent(secs(1), secs(10));
     assert!(!probes.is_due(Micros(secs(11).0 - 1)));
     assert!(probes.is_due(secs(11)));
-    probes.unanswered();
+    probes.probe_failed();
     assert!(!probes.have_failed());
-    probes.sent(secs(1), secs(11));
-    probes.unanswered();
+    probes.probe_sent(secs(1), secs(11));
+    probes.probe_failed();
     assert!(probes.have_failed());
-    assert_eq!(probes.last_unanswered_at(), secs(11));
-    probes.agent_heard();
+    assert_eq!(probes.last_failed_probe_sent_at(), secs(11));
+    probes.status_received();
     assert!(!probes.have_failed());
 }
 
@@ -214,11 +214,11 @@
 #[test]
 fn restored_images_are_dropped_by_a_later_epoch_only() {
     let mut images = LocalImages::default();
-    images.restored(3);
+    images.mark_restored(3);
     images.use_image("a", 40, 100, secs(1));
     assert!(images.epoch_observed(3).is_empty());
     assert!(images.epoch_observed(4).is_empty(), "it was heard before");
-    images.restored(3);
+    images.mark_restored(3);
     assert_eq!(images.epoch_observed(4), ["a"]);
     assert!(!images.contains("a"));
 }
@@ -240,16 +240,19 @@
     let changes = machine.status_received(&status(1, 1, 4), context(2));
     assert!(changes.registered && !changes.fenced);
     machine.lifecycle.set_recorded();
-    assert!(!machine.takes_tasks(), "an earlier leader may start tasks");
+    assert!(
+        !machine.is_schedulable(),
+        "an earlier leader may start tasks"
+    );
     let changes = machine.status_received(&status(1, 2, 5), context(4));
     assert!(changes.fenced && !changes.registered);
-    assert!(machine.takes_tasks());
+    assert!(machine.is_schedulable());
     machine.connectivity.set_unresponsive(true);
-    assert!(!machine.takes_tasks());
+    assert!(!machine.is_schedulable());
     machine.status_received(&status(1, 3, 5), context(6));
-    assert!(machine.takes_tasks(), "it is heard again");
-    machine.cordon.close();
-    assert!(!machine.takes_tasks());
+    assert!(machine.is_schedulable(), "it is heard again");
+    machine.cordon.activate();
+    assert!(!machine.is_schedulable());
 }
 
 #[test]
