--- a/crates/saltpitch-core/src/controller/leader_election.rs
+++ b/crates/saltpitch-core/src/controller/leader_election.rs
@@ -184,7 +184,7 @@
         let redirected = self.most_redirected(now);
         let peers = self.live_peers(now);
         let others = self.config.peers.len();
-        let lease = self.config.scheduler.lease;
+        let lease = self.config.scheduler.agent_lease;
         let Some(leadership) = &mut self.leadership else {
             return false;
         };
--- a/crates/saltpitch-core/src/controller/mod.rs
+++ b/crates/saltpitch-core/src/controller/mod.rs
@@ -274,6 +274,9 @@
 
     /// How long agents may be answered after the last renewal or acknowledgement.
     fn answer_bound(&self) -> Micros {
-        answer_bound(self.config.scheduler.cancel, self.config.scheduler.lease)
+        answer_bound(
+            self.config.scheduler.cancel_timeout,
+            self.config.scheduler.agent_lease,
+        )
     }
 }
--- a/crates/saltpitch-core/src/scheduler/agent_health.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_health.rs
@@ -181,7 +181,7 @@
         };
         if !machine.connectivity.probes.is_due(now)
             || machine.addr.is_empty()
-            || self.dispatch.probes_in_flight() >= self.config.calls
+            || self.dispatch.probes_in_flight() >= self.config.max_concurrent_calls
         {
             return;
         }
@@ -239,7 +239,7 @@
         }
         let connectivity = &mut machine.connectivity;
         let is_new = connectivity.outbound.detect(now);
-        let is_late = silence > self.config.lease.times(EVICTION_PART_OF_LEASE)
+        let is_late = silence > self.config.agent_lease.times(EVICTION_PART_OF_LEASE)
             && connectivity.outbound.lasted(now) > interval.times(TWO_MISSED_HEARTBEATS)
             && !connectivity.inbound.is_suspected();
         let is_to_be_evicted = is_late && connectivity.outbound.begin_eviction();
@@ -256,11 +256,11 @@
     fn check_lease(&self, name: &Arc<str>, findings: &mut HealthFindings, now: Micros) -> Micros {
         let machine = self.inventory.get(name);
         let Some(machine) = machine.filter(|machine| !machine.allocations.is_empty()) else {
-            return now.plus(self.config.lease);
+            return now.plus(self.config.agent_lease);
         };
         let earlier_leaders_until = self.leader_term.previous_leader_fenced_at();
         let others_fenced_at = machine.agent.fenced_at().unwrap_or(earlier_leaders_until);
-        let duration = self.config.lease.with_drift();
+        let duration = self.config.agent_lease.with_drift();
         let lease_end = machine.lease.expires_at(others_fenced_at, duration);
         if now > lease_end {
             findings.lease_expired.push(name.clone());
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -55,7 +55,8 @@
         let signs = HeartbeatSigns {
             sequence: heartbeat.sequence,
             fencing_token: heartbeat.fencing_token,
-            follows_answer: self.config.nodes > 1 && machine.agent.follows_answer(&heartbeat),
+            follows_answer: self.config.controller_count > 1
+                && machine.agent.follows_answer(&heartbeat),
         };
         self.inventory.heartbeat_received(now);
         let agent_epoch = heartbeat.agent_epoch;
@@ -166,7 +167,7 @@
         let context = StatusContext {
             is_heartbeat,
             first_term: self.leader_term.first_term(),
-            lease: self.config.lease,
+            lease: self.config.agent_lease,
             heartbeat_freshness: self.heartbeat_freshness(),
             now,
         };
--- a/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
@@ -136,7 +136,7 @@
     ) -> ProvisioningClock {
         ProvisioningClock {
             heartbeat_interval: config.heartbeat_interval,
-            lease: config.lease,
+            lease: config.agent_lease,
             elected_at,
             now,
         }
--- a/crates/saltpitch-core/src/scheduler/command_retries.rs
+++ b/crates/saltpitch-core/src/scheduler/command_retries.rs
@@ -88,7 +88,7 @@
         };
         if let Some(stop) = allocation.stop.as_mut() {
             has_awaited = true;
-            let margin = config.gang_peer.plus(config.heartbeat_interval);
+            let margin = config.gang_peer_timeout.plus(config.heartbeat_interval);
             if now.since(stop.since) > stop.grace.plus(margin) {
                 stop.grace = Micros::ZERO;
             }
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -138,7 +138,7 @@
     /// Sends direct calls to the machines that need some, a bounded number at a time.
     pub(super) fn send_commands(&mut self, now: Micros) {
         self.dispatch.release_delayed(now);
-        while self.dispatch.commands_in_flight() < self.config.calls {
+        while self.dispatch.commands_in_flight() < self.config.max_concurrent_calls {
             let Some(name) = self.dispatch.next_pending() else {
                 return;
             };
--- a/crates/saltpitch-core/src/scheduler/interface.rs
+++ b/crates/saltpitch-core/src/scheduler/interface.rs
@@ -13,16 +13,16 @@
     /// The interval between an agent's heartbeats.
     pub heartbeat_interval: Micros,
     /// An agent's lease.
-    pub lease: Micros,
+    pub agent_lease: Micros,
     /// How long a gang's task runs on after another one is gone.
-    pub gang_peer: Micros,
+    pub gang_peer_timeout: Micros,
     /// The time within which the tasks of a cancelled job must be gone.
-    pub cancel: Micros,
+    pub cancel_timeout: Micros,
     /// Controllers in all.
-    pub nodes: usize,
+    pub controller_count: usize,
     /// Direct commands, and probes, that may be under way at a time: they must not crowd out heartbeats
     /// and users, and yet reach the many machines that may be lost at once.
-    pub calls: usize,
+    pub max_concurrent_calls: usize,
     /// The most changes in one transaction.
     pub max_transaction_writes: usize,
     /// Changes a second that a leader may write.
@@ -43,7 +43,7 @@
     /// What is expected of classes of jobs.
     pub objectives: Vec<Objective>,
     /// Work within a team's guarantee is to be started within this time.
-    pub guarantee_within: Micros,
+    pub guarantee_start_target: Micros,
     /// The operators' rules.
     pub policy: Policy,
 }
--- a/crates/saltpitch-core/src/scheduler/queue_order.rs
+++ b/crates/saltpitch-core/src/scheduler/queue_order.rs
@@ -128,7 +128,7 @@
         let is_guest = job.guest.is_some();
         let start_by = self.start_by(job, now).filter(|_| !is_guest);
         let is_starved = !is_guest && self.is_starved(job, now);
-        let is_young = now.since(job.times.queued) < self.config.guarantee_within;
+        let is_young = now.since(job.times.queued) < self.config.guarantee_start_target;
         let rank = match (job.priority, within_quota) {
             _ if is_guest => rank::GUEST,
             _ if at_fault => rank::REST,
--- a/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
@@ -78,6 +78,7 @@
     /// Whether many machines have been out of reach for less than a lease. After that what they held is
     /// lost and has to run elsewhere, whatever the reason.
     pub(super) fn too_many_unreachable(&mut self, now: Micros) -> bool {
-        self.inventory.too_many_unreachable(self.config.lease, now)
+        self.inventory
+            .too_many_unreachable(self.config.agent_lease, now)
     }
 }
--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -23,7 +23,7 @@
 fn scheduler_config() -> SchedulerConfig {
     SchedulerConfig {
         max_transaction_writes: 8,
-        nodes: 2,
+        controller_count: 2,
         log_segments: 64,
         teams: Vec::new(),
         objectives: Vec::new(),
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -33,12 +33,12 @@
 pub fn config() -> SchedulerConfig {
     SchedulerConfig {
         heartbeat_interval: secs(2),
-        lease: secs(14),
-        gang_peer: secs(5),
-        cancel: secs(44),
+        agent_lease: secs(14),
+        gang_peer_timeout: secs(5),
+        cancel_timeout: secs(44),
         max_transaction_writes: 16,
-        nodes: 3,
-        calls: 24,
+        controller_count: 3,
+        max_concurrent_calls: 24,
 
         max_transaction_bytes: 50_000,
         write_rate: 60.0,
@@ -60,7 +60,7 @@
             class: "night".to_owned(),
             target: ObjectiveTarget::Finished(secs(200)),
         }],
-        guarantee_within: secs(15),
+        guarantee_start_target: secs(15),
         policy: Policy::default(),
     }
 }
--- a/crates/saltpitch-core/tests/large_site.rs
+++ b/crates/saltpitch-core/tests/large_site.rs
@@ -14,9 +14,9 @@
 fn large_config() -> SchedulerConfig {
     let mut config = config();
     config.heartbeat_interval = secs(REPORT);
-    config.lease = secs(36);
-    config.cancel = secs(66);
-    config.calls = 128;
+    config.agent_lease = secs(36);
+    config.cancel_timeout = secs(66);
+    config.max_concurrent_calls = 128;
     config.max_transaction_writes = 48;
     config.write_rate = 200.0;
     config.max_value_bytes = 32 * 1024;
--- a/crates/saltpitch-testkit/src/simulation/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -226,12 +226,12 @@
 fn settings(times: &Times, teams: &[TeamLimits]) -> SchedulerConfig {
     SchedulerConfig {
         heartbeat_interval: times.heartbeat_interval,
-        lease: times.lease,
-        gang_peer: times.gang_peer,
-        cancel: times.cancel,
+        agent_lease: times.lease,
+        gang_peer_timeout: times.gang_peer,
+        cancel_timeout: times.cancel,
         max_transaction_writes: 8,
-        nodes: 3,
-        calls: 24,
+        controller_count: 3,
+        max_concurrent_calls: 24,
         max_transaction_bytes: 50_000,
         write_rate: 60.0,
         next_write_rate: 60.0,
@@ -243,7 +243,7 @@
             class: "web".to_owned(),
             target: ObjectiveTarget::Started(Micros::from_secs(5)),
         }],
-        guarantee_within: Micros::from_secs(15),
+        guarantee_start_target: Micros::from_secs(15),
         policy: Policy::default(),
     }
 }
--- a/crates/saltpitch/src/cells/delegation.rs
+++ b/crates/saltpitch/src/cells/delegation.rs
@@ -30,7 +30,7 @@
     let (now, wall, seed) = (node.now(), node.clock.wall(), node.random());
     let mut controller = node.controller();
     let epoch = controller.epoch();
-    let cancel = controller.config().scheduler.cancel;
+    let cancel = controller.config().scheduler.cancel_timeout;
     let mut delegations = cells.delegations();
     let Some(mut access) = controller.delegation_access(now) else {
         return;
--- a/crates/saltpitch/src/settings.rs
+++ b/crates/saltpitch/src/settings.rs
@@ -224,11 +224,11 @@
         let change_share = leader_change_share(self.controllers);
         SchedulerConfig {
             heartbeat_interval: self.agents.heartbeat_interval,
-            lease: self.agents.lease,
-            gang_peer: self.agents.gang_peer,
-            cancel: self.agents.cancel,
-            nodes: self.controllers,
-            calls: (self.sockets / SOCKETS_PER_COMMAND).max(MIN_COMMANDS_IN_FLIGHT),
+            agent_lease: self.agents.lease,
+            gang_peer_timeout: self.agents.gang_peer,
+            cancel_timeout: self.agents.cancel,
+            controller_count: self.controllers,
+            max_concurrent_calls: (self.sockets / SOCKETS_PER_COMMAND).max(MIN_COMMANDS_IN_FLIGHT),
             max_transaction_writes: self.store.max_transaction_writes,
             max_transaction_bytes: MAX_TRANSACTION_BYTES,
             write_rate: self.store.write_rps * change_share,
@@ -238,7 +238,7 @@
             log_segments: LOG_SEGMENTS,
             teams: self.teams.clone(),
             objectives: self.objectives.clone(),
-            guarantee_within: self.guarantee_within,
+            guarantee_start_target: self.guarantee_within,
             policy: self.policy.clone(),
         }
     }
