--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -46,7 +46,7 @@
             start_sequence: 0,
             // An earlier leader may have sent the start; its doubts end with this leader's fencing token.
             start_sent: committed,
-            since: now,
+            placed_at: now,
             running_since: None,
             stop: None,
         };
@@ -114,8 +114,11 @@
         }
         let sooner = allocation.stop.is_none_or(|known| grace < known.grace);
         if sooner {
-            let since = allocation.stop.map_or(now, |known| known.since);
-            allocation.stop = Some(StopRequest { grace, since });
+            let requested_at = allocation.stop.map_or(now, |known| known.requested_at);
+            allocation.stop = Some(StopRequest {
+                grace,
+                requested_at,
+            });
         }
         let name = allocation.machine.clone();
         self.dispatch.request_until_effect(&name);
--- a/crates/saltpitch-core/src/scheduler/command_retries.rs
+++ b/crates/saltpitch-core/src/scheduler/command_retries.rs
@@ -89,7 +89,7 @@
         if let Some(stop) = allocation.stop.as_mut() {
             has_awaited = true;
             let margin = config.gang_peer_timeout.plus(config.heartbeat_interval);
-            if now.since(stop.since) > stop.grace.plus(margin) {
+            if now.since(stop.requested_at) > stop.grace.plus(margin) {
                 stop.grace = Micros::ZERO;
             }
         } else if allocation.committed && allocation.observed == ObservedState::Unseen {
--- a/crates/saltpitch-core/src/scheduler/consolidation.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -157,7 +157,7 @@
         && job.spec.priority == Priority::Production
         && allocation.observed == ObservedState::Running
         && allocation.stop.is_none()
-        && now.since(allocation.since) > SETTLED_AFTER
+        && now.since(allocation.placed_at) > SETTLED_AFTER
 }
 
 /// Whether the machine is in use, has the image, costs less than the source, and has capacity left
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -57,7 +57,7 @@
 
     /// Since when it has waited here.
     fn waits_locally_since(&self) -> Micros {
-        self.times.queued.max(self.times.came_back_at)
+        self.times.queued_at.max(self.times.last_returned_at)
     }
 }
 
@@ -80,7 +80,7 @@
             .map(|job| DelegationCandidate {
                 id: job.id.clone(),
                 spec: job.spec.clone(),
-                submitted: job.times.submitted,
+                submitted: job.times.submitted_at,
                 fetch: self.fetch_time(&job.spec),
             })
             .collect()
@@ -119,7 +119,7 @@
         };
         if job.owner == JobOwner::Reserved {
             job.owner = JobOwner::Here;
-            job.times.came_back_at = now;
+            job.times.last_returned_at = now;
             self.enqueue(number, now);
         }
     }
@@ -198,7 +198,7 @@
             self.job_table.dequeue(number);
         } else if before == JobOwner::Elsewhere {
             job.owner = JobOwner::Here;
-            job.times.came_back_at = now;
+            job.times.last_returned_at = now;
             self.enqueue(number, now);
         }
     }
--- a/crates/saltpitch-core/src/scheduler/dependency_gate.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -47,7 +47,7 @@
         let Some(job) = job.filter(|job| job.is_active()) else {
             return;
         };
-        let (spec, queued) = (job.spec.clone(), job.times.queued);
+        let (spec, queued) = (job.spec.clone(), job.times.queued_at);
         self.autoscaler.job_queued(&spec, queued, now);
         self.job_table.enqueue(number);
         self.placement_pass.request();
@@ -68,7 +68,7 @@
             let done = record.filter(|record| record.state == JobState::Done);
             if let Some(done) = done {
                 let done_at = done.finished.map(|at| now.since(wall.since(at)));
-                job.times.queued = job.times.queued.max(done_at.unwrap_or_default());
+                job.times.queued_at = job.times.queued_at.max(done_at.unwrap_or_default());
                 continue;
             }
             let dependency: Arc<str> = id.as_str().into();
@@ -86,7 +86,7 @@
             if !job.unmet_dependencies.remove(id) {
                 continue;
             }
-            job.times.queued = job.times.queued.max(at);
+            job.times.queued_at = job.times.queued_at.max(at);
             if job.unmet_dependencies.is_empty() {
                 self.enqueue(number, now);
             }
@@ -131,7 +131,7 @@
         let own = job
             .spec
             .deadline
-            .map(|within| job.times.submitted.plus(within));
+            .map(|within| job.times.submitted_at.plus(within));
         let due = own.into_iter().chain(job.due).min();
         due.map(|due| due.since(run_time))
     }
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -222,7 +222,7 @@
             return;
         };
         job.gang = Gang::Committing;
-        job.times.served_at = now;
+        job.times.last_placed_at = now;
         self.gang_barrier.leave(number);
         for task in 0..job.spec.tasks {
             self.persistence.task_placed(number, task, &job.spec, now);
--- a/crates/saltpitch-core/src/scheduler/job_failures.rs
+++ b/crates/saltpitch-core/src/scheduler/job_failures.rs
@@ -86,7 +86,7 @@
             task_count: job.spec.tasks,
             kind: job.spec.kind,
             machine: allocation.machine.clone(),
-            placed_at: allocation.since,
+            placed_at: allocation.placed_at,
             ran: running_since.map_or(Micros::ZERO, |at| now.since(at)),
         };
         let verdict = job.failures.failed(&failure, now);
--- a/crates/saltpitch-core/src/scheduler/job_table/allocation.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/allocation.rs
@@ -24,7 +24,7 @@
     /// The start was sent at least once: it may be executed any time later.
     pub start_sent: bool,
     /// When the task was placed.
-    pub since: Micros,
+    pub placed_at: Micros,
     /// When the task was first seen running.
     pub running_since: Option<Micros>,
     /// The task is to be stopped.
@@ -52,5 +52,5 @@
     /// The time that it gets to save its progress.
     pub grace: Micros,
     /// When it was first asked to stop.
-    pub since: Micros,
+    pub requested_at: Micros,
 }
--- a/crates/saltpitch-core/src/scheduler/job_table/job.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/job.rs
@@ -16,32 +16,32 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct JobTimes {
     /// When it was submitted.
-    pub submitted: Micros,
+    pub submitted_at: Micros,
     /// When its waits began: submitted, or released by its last dependency.
-    pub queued: Micros,
+    pub queued_at: Micros,
     /// When a task of it was placed last.
-    pub served_at: Micros,
+    pub last_placed_at: Micros,
     /// When it became idle as a whole again.
-    pub parked_at: Micros,
+    pub last_idle_at: Micros,
     /// When it last came back from another cell.
-    pub came_back_at: Micros,
+    pub last_returned_at: Micros,
     /// When its last task was found done.
     pub done_at: Option<Micros>,
 }
 
 impl JobTimes {
     /// Of a job that was submitted at this time.
-    pub(in crate::scheduler) fn new(submitted: Micros) -> JobTimes {
+    pub(in crate::scheduler) fn new(submitted_at: Micros) -> JobTimes {
         JobTimes {
-            submitted,
-            queued: submitted,
+            submitted_at,
+            queued_at: submitted_at,
             ..JobTimes::default()
         }
     }
 
     /// Since when the job has waited to be served.
-    pub(in crate::scheduler) fn waits_since(&self) -> Micros {
-        self.served_at.max(self.queued)
+    pub(in crate::scheduler) fn waiting_since(&self) -> Micros {
+        self.last_placed_at.max(self.queued_at)
     }
 }
 
@@ -147,7 +147,7 @@
     ) {
         // What is assumed at the gang barrier may have to be given back.
         if allocation.committed || self.spec.kind != JobKind::Gang {
-            self.times.served_at = now;
+            self.times.last_placed_at = now;
         }
         self.tasks.place(task, allocation, zone);
     }
--- a/crates/saltpitch-core/src/scheduler/job_table/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/mod.rs
@@ -93,7 +93,7 @@
     /// The job's tasks may be placed from now on.
     pub(super) fn enqueue(&mut self, number: JobNumber) {
         if let Some(job) = self.jobs.get(&number) {
-            self.active_by_age.insert((job.times.queued, number));
+            self.active_by_age.insert((job.times.queued_at, number));
             self.update_unplaced(number);
         }
     }
@@ -103,7 +103,7 @@
         self.unplaced.remove(&number);
         if let Some(job) = self.jobs.get_mut(&number) {
             job.rank = UNRANKED;
-            self.active_by_age.remove(&(job.times.queued, number));
+            self.active_by_age.remove(&(job.times.queued_at, number));
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/job_table/timelines.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/timelines.rs
@@ -24,8 +24,8 @@
     /// The timeline of a job so far.
     pub(in crate::scheduler) fn of(job: &Job) -> JobTimeline {
         JobTimeline {
-            released: job.times.queued.since(job.times.submitted),
-            last_placed: job.times.served_at.since(job.times.submitted),
+            released: job.times.queued_at.since(job.times.submitted_at),
+            last_placed: job.times.last_placed_at.since(job.times.submitted_at),
             attempts: job.tasks.highest_attempt(),
         }
     }
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -264,6 +264,6 @@
     }
     let fetch = machine.machine_type.fetch_time(job.spec.image_mb);
     let limit = fetch.times(IMAGE_WAIT_RATIO);
-    let waited = now.since(job.times.queued.max(job.times.parked_at));
+    let waited = now.since(job.times.queued_at.max(job.times.last_idle_at));
     image_free_in.is_some_and(|free_in| free_in < limit) && waited < limit
 }
--- a/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
@@ -35,7 +35,7 @@
         };
         // Searched again while a start there would be sooner than a fetch elsewhere.
         if let Some(until) = job.backoff.near_image_until {
-            if now < until || now.since(job.times.queued) > self.search_time(job) {
+            if now < until || now.since(job.times.queued_at) > self.search_time(job) {
                 return now < until;
             }
         }
--- a/crates/saltpitch-core/src/scheduler/preemption/options.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/options.rs
@@ -142,7 +142,7 @@
 /// A start that is undone soon counts for nothing, and neither does work that can't be saved: both are
 /// only worth it for urgent work and quotas.
 fn is_settled(job: &Job, allocation: &Allocation, now: Micros) -> bool {
-    now.since(allocation.since) > SETTLED_AFTER
+    now.since(allocation.placed_at) > SETTLED_AFTER
         && job.spec.saves()
         && allocation.observed == ObservedState::Running
 }
@@ -153,9 +153,11 @@
     if victim.guest.is_some() {
         return Micros::ZERO;
     }
-    let placed_for = now.since(allocation.since);
+    let placed_for = now.since(allocation.placed_at);
     let ran = match allocation.observed {
-        ObservedState::Running => now.since(allocation.running_since.unwrap_or(allocation.since)),
+        ObservedState::Running => {
+            now.since(allocation.running_since.unwrap_or(allocation.placed_at))
+        }
         _ => placed_for.times(PREPARATION_SHARE),
     };
     if !victim.spec.saves() {
--- a/crates/saltpitch-core/src/scheduler/queue_order.rs
+++ b/crates/saltpitch-core/src/scheduler/queue_order.rs
@@ -128,7 +128,7 @@
         let is_guest = job.guest.is_some();
         let start_by = self.start_by(job, now).filter(|_| !is_guest);
         let is_starved = !is_guest && self.is_starved(job, now);
-        let is_young = now.since(job.times.queued) < self.config.guarantee_start_target;
+        let is_young = now.since(job.times.queued_at) < self.config.guarantee_start_target;
         let rank = match (job.priority, within_quota) {
             _ if is_guest => rank::GUEST,
             _ if at_fault => rank::REST,
@@ -168,14 +168,14 @@
         } else {
             let run_time = job.tasks.idle().len() as u64 * self.estimate(job).0;
             let work = run_time / 1_000 * job.spec.need.cpu;
-            let waited = now.since(job.times.waits_since()).0 / AGEING.0;
+            let waited = now.since(job.times.waiting_since()).0 / AGEING.0;
             work >> waited.min(63)
         };
         QueueKey {
             rank: standing.rank,
             below_high_priority: job.priority < Priority::High,
             remaining_work,
-            queued: job.times.queued,
+            queued: job.times.queued_at,
             number,
         }
     }
@@ -191,7 +191,7 @@
             JobKind::Gang => STARVED_GANG,
             JobKind::Array | JobKind::Service => STARVED,
         };
-        !job.tasks.idle().is_empty() && now.since(job.times.waits_since()) > limit
+        !job.tasks.idle().is_empty() && now.since(job.times.waiting_since()) > limit
     }
 
     /// The latest start that keeps the next objective that can still be kept. `None`: every objective
@@ -211,14 +211,14 @@
             return of_class.into_iter().chain(of_dependents).min();
         }
         let own = job.spec.deadline;
-        let own = own.map(|within| job.times.submitted.plus(within).since(run_time));
+        let own = own.map(|within| job.times.submitted_at.plus(within).since(run_time));
         own.filter(|start_by| *start_by > now)
     }
 
     /// Nothing of this job runs and nothing was placed for long: it may have whatever fits. No job is
     /// to wait beside a machine with room, be it one that is kept for others.
     pub(super) fn is_blocked(&self, job: &Job, now: Micros) -> bool {
-        job.tasks.placed() == 0 && now.since(job.times.waits_since()) > BLOCKED
+        job.tasks.placed() == 0 && now.since(job.times.waiting_since()) > BLOCKED
     }
 
     /// The source lets a large gang starve while smaller work fills the gaps. Ours ages: after this
@@ -226,7 +226,7 @@
     pub(super) fn is_aged(&self, job: &Job, now: Micros) -> bool {
         job.spec.kind == JobKind::Gang
             && job.tasks.placed() < job.spec.tasks
-            && now.since(job.times.queued) > GANG_AGED
+            && now.since(job.times.queued_at) > GANG_AGED
     }
 }
 
@@ -244,11 +244,11 @@
 fn latest_start(job: &Job, target: ObjectiveTarget, run_time: Micros) -> Option<Micros> {
     match target {
         ObjectiveTarget::Started(_) if job.tasks.was_fully_placed() => None,
-        ObjectiveTarget::Started(within) => Some(job.times.queued.plus(within)),
-        ObjectiveTarget::Finished(within) => Some(job.times.queued.plus(within).since(run_time)),
+        ObjectiveTarget::Started(within) => Some(job.times.queued_at.plus(within)),
+        ObjectiveTarget::Finished(within) => Some(job.times.queued_at.plus(within).since(run_time)),
         ObjectiveTarget::Deadline(times) => {
             let deadline = job.spec.deadline?.times(times);
-            Some(job.times.submitted.plus(deadline).since(run_time))
+            Some(job.times.submitted_at.plus(deadline).since(run_time))
         }
     }
 }
--- a/crates/saltpitch-core/src/scheduler/task_exits.rs
+++ b/crates/saltpitch-core/src/scheduler/task_exits.rs
@@ -82,7 +82,7 @@
         };
         if job.tasks.placed() == 0 {
             job.gang = Gang::Parked { until: now };
-            job.times.parked_at = now;
+            job.times.last_idle_at = now;
         }
     }
 
