--- a/crates/saltpitch-core/src/controller/leader_election.rs
+++ b/crates/saltpitch-core/src/controller/leader_election.rs
@@ -182,20 +182,20 @@
     /// Whether the agents have not reached this leader for too long although others would hear them.
     pub fn should_resign(&mut self, now: Micros) -> bool {
         let redirected = self.most_redirected(now);
-        let peers = self.live_peers(now);
-        let others = self.config.peers.len();
+        let live_peers = self.live_peers(now);
+        let other_controllers = self.config.peers.len();
         let lease = self.config.scheduler.agent_lease;
         let Some(leadership) = &mut self.leadership else {
             return false;
         };
         let agents = leadership.scheduler.agent_counts(now);
         let reachability = AgentReachability {
-            known: agents.reachable,
-            heard: agents.heard,
+            known_agents: agents.reachable,
+            recently_heard: agents.recently_heard,
             // Machines that receive no answers try every controller in turn.
-            redirected: redirected.saturating_sub(agents.inbound_partitioned),
-            peers,
-            others,
+            redirected_agents: redirected.saturating_sub(agents.inbound_partitioned),
+            live_peers,
+            other_controllers,
         };
         if !reachability.is_isolated() {
             leadership.isolated_since = None;
--- a/crates/saltpitch-core/src/leadership/reachability.rs
+++ b/crates/saltpitch-core/src/leadership/reachability.rs
@@ -4,15 +4,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AgentReachability {
     /// Agents that are up as far as the leader knows.
-    pub known: usize,
+    pub known_agents: usize,
     /// Of these, heard from lately.
-    pub heard: usize,
+    pub recently_heard: usize,
     /// The most agents that any one peer redirected to the leader lately.
-    pub redirected: usize,
+    pub redirected_agents: usize,
     /// Peers that answer this controller.
-    pub peers: usize,
+    pub live_peers: usize,
     /// All other controllers.
-    pub others: usize,
+    pub other_controllers: usize,
 }
 
 impl AgentReachability {
@@ -20,12 +20,12 @@
     /// reason to resign before the agents' leases expire. When nobody else hears more, resigning would
     /// only make the leadership flap.
     pub fn is_isolated(&self) -> bool {
-        if self.known == 0 || self.heard * 2 >= self.known {
+        if self.known_agents == 0 || self.recently_heard * 2 >= self.known_agents {
             return false;
         }
-        if self.peers == 0 && self.others > 0 {
-            return self.heard == 0;
+        if self.live_peers == 0 && self.other_controllers > 0 {
+            return self.recently_heard == 0;
         }
-        self.redirected > self.heard
+        self.redirected_agents > self.recently_heard
     }
 }
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -86,7 +86,7 @@
     /// Those that receive this leader's answers as far as known.
     pub reachable: usize,
     /// Of these, heard from lately.
-    pub heard: usize,
+    pub recently_heard: usize,
     /// Those that don't seem to receive answers. They try every controller in turn, which says nothing
     /// about this one.
     pub inbound_partitioned: usize,
@@ -249,7 +249,7 @@
             counts.reachable += 1;
             let last_heard = machine.connectivity.last_heard();
             let silence = now.since(last_heard.max(self.clock.resumed_at()));
-            counts.heard += usize::from(silence < quiet);
+            counts.recently_heard += usize::from(silence < quiet);
         }
         counts
     }
--- a/crates/saltpitch-core/tests/large_site.rs
+++ b/crates/saltpitch-core/tests/large_site.rs
@@ -135,7 +135,7 @@
         site.change_leader();
         let steps = site.steps_per_machine(|_| true);
         let counts = site.harness.scheduler.agent_counts(site.harness.now);
-        assert_eq!(counts.heard as u64, site.machines, "all are heard");
+        assert_eq!(counts.recently_heard as u64, site.machines, "all are heard");
         steps
     });
 }
--- a/crates/saltpitch-core/tests/scheduler.rs
+++ b/crates/saltpitch-core/tests/scheduler.rs
@@ -176,7 +176,7 @@
     assert!(d.scheduler.summary().contains("(0 unschedulable)"));
     let counts = saltpitch_core::scheduler::AgentCounts {
         reachable: 10,
-        heard: 10,
+        recently_heard: 10,
         inbound_partitioned: 0,
     };
     assert_eq!(d.scheduler.agent_counts(d.now), counts);
