--- a/crates/saltpitch-core/src/controller/leader_election.rs
+++ b/crates/saltpitch-core/src/controller/leader_election.rs
@@ -81,7 +81,7 @@
     /// The election attempt was carried out at `revision`, and the records were read since. Starts to lead; false
     /// if the leadership is another's already. `lease_opened_at` is a time at which the leadership
     /// lease was certainly open.
-    pub fn elected(
+    pub fn election_won(
         &mut self,
         attempt: ElectionAttempt,
         store_lease: u64,
@@ -94,7 +94,8 @@
             return false;
         };
         let bound = self.answer_bound();
-        let Some(earlier_leaders) = attempt.won(&self.records, revision, bound, now) else {
+        let Some(earlier_leaders) = attempt.earlier_leaders(&self.records, revision, bound, now)
+        else {
             return false;
         };
         let scheduler = self.new_scheduler(catalog, earlier_leaders.all_fenced_at, now, wall);
--- a/crates/saltpitch-core/src/leadership/election.rs
+++ b/crates/saltpitch-core/src/leadership/election.rs
@@ -137,7 +137,7 @@
 impl ElectionAttempt {
     /// The attempt was carried out at this revision. `None` if the records have gone on since: then the
     /// leadership is another's already.
-    pub fn won(
+    pub fn earlier_leaders(
         self,
         records: &RecordCache,
         revision: u64,
--- a/crates/saltpitch-core/src/scheduler/interface.rs
+++ b/crates/saltpitch-core/src/scheduler/interface.rs
@@ -108,7 +108,7 @@
 /// What the shell round the core is to do.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Answer with [`super::Scheduler::committed`].
+    /// Answer with [`super::Scheduler::transaction_ended`].
     Commit(Transaction),
     /// Read the records anew and answer with [`super::Scheduler::records_reloaded`].
     ReloadRecords,
--- a/crates/saltpitch-core/src/scheduler/record_commits.rs
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -24,7 +24,7 @@
     }
 
     /// The answer to [`super::Effect::Commit`].
-    pub fn committed(&mut self, outcome: TransactionOutcome, now: Micros) {
+    pub fn transaction_ended(&mut self, outcome: TransactionOutcome, now: Micros) {
         let jobs = &mut self.job_table;
         let committed = self
             .persistence
--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -71,7 +71,7 @@
         revision: 2,
     });
     controller.apply_changes(1, changes, 2, START, START);
-    assert!(controller.elected(campaign, 5, 2, START, START, START));
+    assert!(controller.election_won(campaign, 5, 2, START, START, START));
     controller
 }
 
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -259,7 +259,7 @@
                         self.rev += 1;
                         self.apply(&writes);
                         self.scheduler
-                            .committed(TransactionOutcome::Committed(self.rev), self.now);
+                            .transaction_ended(TransactionOutcome::Committed(self.rev), self.now);
                     }
                     Effect::SendCommands {
                         machine,
--- a/crates/saltpitch-core/tests/limits.rs
+++ b/crates/saltpitch-core/tests/limits.rs
@@ -208,7 +208,7 @@
                 match e {
                     Effect::Commit(transaction) => {
                         let end = self.store(&transaction.preconditions, &transaction.writes);
-                        self.scheduler.committed(end, self.now);
+                        self.scheduler.transaction_ended(end, self.now);
                         check(self);
                     }
                     Effect::ReloadRecords => {
--- a/crates/saltpitch-testkit/src/simulation/controllers.rs
+++ b/crates/saltpitch-testkit/src/simulation/controllers.rs
@@ -194,7 +194,7 @@
             TransactionOutcome::Committed(revision) => {
                 node.follow(&self.store, now);
                 let controller = &mut node.controller;
-                controller.elected(campaign, store_lease, revision, opened_at, now, now)
+                controller.election_won(campaign, store_lease, revision, opened_at, now, now)
             }
             _ => false,
         };
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -267,7 +267,7 @@
 
     fn transaction_answered(&mut self, node_index: usize, epoch: u64, outcome: TransactionOutcome) {
         self.notify_scheduler(node_index, epoch, move |scheduler, now| {
-            scheduler.committed(outcome, now)
+            scheduler.transaction_ended(outcome, now)
         });
     }
 
--- a/crates/saltpitch/src/effects.rs
+++ b/crates/saltpitch/src/effects.rs
@@ -134,7 +134,7 @@
         }
     }
     deliver(node, epoch, |scheduler, now| {
-        scheduler.committed(outcome, now);
+        scheduler.transaction_ended(outcome, now);
     });
 }
 
--- a/crates/saltpitch/src/leadership.rs
+++ b/crates/saltpitch/src/leadership.rs
@@ -134,7 +134,7 @@
     }
     let (now, wall) = (node.now(), node.clock.wall());
     let mut controller = node.controller();
-    let elected = controller.elected(attempt, store_lease, revision, opened_at, now, wall);
+    let elected = controller.election_won(attempt, store_lease, revision, opened_at, now, wall);
     if let Some(scheduler) = controller.scheduler().filter(|_| elected) {
         let (term, summary) = (scheduler.term(), scheduler.summary());
         tracing::info!("leader in term {term}, {summary}");
