--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -50,7 +50,7 @@
         let batch = self.spec.kind != JobKind::Service && self.spec.priority < Priority::Production;
         batch
             && self.is_active()
-            && self.tasks.is_untouched()
+            && self.tasks.is_all_idle()
             && self.guest.is_none()
             && !self.at_fault()
     }
--- a/crates/saltpitch-core/src/scheduler/dependency_gate.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -132,7 +132,7 @@
             .spec
             .deadline
             .map(|within| job.times.submitted_at.plus(within));
-        let due = own.into_iter().chain(job.due).min();
+        let due = own.into_iter().chain(job.dependents_deadline).min();
         due.map(|due| due.since(run_time))
     }
 
@@ -146,12 +146,12 @@
         let Some(job) = self.job_table.get_mut(number) else {
             return false;
         };
-        let sooner = due.filter(|due| job.due.is_none_or(|known| *due < known));
+        let sooner = due.filter(|due| job.dependents_deadline.is_none_or(|known| *due < known));
         if priority <= job.priority && sooner.is_none() {
             return false;
         }
         job.priority = job.priority.max(priority);
-        job.due = sooner.or(job.due);
+        job.dependents_deadline = sooner.or(job.dependents_deadline);
         true
     }
 }
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -32,7 +32,7 @@
         match self.job_table.number_of(id) {
             Some(number) => self.cancel_if_active(number, now),
             // Accepted and cancelled since this controller read the records last.
-            None => self.job_table.note_cancelled_before_known(id),
+            None => self.job_table.record_early_cancellation(id),
         }
     }
 
@@ -133,7 +133,7 @@
         now: Micros,
         wall: Micros,
     ) -> Job {
-        let cancelled = self.job_table.take_cancelled_before_known(id)
+        let cancelled = self.job_table.take_early_cancellation(id)
             || records.state(id) == Some(JobState::Cancelled);
         let classes = &mut self.job_table.classes;
         let class = classes.number_of(&spec.class, &self.config.objectives);
@@ -158,7 +158,7 @@
             backoff: JobBackoff::default(),
             unmet_dependencies: BTreeSet::new(),
             priority: spec.priority,
-            due: None,
+            dependents_deadline: None,
             tasks: TaskSet::new(spec.tasks),
             checkpoints: vec![Checkpoint::default(); tasks.div_ceil(TASKS_PER_CHECKPOINT as usize)],
             gang: Gang::default(),
--- a/crates/saltpitch-core/src/scheduler/job_table/job.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/job.rs
@@ -80,7 +80,7 @@
     /// The highest priority of this job and of those that depend on it.
     pub priority: Priority,
     /// Until when it must be done for the deadlines of those that depend on it.
-    pub due: Option<Micros>,
+    pub dependents_deadline: Option<Micros>,
     /// Its rank in the queue, as of the last pass; the last as long as there was none.
     pub rank: u8,
     /// Its tasks.
--- a/crates/saltpitch-core/src/scheduler/job_table/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/mod.rs
@@ -33,7 +33,7 @@
     unplaced: BTreeSet<JobNumber>,
     /// Jobs whose cancellation a peer has acknowledged and that this controller's copy of the records
     /// does not have yet.
-    cancelled_before_known: HashSet<String>,
+    early_cancellations: HashSet<String>,
     pub(super) classes: ClassTable,
     pub(super) ended: EndedJobs,
 }
@@ -130,12 +130,12 @@
     }
 
     /// A peer acknowledged the cancellation of a job that is not known here yet.
-    pub(super) fn note_cancelled_before_known(&mut self, id: &str) {
-        self.cancelled_before_known.insert(id.to_owned());
+    pub(super) fn record_early_cancellation(&mut self, id: &str) {
+        self.early_cancellations.insert(id.to_owned());
     }
 
     /// Whether a peer acknowledged the cancellation of this job, which becomes known now.
-    pub(super) fn take_cancelled_before_known(&mut self, id: &str) -> bool {
-        self.cancelled_before_known.remove(id)
+    pub(super) fn take_early_cancellation(&mut self, id: &str) -> bool {
+        self.early_cancellations.remove(id)
     }
 }
--- a/crates/saltpitch-core/src/scheduler/job_table/task_set.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/task_set.rs
@@ -107,7 +107,7 @@
     }
 
     /// Nothing is placed, done or deferred.
-    pub(in crate::scheduler) fn is_untouched(&self) -> bool {
+    pub(in crate::scheduler) fn is_all_idle(&self) -> bool {
         self.placed == 0 && self.done == 0 && self.deferred.is_empty()
     }
 
--- a/crates/saltpitch-core/src/scheduler/leader_clock.rs
+++ b/crates/saltpitch-core/src/scheduler/leader_clock.rs
@@ -12,7 +12,7 @@
     /// When this leader was elected, or went on after a pause: silence is counted from then, since what
     /// was sent meanwhile has not been read yet.
     resumed_at: Micros,
-    polled_at: Micros,
+    last_poll_at: Micros,
 }
 
 impl LeaderClock {
@@ -21,21 +21,21 @@
         LeaderClock {
             wall_offset: wall.since(now),
             resumed_at: now,
-            polled_at: now,
+            last_poll_at: now,
         }
     }
 
     /// The loops run.
-    pub(super) fn polled(&mut self, now: Micros) {
-        let last = std::mem::replace(&mut self.polled_at, now);
+    pub(super) fn record_poll(&mut self, now: Micros) {
+        let last = std::mem::replace(&mut self.last_poll_at, now);
         if now.since(last) > PAUSED_AFTER {
             self.resumed_at = now;
         }
     }
 
     /// When the loops last ran.
-    pub(super) fn polled_at(&self) -> Micros {
-        self.polled_at
+    pub(super) fn last_poll_at(&self) -> Micros {
+        self.last_poll_at
     }
 
     /// Since when the loops have run without a pause.
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -186,7 +186,7 @@
 
     /// Runs whatever is due and hands out the effects.
     pub fn poll(&mut self, now: Micros) -> Vec<Effect> {
-        self.clock.polled(now);
+        self.clock.record_poll(now);
         if now >= self.next_tick {
             self.next_tick = now.plus(Micros::from_millis(500));
             self.tick(now);
--- a/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
@@ -81,7 +81,7 @@
             };
             if task.attempt > 0 || task.done {
                 let key = TaskKey::new(range.job, index);
-                self.unsaved_tasks.mark(key, sources.clock.polled_at());
+                self.unsaved_tasks.mark(key, sources.clock.last_poll_at());
             }
         }
         let writes_segment = builder.contents.segment_slot.is_some();
--- a/crates/saltpitch-core/src/scheduler/queue_order.rs
+++ b/crates/saltpitch-core/src/scheduler/queue_order.rs
@@ -205,7 +205,7 @@
             .filter_map(|target| latest_start(job, *target, run_time));
         let of_class = of_class.filter(|start_by| *start_by > now).min();
         // For the sake of those that depend on it.
-        let of_dependents = job.due.map(|due| due.since(run_time));
+        let of_dependents = job.dependents_deadline.map(|due| due.since(run_time));
         let of_dependents = of_dependents.filter(|start_by| *start_by > now);
         if !objectives.is_empty() || of_dependents.is_some() {
             return of_class.into_iter().chain(of_dependents).min();
