--- a/crates/saltpitch-cells/src/origin/offers.rs
+++ b/crates/saltpitch-cells/src/origin/offers.rs
@@ -40,7 +40,7 @@
 impl Delegator {
     /// Offers jobs that have waited for long, as far as the peer cells take them.
     pub(super) fn plan_offers(&mut self, access: &mut DelegationAccess<'_>, now: Micros) {
-        let Some(announcements) = access.announcements.clone() else {
+        let Some(announcements) = access.announcement_preconditions.clone() else {
             return;
         };
         for neighbour in 0..self.neighbours.len() {
@@ -178,7 +178,7 @@
     /// Fetches jobs back of which nothing runs, where the origin has had room for them for long enough; all of
     /// them, once a controller does not know delegations: it may lead next, and would place what it finds.
     pub(super) fn plan_returns(&mut self, access: &mut DelegationAccess<'_>, now: Micros) {
-        let ends = access.announcements.is_none();
+        let ends = access.announcement_preconditions.is_none();
         let jobs: Vec<String> = self.tracked.keys().cloned().collect();
         for job in jobs {
             let reclaims = ends || self.is_wanted_back(&job, access, now);
--- a/crates/saltpitch-core/src/controller/mod.rs
+++ b/crates/saltpitch-core/src/controller/mod.rs
@@ -100,7 +100,7 @@
     /// The copy of the records.
     pub records: &'a RecordCache,
     /// The conditions that stand for all controllers knowing delegations; `None` while one does not.
-    pub announcements: Option<Vec<Precondition>>,
+    pub announcement_preconditions: Option<Vec<Precondition>>,
 }
 
 /// One controller. Every method takes the present time; nothing here reads a clock.
@@ -236,12 +236,12 @@
         if !self.may_answer(now) {
             return None;
         }
-        let announcements = self.delegations_known_by_all();
+        let announcement_preconditions = self.announcement_preconditions();
         let leadership = self.leadership.as_mut()?;
         Some(DelegationAccess {
             scheduler: &mut leadership.scheduler,
             records: &self.records,
-            announcements,
+            announcement_preconditions,
         })
     }
 
--- a/crates/saltpitch-core/src/controller/record_sync.rs
+++ b/crates/saltpitch-core/src/controller/record_sync.rs
@@ -134,7 +134,7 @@
     /// The revisions of all controllers' announcements, if each of them knows delegations. A
     /// delegation is committed on condition of them, so that no controller of an earlier version can
     /// have started in between.
-    pub fn delegations_known_by_all(&self) -> Option<Vec<Precondition>> {
+    pub fn announcement_preconditions(&self) -> Option<Vec<Precondition>> {
         let peers = self.config.peers.iter().map(|peer| peer.name.as_str());
         let names = peers.chain([self.config.name.as_str()]);
         names
