--- a/crates/saltpitch-core/src/controller/leader_election.rs
+++ b/crates/saltpitch-core/src/controller/leader_election.rs
@@ -81,7 +81,7 @@
     /// The election attempt was carried out at `revision`, and the records were read since. Starts to lead; false
     /// if the leadership is another's already. `lease_opened_at` is a time at which the leadership
     /// lease was certainly open.
-    pub fn elected(
+    pub fn election_won(
         &mut self,
         attempt: ElectionAttempt,
         store_lease: u64,
@@ -94,7 +94,8 @@
             return false;
         };
         let bound = self.answer_bound();
-        let Some(earlier_leaders) = attempt.won(&self.records, revision, bound, now) else {
+        let Some(earlier_leaders) = attempt.earlier_leaders(&self.records, revision, bound, now)
+        else {
             return false;
         };
         let scheduler = self.new_scheduler(catalog, earlier_leaders.all_fenced_at, now, wall);
@@ -182,20 +183,20 @@
     /// Whether the agents have not reached this leader for too long although others would hear them.
     pub fn should_resign(&mut self, now: Micros) -> bool {
         let redirected = self.most_redirected(now);
-        let peers = self.live_peers(now);
-        let others = self.config.peers.len();
-        let lease = self.config.scheduler.lease;
+        let live_peers = self.live_peers(now);
+        let other_controllers = self.config.peers.len();
+        let lease = self.config.scheduler.agent_lease;
         let Some(leadership) = &mut self.leadership else {
             return false;
         };
         let agents = leadership.scheduler.agent_counts(now);
         let reachability = AgentReachability {
-            known: agents.reachable,
-            heard: agents.heard,
+            known_agents: agents.reachable,
+            recently_heard: agents.recently_heard,
             // Machines that receive no answers try every controller in turn.
-            redirected: redirected.saturating_sub(agents.inbound_partitioned),
-            peers,
-            others,
+            redirected_agents: redirected.saturating_sub(agents.inbound_partitioned),
+            live_peers,
+            other_controllers,
         };
         if !reachability.is_isolated() {
             leadership.isolated_since = None;
--- a/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
@@ -145,7 +145,7 @@
     ) -> ProvisioningContext {
         ProvisioningContext {
             heartbeat_interval: config.heartbeat_interval,
-            lease: config.lease,
+            lease: config.agent_lease,
             elected_at,
             now,
         }
--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -23,7 +23,7 @@
 fn scheduler_config() -> SchedulerConfig {
     SchedulerConfig {
         max_transaction_writes: 8,
-        nodes: 2,
+        controller_count: 2,
         log_segments: 64,
         teams: Vec::new(),
         objectives: Vec::new(),
@@ -71,7 +71,7 @@
         revision: 2,
     });
     controller.apply_changes(1, changes, 2, START, START);
-    assert!(controller.elected(campaign, 5, 2, START, START, START));
+    assert!(controller.election_won(campaign, 5, 2, START, START, START));
     controller
 }
 
--- a/crates/saltpitch-core/tests/large_site.rs
+++ b/crates/saltpitch-core/tests/large_site.rs
@@ -14,9 +14,9 @@
 fn large_config() -> SchedulerConfig {
     let mut config = config();
     config.heartbeat_interval = secs(REPORT);
-    config.lease = secs(36);
-    config.cancel = secs(66);
-    config.calls = 128;
+    config.agent_lease = secs(36);
+    config.cancel_timeout = secs(66);
+    config.max_concurrent_calls = 128;
     config.max_transaction_writes = 48;
     config.write_rate = 200.0;
     config.max_value_bytes = 32 * 1024;
@@ -139,7 +139,7 @@
         site.change_leader();
         let steps = site.steps_per_machine(|_| true);
         let counts = site.harness.scheduler.agent_counts(site.harness.now);
-        assert_eq!(counts.heard as u64, site.machines, "all are heard");
+        assert_eq!(counts.recently_heard as u64, site.machines, "all are heard");
         steps
     });
 }
