--- a/crates/saltpitch-cells/src/host.rs
+++ b/crates/saltpitch-cells/src/host.rs
@@ -66,7 +66,7 @@
     /// What `cell`'s jobs take according to the records.
     pub fn of(records: &RecordCache, cell: &str) -> GuestLoad {
         let mut load = GuestLoad::default();
-        for id in records.guests() {
+        for id in records.guest_jobs() {
             let Some(record) = records.jobs.get(id).map(|entry| &entry.record) else {
                 continue;
             };
@@ -77,7 +77,7 @@
             let Some(spec) = record.spec.as_ref().filter(|_| from_cell) else {
                 continue;
             };
-            let (running, done) = records.counts(id);
+            let (running, done) = records.task_counts(id);
             load.jobs += 1;
             load.tasks += u64::from(spec.tasks);
             load.waiting += usize::from(running == 0 && done == 0);
@@ -125,8 +125,8 @@
     /// A job's status, `None` if it is not known. A cell's answers are as new as `records`.
     pub fn status(&self, records: &RecordCache, sent: &str) -> Option<HostStatus> {
         let id = self.guest_id(sent);
-        let (running, done) = records.counts(&id);
-        Some(match records.state(&id)? {
+        let (running, done) = records.task_counts(&id);
+        Some(match records.job_state(&id)? {
             JobState::Done => HostStatus::Done,
             JobState::Cancelled => HostStatus::Withdrawn,
             JobState::Active if running + done > 0 => HostStatus::Running,
--- a/crates/saltpitch-cells/src/origin/mod.rs
+++ b/crates/saltpitch-cells/src/origin/mod.rs
@@ -190,7 +190,7 @@
             // An offer that is being written is not on record yet.
             delegation.map_or(writes.concerns(job), same)
         });
-        for job in records.delegated() {
+        for job in records.delegated_jobs() {
             if self.tracked.contains_key(job) {
                 continue;
             }
--- a/crates/saltpitch-core/src/controller/record_sync.rs
+++ b/crates/saltpitch-core/src/controller/record_sync.rs
@@ -194,7 +194,7 @@
     }
 
     fn job_changed(&mut self, id: &str, now: Micros, wall: Micros) {
-        if self.records.state(id) == Some(JobState::Cancelled) {
+        if self.records.job_state(id) == Some(JobState::Cancelled) {
             self.last_cancellation_at = Some(now);
         }
         if let Some(leadership) = &mut self.leadership {
--- a/crates/saltpitch-core/src/records/record_cache/delegation_index.rs
+++ b/crates/saltpitch-core/src/records/record_cache/delegation_index.rs
@@ -23,12 +23,12 @@
     }
 
     /// The active jobs that another cell may own.
-    pub(super) fn delegated(&self) -> impl Iterator<Item = &str> {
+    pub(super) fn delegated_jobs(&self) -> impl Iterator<Item = &str> {
         self.delegated.iter().map(String::as_str)
     }
 
     /// The active jobs that are run for another cell.
-    pub(super) fn guests(&self) -> impl Iterator<Item = &str> {
+    pub(super) fn guest_jobs(&self) -> impl Iterator<Item = &str> {
         self.guests.iter().map(String::as_str)
     }
 }
--- a/crates/saltpitch-core/src/records/record_cache/withdrawn_jobs.rs
+++ b/crates/saltpitch-core/src/records/record_cache/implicit_cancellations.rs
@@ -7,7 +7,7 @@
 
 /// Dependencies between jobs as far as they may still withdraw a job.
 #[derive(Clone, Debug, Default)]
-pub(super) struct WithdrawnJobs {
+pub(super) struct ImplicitCancellations {
     /// Jobs that wait for others, by those that they depend on.
     dependents: HashMap<String, Vec<String>>,
     /// Jobs not yet cancelled on record that depend on a cancelled one, directly or through others. None
@@ -15,9 +15,9 @@
     withdrawn: HashSet<String>,
 }
 
-impl WithdrawnJobs {
+impl ImplicitCancellations {
     /// A job's state, as users see it: on record, or cancelled with one that it depends on.
-    pub(super) fn state(&self, id: &str, jobs: &HashMap<String, JobEntry>) -> Option<JobState> {
+    pub(super) fn job_state(&self, id: &str, jobs: &HashMap<String, JobEntry>) -> Option<JobState> {
         let on_record = jobs.get(id)?.record.state;
         Some(if self.withdrawn.contains(id) {
             JobState::Cancelled
@@ -63,7 +63,7 @@
     ) -> bool {
         let mut depends_on_cancelled = false;
         for dependency in dependencies {
-            match self.state(dependency, jobs) {
+            match self.job_state(dependency, jobs) {
                 Some(JobState::Done) => {}
                 Some(JobState::Cancelled) => {
                     self.withdrawn.insert(id.to_owned());
--- a/crates/saltpitch-core/src/records/record_cache/jobs.rs
+++ b/crates/saltpitch-core/src/records/record_cache/jobs.rs
@@ -33,7 +33,7 @@
         let entry = JobEntry { revision, record };
         self.jobs.insert(id.to_owned(), entry);
         let dependencies = spec.as_ref().map_or(&[][..], |spec| &spec.dependencies);
-        self.withdrawn_jobs
+        self.implicit_cancellations
             .job_changed(id, state, dependencies, &self.jobs);
         Ok(Change::Job(id.to_owned()))
     }
@@ -64,22 +64,22 @@
     }
 
     /// A job's state, as users see it: on record, or cancelled with one that it depends on.
-    pub fn state(&self, id: &str) -> Option<JobState> {
-        self.withdrawn_jobs.state(id, &self.jobs)
+    pub fn job_state(&self, id: &str) -> Option<JobState> {
+        self.implicit_cancellations.job_state(id, &self.jobs)
     }
 
     /// The jobs that are cancelled with one that they depend on, and not on record yet.
-    pub fn withdrawn(&self) -> impl Iterator<Item = &str> {
-        self.withdrawn_jobs.iter()
+    pub fn implicitly_cancelled_jobs(&self) -> impl Iterator<Item = &str> {
+        self.implicit_cancellations.iter()
     }
 
     /// The active jobs that another cell may own.
-    pub fn delegated(&self) -> impl Iterator<Item = &str> {
-        self.delegation_index.delegated()
+    pub fn delegated_jobs(&self) -> impl Iterator<Item = &str> {
+        self.delegation_index.delegated_jobs()
     }
 
     /// The active jobs that are run for another cell.
-    pub fn guests(&self) -> impl Iterator<Item = &str> {
-        self.delegation_index.guests()
+    pub fn guest_jobs(&self) -> impl Iterator<Item = &str> {
+        self.delegation_index.guest_jobs()
     }
 }
--- a/crates/saltpitch-core/src/records/record_cache/mod.rs
+++ b/crates/saltpitch-core/src/records/record_cache/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! Changes may come late, twice and in any order: of each key, the newest revision counts. The parts are kept
 //! up in modules of their own: [`jobs`], [`tasks`], [`machines`], and what follows from one job's end for
-//! those that depend on it, [`withdrawn_jobs`].
+//! those that depend on it, [`implicit_cancellations`].
 
 mod delegation_index;
+mod implicit_cancellations;
 mod jobs;
 mod machines;
 mod succession;
 mod tasks;
-mod withdrawn_jobs;
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use crate::images::ImageEvidence;
 
 use delegation_index::DelegationIndex;
-use withdrawn_jobs::WithdrawnJobs;
+use implicit_cancellations::ImplicitCancellations;
 
 /// A job's record as of one revision.
 #[derive(Clone, Debug)]
@@ -86,7 +86,7 @@
     pub returned_machines: ReturnedMachines,
     /// Which machines hold which images.
     pub images: ImageEvidence,
-    withdrawn_jobs: WithdrawnJobs,
+    implicit_cancellations: ImplicitCancellations,
     delegation_index: DelegationIndex,
     /// Cancellations in the order in which this copy learned of them.
     pub cancellations: Cancellations,
--- a/crates/saltpitch-core/src/records/record_cache/tasks.rs
+++ b/crates/saltpitch-core/src/records/record_cache/tasks.rs
@@ -11,7 +11,7 @@
 
 impl RecordCache {
     /// How many tasks of a job are running and how many have completed, for display.
-    pub fn counts(&self, id: &str) -> (u64, u64) {
+    pub fn task_counts(&self, id: &str) -> (u64, u64) {
         let tasks = self.tasks.get(id);
         tasks.map_or((0, 0), |tasks| {
             (u64::from(tasks.running), u64::from(tasks.done))
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -134,7 +134,7 @@
         wall: Micros,
     ) -> Job {
         let cancelled = self.job_table.take_cancelled_before_known(id)
-            || records.state(id) == Some(JobState::Cancelled);
+            || records.job_state(id) == Some(JobState::Cancelled);
         let classes = &mut self.job_table.classes;
         let class = classes.number_of(&spec.class, &self.config.objectives);
         classes.note_job(class, spec.tasks);
--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -335,7 +335,7 @@
 /// What a controller answers users and takes over from the records, in a command of its own.
 fn summary(records: &RecordCache) -> Vec<String> {
     let jobs = records.jobs.keys().map(|id| {
-        let (state, counts) = (records.state(id), records.counts(id));
+        let (state, counts) = (records.job_state(id), records.task_counts(id));
         format!("{id} {state:?} {counts:?}")
     });
     let machine_blocks = records
--- a/crates/saltpitch-core/tests/delegation_records.rs
+++ b/crates/saltpitch-core/tests/delegation_records.rs
@@ -105,13 +105,17 @@
             format!("{},\"x\":{damage}}}", &plain[..plain.len() - 1]),
             1,
         );
-        assert_eq!(records.state("job-1"), Some(JobState::Active), "{damage}");
+        assert_eq!(
+            records.job_state("job-1"),
+            Some(JobState::Active),
+            "{damage}"
+        );
         let record = &records.jobs["job-1"].record;
         let state = record.delegation.as_ref().map(|d| d.state);
         assert_eq!(state, Some(DelegationState::Damaged), "{damage}");
         assert!(record.is_delegated());
         assert_eq!(record.cancel_step(), CancelStep::Await);
-        assert_eq!(records.delegated().collect::<Vec<_>>(), ["job-1"]);
+        assert_eq!(records.delegated_jobs().collect::<Vec<_>>(), ["job-1"]);
     }
 }
 
@@ -145,14 +149,14 @@
     let mut records = RecordCache::default();
     let text = |record: &JobRecord| serde_json::to_string(record).expect("JSON");
     put(&mut records, text(&delegated(DelegationState::Offered)), 1);
-    assert_eq!(records.delegated().count(), 1);
+    assert_eq!(records.delegated_jobs().count(), 1);
     put(&mut records, text(&delegated(DelegationState::Returned)), 2);
-    assert_eq!(records.delegated().count(), 0);
+    assert_eq!(records.delegated_jobs().count(), 0);
     put(&mut records, text(&delegated(DelegationState::Running)), 3);
     put(
         &mut records,
         text(&JobRecord::over(JobState::Done, None)),
         4,
     );
-    assert_eq!(records.delegated().count(), 0);
+    assert_eq!(records.delegated_jobs().count(), 0);
 }
--- a/crates/saltpitch-core/tests/record_samples.rs
+++ b/crates/saltpitch-core/tests/record_samples.rs
@@ -263,13 +263,13 @@
     assert_eq!(spec("job-000007"), Some(service_spec()));
     assert_eq!(spec("job-000008"), Some(low_priority_spec()));
     assert_eq!(records.jobs["job-000002"].record.finished, Some(TIME));
-    assert_eq!(records.state("job-000009"), Some(JobState::Done));
+    assert_eq!(records.job_state("job-000009"), Some(JobState::Done));
     for id in ["job-000003", "job-000005", "job-000006"] {
-        assert_eq!(records.state(id), Some(JobState::Cancelled), "{id}");
+        assert_eq!(records.job_state(id), Some(JobState::Cancelled), "{id}");
     }
     // Of the segment and the newer checkpoint, the checkpoint counts.
-    assert_eq!(records.counts("job-000001"), (1, 0));
-    assert_eq!(records.counts("job-000008"), (0, 5));
+    assert_eq!(records.task_counts("job-000001"), (1, 0));
+    assert_eq!(records.task_counts("job-000008"), (0, 5));
     assert_eq!(records.last_segment, 2_056);
     assert!(
         records.machine_blocks[&1].value.machines[1].2,
@@ -288,10 +288,10 @@
     assert_eq!(records.incarnation_of("n1"), 9);
     let job = &records.jobs["job-000001"].record;
     assert_eq!(job.spec.as_deref(), Some(&gang_spec()));
-    assert_eq!(records.state("job-000002"), Some(JobState::Done));
-    assert_eq!(records.state("job-000003"), Some(JobState::Cancelled));
+    assert_eq!(records.job_state("job-000002"), Some(JobState::Done));
+    assert_eq!(records.job_state("job-000003"), Some(JobState::Cancelled));
     assert_eq!(
-        records.counts("job-000001"),
+        records.task_counts("job-000001"),
         (1, 0),
         "the checkpoint is the newer one"
     );
--- a/crates/saltpitch-testkit/src/invariants.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -172,7 +172,7 @@
         let knows = node.is_up(simulation.now)
             && node.controller.is_synced()
             && node.records().revision == simulation.store.rev;
-        if knows && node.records().state(id) != Some(JobState::Cancelled) {
+        if knows && node.records().job_state(id) != Some(JobState::Cancelled) {
             return violation(format!("{id} by {}", node.name));
         }
     }
--- a/crates/saltpitch-testkit/src/simulation/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -41,7 +41,7 @@
         for (id, job) in &mut self.jobs {
             let known = self.nodes.iter().any(|node| knows(node, id));
             for (node_index, node) in self.nodes.iter().enumerate() {
-                let state = node.records().state(id);
+                let state = node.records().job_state(id);
                 self.trace.event("status", now).text(id);
                 self.trace
                     .number(node_index as u64)
--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -146,14 +146,14 @@
 }
 
 fn print_delegations(records: &RecordCache) {
-    for job in records.delegated() {
+    for job in records.delegated_jobs() {
         let entry = records.jobs.get(job).map(|entry| &entry.record);
         if let Some(delegation) = entry.and_then(|record| record.delegation.as_ref()) {
             println!("{}", describe(job, delegation));
         }
     }
-    for id in records.guests() {
-        let (running, done) = records.counts(id);
+    for id in records.guest_jobs() {
+        let (running, done) = records.task_counts(id);
         println!("guest {id}: {running} tasks placed, {done} done");
     }
 }
--- a/crates/saltpitch/src/cells/listener.rs
+++ b/crates/saltpitch/src/cells/listener.rs
@@ -185,7 +185,7 @@
         };
         let (running, done) = {
             let id = self.admission.guest_id(sent_id);
-            self.node.controller().records().counts(&id)
+            self.node.controller().records().task_counts(&id)
         };
         let body = encode_progress(sent_id, status.into(), done, running);
         Ok(json(StatusCode::OK, &body))
--- a/crates/saltpitch/src/users.rs
+++ b/crates/saltpitch/src/users.rs
@@ -118,8 +118,8 @@
     fn progress_in_memory(&self, id: &str) -> Option<JobProgress> {
         let controller = self.controller();
         let records = controller.records();
-        let state = records.state(id)?;
-        let (running, done) = records.counts(id);
+        let state = records.job_state(id)?;
+        let (running, done) = records.task_counts(id);
         let running = if state.is_final() { 0 } else { running };
         let record = records.jobs.get(id).map(|entry| &entry.record);
         let delegation = record.and_then(|record| record.delegation.as_ref());
