--- a/crates/saltpitch-core/src/controller/record_sync.rs
+++ b/crates/saltpitch-core/src/controller/record_sync.rs
@@ -101,14 +101,14 @@
         now: Micros,
         wall: Micros,
     ) -> Result<(), OutdatedLayout> {
-        if records.old_layout {
+        if records.has_earlier_layout {
             return Err(OutdatedLayout);
         }
         let old = std::mem::replace(&mut self.records, records);
         if old.term.revision != self.records.term.revision {
             self.term_seen_at = now;
         }
-        self.records.succeed(old);
+        self.records.carry_over_from(old);
         self.synced = true;
         self.last_cancellation_at = Some(now);
         self.adopt_recorded_catalog();
--- a/crates/saltpitch-core/src/records/record_cache/succession.rs
+++ b/crates/saltpitch-core/src/records/record_cache/carry_over.rs
@@ -9,7 +9,7 @@
 impl RecordCache {
     /// Takes over what is on no record: returned machines, images and the list of cancellations. A
     /// machine that the older copy has and this one does not was returned in between.
-    pub fn succeed(&mut self, mut old: RecordCache) {
+    pub fn carry_over_from(&mut self, mut old: RecordCache) {
         let on_record: HashSet<&str> = self.machine_names().collect();
         let old_machines = old.machine_names();
         let gone: Vec<String> = old_machines
--- a/crates/saltpitch-core/src/records/record_cache/mod.rs
+++ b/crates/saltpitch-core/src/records/record_cache/mod.rs
@@ -4,11 +4,11 @@
 //! up in modules of their own: [`jobs`], [`tasks`], [`machines`], and what follows from one job's end for
 //! those that depend on it, [`implicit_cancellations`].
 
+mod carry_over;
 mod delegation_index;
 mod implicit_cancellations;
 mod jobs;
 mod machines;
-mod succession;
 mod tasks;
 
 use std::collections::{BTreeMap, HashMap};
@@ -92,7 +92,7 @@
     pub cancellations: Cancellations,
     /// A record of an earlier version's layout was seen: this version must not lead on half of the
     /// records.
-    pub old_layout: bool,
+    pub has_earlier_layout: bool,
 }
 
 /// Why a record was refused.
@@ -124,7 +124,7 @@
             Key::MachineBlock(number) => self.put_machine_block(number, raw, revision),
             Key::Segment(slot) => self.put_segment(slot, raw, revision),
             Key::EarlierLayout => {
-                self.old_layout = true;
+                self.has_earlier_layout = true;
                 Err(RecordError::EarlierLayout)
             }
             Key::Other => Ok(Change::None),
