--- a/crates/saltpitch-cells/src/host.rs
+++ b/crates/saltpitch-cells/src/host.rs
@@ -218,5 +218,5 @@
 /// The record that a closing submission of an unknown job leaves: late copies of the submission find the
 /// job withdrawn.
 fn closed() -> JobRecord {
-    JobRecord::over(JobState::Cancelled, None)
+    JobRecord::final_record(JobState::Cancelled, None)
 }
--- a/crates/saltpitch-cells/src/origin/messages.rs
+++ b/crates/saltpitch-cells/src/origin/messages.rs
@@ -27,7 +27,7 @@
     wall: Micros,
 ) -> JobRecord {
     let state = match transition {
-        Transition::Complete => return JobRecord::over(JobState::Done, Some(wall)),
+        Transition::Complete => return JobRecord::final_record(JobState::Done, Some(wall)),
         Transition::Offer => DelegationState::Offered,
         Transition::Accept => DelegationState::Accepted,
         Transition::Run => DelegationState::Running,
@@ -68,7 +68,7 @@
         },
         Request::Submit | Request::Close => {
             let spec = record.spec.clone()?;
-            let age = wall.since(record.submitted);
+            let age = wall.since(record.submitted_at);
             let left = spec.deadline.map(|deadline| deadline.since(age));
             LinkRequest::Submit(Submission {
                 id,
--- a/crates/saltpitch-cells/tests/host_admission.rs
+++ b/crates/saltpitch-cells/tests/host_admission.rs
@@ -164,7 +164,7 @@
     put(
         &mut records,
         &door().guest_id("job-1000001"),
-        &JobRecord::over(JobState::Done, None),
+        &JobRecord::final_record(JobState::Done, None),
     );
     assert!(door().has_room(&records));
     let late = admit(&records, &submission("job-1000001", 2));
--- a/crates/saltpitch-core/src/controller/record_sync.rs
+++ b/crates/saltpitch-core/src/controller/record_sync.rs
@@ -256,7 +256,7 @@
             estimate: spec.estimate,
             deadline: spec.deadline,
             dependencies: spec.dependencies.clone(),
-            took: wall.since(old.record.submitted),
+            took: wall.since(old.record.submitted_at),
             timeline: leadership.scheduler.timeline(id).unwrap_or_default(),
             cancelled: new.state == JobState::Cancelled,
         };
--- a/crates/saltpitch-core/src/records/stored.rs
+++ b/crates/saltpitch-core/src/records/stored.rs
@@ -61,14 +61,14 @@
     pub state: JobState,
     /// Time of day of the submission.
     #[serde(rename = "t", default)]
-    pub submitted: Micros,
+    pub submitted_at: Micros,
     /// The job's description; `None` once the job is over and none of its tasks is left.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Arc<JobSpec>>,
     /// Time of day at which a job was found done, from which the waiting time of its dependents counts.
     /// Left out otherwise; earlier versions don't know the field.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
-    pub finished: Option<Micros>,
+    pub done_at: Option<Micros>,
     /// The job's delegation to another cell, the last one if there were several. Boxed like the guest: records
     /// of jobs that are over stay in memory for ever, and few jobs have either.
     #[serde(
@@ -85,12 +85,12 @@
 
 impl JobRecord {
     /// An accepted job.
-    pub fn accepted(submitted: Micros, spec: Arc<JobSpec>) -> JobRecord {
+    pub fn accepted(submitted_at: Micros, spec: Arc<JobSpec>) -> JobRecord {
         JobRecord {
             state: JobState::Active,
-            submitted,
+            submitted_at,
             spec: Some(spec),
-            finished: None,
+            done_at: None,
             delegation: None,
             guest: None,
         }
@@ -98,7 +98,7 @@
 
     /// Leaves out what is of no use any more once the job is cancelled: where it might have run, and
     /// what it depended on.
-    pub fn shorten(&mut self) {
+    pub fn drop_scheduling_fields(&mut self) {
         if let Some(spec) = &mut self.spec {
             let spec = Arc::make_mut(spec);
             spec.types = None;
@@ -107,12 +107,12 @@
     }
 
     /// A job that is over, with none of its tasks left.
-    pub fn over(state: JobState, finished: Option<Micros>) -> JobRecord {
+    pub fn final_record(state: JobState, done_at: Option<Micros>) -> JobRecord {
         JobRecord {
             state,
-            submitted: Micros::ZERO,
+            submitted_at: Micros::ZERO,
             spec: None,
-            finished,
+            done_at,
             delegation: None,
             guest: None,
         }
--- a/crates/saltpitch-core/src/scheduler/dependency_gate.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -67,7 +67,7 @@
             let record = records.jobs.get(id).map(|entry| &entry.record);
             let done = record.filter(|record| record.state == JobState::Done);
             if let Some(done) = done {
-                let done_at = done.finished.map(|at| now.since(wall.since(at)));
+                let done_at = done.done_at.map(|at| now.since(wall.since(at)));
                 job.times.queued = job.times.queued.max(done_at.unwrap_or_default());
                 continue;
             }
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -52,7 +52,7 @@
     fn update_dependents(&mut self, id: &str, entry: &JobEntry, now: Micros, wall: Micros) {
         match entry.record.state {
             JobState::Done => {
-                let done_at = entry.record.finished.map(|at| now.since(wall.since(at)));
+                let done_at = entry.record.done_at.map(|at| now.since(wall.since(at)));
                 self.dependency_completed(id, done_at.unwrap_or(now), now);
             }
             JobState::Cancelled => self.dependency_cancelled(id, now),
@@ -139,7 +139,7 @@
         let class = classes.number_of(&spec.class, &self.config.objectives);
         classes.note_job(class, spec.tasks);
         let tasks = spec.tasks as usize;
-        let submitted = now.since(wall.since(entry.record.submitted));
+        let submitted = now.since(wall.since(entry.record.submitted_at));
         Job {
             class,
             team: self.quota.number(&spec.team),
--- a/crates/saltpitch-core/src/scheduler/persistence/final_records.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/final_records.rs
@@ -34,7 +34,7 @@
             let done_at = job.times.done_at.filter(|_| state == JobState::Done);
             let finished = done_at.map(|at| sources.clock.wall(at));
             builder.require(job_key(&job.id), job.revision);
-            let record = JobRecord::over(state, finished);
+            let record = JobRecord::final_record(state, finished);
             builder.write(job_key(&job.id), to_json(&record));
             self.finished_jobs.remove(&number);
             for task in 0..job.spec.tasks {
--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -420,7 +420,7 @@
         value: Some(raw(&serde_json::to_string(record).expect("JSON"))),
         revision,
     };
-    let shortened = JobRecord::over(JobState::Cancelled, None);
+    let shortened = JobRecord::final_record(JobState::Cancelled, None);
     let history = [
         change(&job, 3),
         change(&cancelled, 4),
--- a/crates/saltpitch-core/tests/delegation.rs
+++ b/crates/saltpitch-core/tests/delegation.rs
@@ -129,7 +129,11 @@
     site.join("vm-00", "east");
     site.steps(10, runs_for_long);
     assert_eq!(site.started("job-2"), 0);
-    write(&mut site, "job-1", &JobRecord::over(JobState::Done, None));
+    write(
+        &mut site,
+        "job-1",
+        &JobRecord::final_record(JobState::Done, None),
+    );
     site.steps(10, runs_for_long);
     assert_eq!((site.started("job-1"), site.started("job-2")), (0, 1));
 }
--- a/crates/saltpitch-core/tests/delegation_records.rs
+++ b/crates/saltpitch-core/tests/delegation_records.rs
@@ -155,7 +155,7 @@
     put(&mut records, text(&delegated(DelegationState::Running)), 3);
     put(
         &mut records,
-        text(&JobRecord::over(JobState::Done, None)),
+        text(&JobRecord::final_record(JobState::Done, None)),
         4,
     );
     assert_eq!(records.delegated_jobs().count(), 0);
--- a/crates/saltpitch-core/tests/record_samples.rs
+++ b/crates/saltpitch-core/tests/record_samples.rs
@@ -146,7 +146,7 @@
         ..accepted(waiting_array_spec())
     };
     let mut shortened = cancelled.clone();
-    shortened.shorten();
+    shortened.drop_scheduling_fields();
     let segment = SegmentRecord {
         number: 2_055,
         entries: vec![
@@ -177,7 +177,7 @@
     for task in [0, 1, 2, 4] {
         completed.add_done(task);
     }
-    let done_at = JobRecord::over(JobState::Done, Some(TIME));
+    let done_at = JobRecord::final_record(JobState::Done, Some(TIME));
     let catalog = Catalog {
         types: vec![machine_type],
     };
@@ -201,11 +201,11 @@
         row(job_key("job-000002"), &done_at),
         row(
             job_key("job-000009"),
-            &JobRecord::over(JobState::Done, None),
+            &JobRecord::final_record(JobState::Done, None),
         ),
         row(
             job_key("job-000003"),
-            &JobRecord::over(JobState::Cancelled, None),
+            &JobRecord::final_record(JobState::Cancelled, None),
         ),
         row(segment_key(7), &segment),
         row(checkpoint_key("job-000001", 0), &placed),
@@ -262,7 +262,7 @@
     assert_eq!(spec("job-000004"), Some(waiting_array_spec()));
     assert_eq!(spec("job-000007"), Some(service_spec()));
     assert_eq!(spec("job-000008"), Some(low_priority_spec()));
-    assert_eq!(records.jobs["job-000002"].record.finished, Some(TIME));
+    assert_eq!(records.jobs["job-000002"].record.done_at, Some(TIME));
     assert_eq!(records.job_state("job-000009"), Some(JobState::Done));
     for id in ["job-000003", "job-000005", "job-000006"] {
         assert_eq!(records.job_state(id), Some(JobState::Cancelled), "{id}");
@@ -303,7 +303,7 @@
 fn what_does_not_use_pipelines_is_written_as_before_them() {
     let all = samples(BEFORE_PIPELINES);
     let json = |record: &JobRecord| serde_json::to_string(record).expect("serialisable");
-    let over = |state| json(&JobRecord::over(state, None));
+    let over = |state| json(&JobRecord::final_record(state, None));
     assert_eq!(
         json(&accepted(gang_spec())),
         sample(&all, "salt/j/job-000001")
@@ -328,7 +328,7 @@
         assert!(new["d"].get(&field).is_some(), "{field}");
     }
     assert_eq!(fields(&new["d"]).len(), fields(&old["d"]).len() + 1);
-    let over = JobRecord::over(JobState::Done, Some(Micros(7)));
+    let over = JobRecord::final_record(JobState::Done, Some(Micros(7)));
     let new = parse(&serde_json::to_string(&over).expect("serialisable"));
     assert_eq!(new["s"], "done");
     assert_eq!(new["f"], 7);
--- a/crates/saltpitch-core/tests/scheduler.rs
+++ b/crates/saltpitch-core/tests/scheduler.rs
@@ -514,7 +514,7 @@
         put(records, &segment_key(1), &segment(1, placed), 4);
         let completed = SegmentEntry(0, 1, String::new(), 0, u8::from(done));
         put(records, &segment_key(2), &segment(2, completed), 5);
-        let over = JobRecord::over(JobState::Done, None);
+        let over = JobRecord::final_record(JobState::Done, None);
         put(records, &job_key("job-1"), &over, 6);
     };
     let mut d = SchedulerHarness::new(build, secs(0));
--- a/crates/saltpitch/src/cells/command/tests.rs
+++ b/crates/saltpitch/src/cells/command/tests.rs
@@ -15,9 +15,9 @@
 fn record(delegation: Box<Delegation>) -> JobRecord {
     JobRecord {
         state: JobState::Active,
-        submitted: Default::default(),
+        submitted_at: Default::default(),
         spec: None,
-        finished: None,
+        done_at: None,
         delegation: Some(delegation),
         guest: None,
     }
--- a/crates/saltpitch/src/users.rs
+++ b/crates/saltpitch/src/users.rs
@@ -218,7 +218,7 @@
             return Some(value);
         }
         // It was written under larger limits. The leader only needs to know what its tasks take.
-        record.shorten();
+        record.drop_scheduling_fields();
         serde_json::to_string(&record).ok()
     }
 }
