--- a/crates/saltpitch-core/src/scheduler/persistence/committed.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/committed.rs
@@ -20,7 +20,7 @@
     /// The machines that are on record.
     pub(in crate::scheduler) machines: Vec<CommittedMachine>,
     /// The machines that starts may be sent to, in the order in which their allocations were committed.
-    pub(in crate::scheduler) start_on: Vec<Arc<str>>,
+    pub(in crate::scheduler) dispatch_targets: Vec<Arc<str>>,
     /// Jobs that were cancelled while their allocations were being written.
     pub(in crate::scheduler) cancelled_jobs: Vec<JobNumber>,
 }
@@ -108,16 +108,16 @@
         };
         let of_job = TaskKey::new(number, 0)..=TaskKey::new(number, u32::MAX);
         for key in tasks.range(of_job) {
-            commit_allocation(key.task, job, &mut changes.start_on);
+            commit_allocation(key.task, job, &mut changes.dispatch_targets);
         }
-        allow_gang(job, &mut changes.start_on);
+        allow_gang(job, &mut changes.dispatch_targets);
         if job.state != JobState::Active {
             changes.cancelled_jobs.push(number);
         }
     }
 }
 
-fn commit_allocation(task: u32, job: &mut Job, start_on: &mut Vec<Arc<str>>) {
+fn commit_allocation(task: u32, job: &mut Job, dispatch_targets: &mut Vec<Arc<str>>) {
     let starts_alone = job.spec.kind != JobKind::Gang;
     let Some(allocation) = job.allocation_mut(task) else {
         return;
@@ -128,12 +128,12 @@
     allocation.in_transaction = false;
     allocation.committed = true;
     if starts_alone {
-        start_on.push(allocation.machine.clone());
+        dispatch_targets.push(allocation.machine.clone());
     }
 }
 
 /// The allow loop: once all members of a gang are on record, every member's start is released at once.
-fn allow_gang(job: &mut Job, start_on: &mut Vec<Arc<str>>) {
+fn allow_gang(job: &mut Job, dispatch_targets: &mut Vec<Arc<str>>) {
     if job.spec.kind != JobKind::Gang || job.gang != Gang::Committing {
         return;
     }
@@ -146,5 +146,5 @@
     }
     job.gang = Gang::Allowed;
     let allocations = job.tasks.iter().filter_map(|task| task.allocation.as_ref());
-    start_on.extend(allocations.map(|allocation| allocation.machine.clone()));
+    dispatch_targets.extend(allocations.map(|allocation| allocation.machine.clone()));
 }
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
@@ -173,16 +173,16 @@
         };
         let machines = block.machines.iter();
         for machine in machines.filter_map(|name| sources.machines.get(name)) {
-            let returning = machine.lifecycle.is_returning();
+            let is_returning = machine.lifecycle.is_returning();
             record.machines.push(MachineRecord(
                 machine.name.to_string(),
                 machine.addr.clone(),
-                returning,
+                is_returning,
                 sources.wall_time(machine.lifecycle.created_at()),
             ));
             written.machines.push(CommittedMachine {
                 name: machine.name.clone(),
-                returning,
+                is_returning,
             });
         }
         Some(BlockDraft {
--- a/crates/saltpitch-core/src/scheduler/persistence/transaction.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/transaction.rs
@@ -40,7 +40,7 @@
     /// The machine.
     pub(in crate::scheduler) name: Arc<str>,
     /// Its return to the cloud is intended.
-    pub(in crate::scheduler) returning: bool,
+    pub(in crate::scheduler) is_returning: bool,
 }
 
 /// A block of machines that is written.
--- a/crates/saltpitch-core/src/scheduler/record_commits.rs
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -38,7 +38,7 @@
         for machine in &changes.machines {
             self.machine_committed(machine, now);
         }
-        for name in &changes.start_on {
+        for name in &changes.dispatch_targets {
             self.dispatch.request_until_effect(name);
         }
         for number in changes.cancelled_jobs {
@@ -54,7 +54,7 @@
             return;
         };
         let is_new = machine.lifecycle.set_recorded();
-        if committed.returning && machine.lifecycle.confirm_return() {
+        if committed.is_returning && machine.lifecycle.confirm_return() {
             self.inventory.schedule_health_check(name, now);
         } else if is_new {
             self.inventory.update(name);
