--- a/crates/saltpitch-core/src/controller/peer_heartbeats.rs
+++ b/crates/saltpitch-core/src/controller/peer_heartbeats.rs
@@ -83,7 +83,7 @@
         if self.epoch != epoch {
             answer.ack = None;
         }
-        let more = answer.ack.as_ref().is_some_and(|ack| ack.more);
+        let more = answer.ack.as_ref().is_some_and(|ack| ack.has_more);
         self.peer_heard(answer, Some(asked_at), now);
         more
     }
--- a/crates/saltpitch-core/src/leadership/answer_bound.rs
+++ b/crates/saltpitch-core/src/leadership/answer_bound.rs
@@ -44,7 +44,7 @@
     pub fn record(&mut self, peer: &str, ack: &CancellationAck, asked_at: Micros) {
         let known = self.0.entry(peer.to_owned()).or_default();
         known.cursor = ack.next;
-        if !ack.more {
+        if !ack.has_more {
             known.acknowledged_at = known.acknowledged_at.max(Some(asked_at));
         }
     }
--- a/crates/saltpitch-core/src/records/cancellations.rs
+++ b/crates/saltpitch-core/src/records/cancellations.rs
@@ -28,7 +28,8 @@
     #[serde(rename = "upto")]
     pub next: AckCursor,
     /// Whether there is another page. Only the last one completes the acknowledgement.
-    pub more: bool,
+    #[serde(rename = "more")]
+    pub has_more: bool,
     /// The ids of the cancelled jobs.
     pub cancelled: Vec<String>,
 }
@@ -104,7 +105,7 @@
         }
         Some(CancellationAck {
             next: AckCursor { process, entries },
-            more: entries < self.first + self.list.len() as u64,
+            has_more: entries < self.first + self.list.len() as u64,
             cancelled,
         })
     }
--- a/crates/saltpitch-core/tests/frame_samples.rs
+++ b/crates/saltpitch-core/tests/frame_samples.rs
@@ -64,7 +64,7 @@
                 process: 6,
                 entries: 1,
             },
-            more: false,
+            has_more: false,
             cancelled: vec!["job-000002".to_owned()],
         }),
         ..plain_status()
@@ -78,7 +78,7 @@
                 process: 6,
                 entries: 1_000,
             },
-            more: true,
+            has_more: true,
             cancelled: Vec::new(),
         }),
         ..plain_status()
