--- a/crates/saltpitch-core/src/controller/record_sync.rs
+++ b/crates/saltpitch-core/src/controller/record_sync.rs
@@ -101,14 +101,14 @@
         now: Micros,
         wall: Micros,
     ) -> Result<(), OutdatedLayout> {
-        if records.old_layout {
+        if records.has_earlier_layout {
             return Err(OutdatedLayout);
         }
         let old = std::mem::replace(&mut self.records, records);
         if old.term.revision != self.records.term.revision {
             self.term_seen_at = now;
         }
-        self.records.succeed(old);
+        self.records.carry_over_from(old);
         self.synced = true;
         self.last_cancellation_at = Some(now);
         self.adopt_recorded_catalog();
@@ -194,7 +194,7 @@
     }
 
     fn job_changed(&mut self, id: &str, now: Micros, wall: Micros) {
-        if self.records.state(id) == Some(JobState::Cancelled) {
+        if self.records.job_state(id) == Some(JobState::Cancelled) {
             self.last_cancellation_at = Some(now);
         }
         if let Some(leadership) = &mut self.leadership {
@@ -256,7 +256,7 @@
             estimate: spec.estimate,
             deadline: spec.deadline,
             dependencies: spec.dependencies.clone(),
-            took: wall.since(old.record.submitted),
+            took: wall.since(old.record.submitted_at),
             timeline: leadership.scheduler.timeline(id).unwrap_or_default(),
             cancelled: new.state == JobState::Cancelled,
         };
--- a/crates/saltpitch-core/src/records/record_cache/mod.rs
+++ b/crates/saltpitch-core/src/records/record_cache/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! Changes may come late, twice and in any order: of each key, the newest revision counts. The parts are kept
 //! up in modules of their own: [`jobs`], [`tasks`], [`machines`], and what follows from one job's end for
-//! those that depend on it, [`withdrawn_jobs`].
+//! those that depend on it, [`implicit_cancellations`].
 
+mod carry_over;
 mod delegation_index;
+mod implicit_cancellations;
 mod jobs;
 mod machines;
-mod succession;
 mod tasks;
-mod withdrawn_jobs;
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use crate::images::ImageEvidence;
 
 use delegation_index::DelegationIndex;
-use withdrawn_jobs::WithdrawnJobs;
+use implicit_cancellations::ImplicitCancellations;
 
 /// A job's record as of one revision.
 #[derive(Clone, Debug)]
@@ -86,13 +86,13 @@
     pub returned_machines: ReturnedMachines,
     /// Which machines hold which images.
     pub images: ImageEvidence,
-    withdrawn_jobs: WithdrawnJobs,
+    implicit_cancellations: ImplicitCancellations,
     delegation_index: DelegationIndex,
     /// Cancellations in the order in which this copy learned of them.
     pub cancellations: Cancellations,
     /// A record of an earlier version's layout was seen: this version must not lead on half of the
     /// records.
-    pub old_layout: bool,
+    pub has_earlier_layout: bool,
 }
 
 /// Why a record was refused.
@@ -124,7 +124,7 @@
             Key::MachineBlock(number) => self.put_machine_block(number, raw, revision),
             Key::Segment(slot) => self.put_segment(slot, raw, revision),
             Key::EarlierLayout => {
-                self.old_layout = true;
+                self.has_earlier_layout = true;
                 Err(RecordError::EarlierLayout)
             }
             Key::Other => Ok(Change::None),
--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -335,7 +335,7 @@
 /// What a controller answers users and takes over from the records, in a command of its own.
 fn summary(records: &RecordCache) -> Vec<String> {
     let jobs = records.jobs.keys().map(|id| {
-        let (state, counts) = (records.state(id), records.counts(id));
+        let (state, counts) = (records.job_state(id), records.task_counts(id));
         format!("{id} {state:?} {counts:?}")
     });
     let machine_blocks = records
@@ -420,7 +420,7 @@
         value: Some(raw(&serde_json::to_string(record).expect("JSON"))),
         revision,
     };
-    let shortened = JobRecord::over(JobState::Cancelled, None);
+    let shortened = JobRecord::final_record(JobState::Cancelled, None);
     let history = [
         change(&job, 3),
         change(&cancelled, 4),
--- a/crates/saltpitch/src/users.rs
+++ b/crates/saltpitch/src/users.rs
@@ -118,8 +118,8 @@
     fn progress_in_memory(&self, id: &str) -> Option<JobProgress> {
         let controller = self.controller();
         let records = controller.records();
-        let state = records.state(id)?;
-        let (running, done) = records.counts(id);
+        let state = records.job_state(id)?;
+        let (running, done) = records.task_counts(id);
         let running = if state.is_final() { 0 } else { running };
         let record = records.jobs.get(id).map(|entry| &entry.record);
         let delegation = record.and_then(|record| record.delegation.as_ref());
@@ -218,7 +218,7 @@
             return Some(value);
         }
         // It was written under larger limits. The leader only needs to know what its tasks take.
-        record.shorten();
+        record.drop_scheduling_fields();
         serde_json::to_string(&record).ok()
     }
 }
