--- a/crates/saltpitch-core/src/gang.rs
+++ b/crates/saltpitch-core/src/gang.rs
@@ -4,7 +4,7 @@
 
 /// Where a gang stands between submission and its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gang {
+pub enum GangState {
     /// Holds nothing.
     Parked {
         /// It is not looked at before then.
@@ -23,9 +23,9 @@
     Stopping,
 }
 
-impl Default for Gang {
-    fn default() -> Gang {
-        Gang::Parked {
+impl Default for GangState {
+    fn default() -> GangState {
+        GangState::Parked {
             until: Micros::ZERO,
         }
     }
--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -8,7 +8,7 @@
 use super::queue_order::QueuedJob;
 use super::{Job, ScaleOutOutcome, Scheduler};
 use crate::catalog::Resources;
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::JobKind;
 use crate::machine::Machine;
 use crate::time::Micros;
@@ -145,7 +145,7 @@
     fn wanted_tasks(&self, job: &Job, idle: u64, claimed: &[Resources]) -> u64 {
         let spec = &job.spec;
         let is_gang = spec.kind == JobKind::Gang;
-        let is_complete_gang = matches!(job.gang, Gang::Committing | Gang::Allowed);
+        let is_complete_gang = matches!(job.gang, GangState::Committing | GangState::Allowed);
         let guest = job.guest.as_ref();
         if is_complete_gang || guest.is_some_and(|guest| !guest.may_rent) {
             return 0;
@@ -158,7 +158,7 @@
         }
         // A gang at the barrier found the team's limit free for all of it. What is served before it
         // and finds no machine must not keep the machines for its last tasks from being ordered.
-        let is_at_barrier = matches!(job.gang, Gang::Holding { .. }) && job.tasks.placed() > 0;
+        let is_at_barrier = matches!(job.gang, GangState::Holding { .. }) && job.tasks.placed() > 0;
         if is_at_barrier && self.quota.tasks_allowed(job.team, &spec.need) >= idle {
             return idle;
         }
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -5,7 +5,7 @@
 
 use super::{Effect, Job, ObservedState, Scheduler};
 use crate::agent::{Command, Heartbeat, TaskState, TaskStatus};
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::{JobKind, JobState};
 use crate::machine::Machine;
 use crate::time::Micros;
@@ -233,7 +233,7 @@
     let Some(allocation) = job.allocation(task) else {
         return false;
     };
-    let is_gang_ready = job.spec.kind != JobKind::Gang || job.gang == Gang::Allowed;
+    let is_gang_ready = job.spec.kind != JobKind::Gang || job.gang == GangState::Allowed;
     allocation.committed
         && allocation.observed == ObservedState::Unseen
         && is_gang_ready
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -11,7 +11,7 @@
 use super::queue_order::QueuedJob;
 use super::{Job, Scheduler};
 use crate::catalog::Resources;
-use crate::gang::{permit, pre_enqueue, Gang, Permit};
+use crate::gang::{permit, pre_enqueue, GangState, Permit};
 use crate::job::{JobKind, JobNumber};
 use crate::time::Micros;
 
@@ -52,7 +52,7 @@
     /// first: two gangs must not each hold what the other lacks.
     pub(super) fn release_barriers(&mut self, now: Micros) {
         let holding_since = |number: &JobNumber| match self.job_table.get(*number)?.gang {
-            Gang::Holding { since } => Some((*number, since)),
+            GangState::Holding { since } => Some((*number, since)),
             _ => None,
         };
         let waiting = self.gang_barrier.waiting.iter();
@@ -210,7 +210,7 @@
                 self.park(number, now);
                 if let Some(job) = self.job_table.get_mut(number) {
                     let until = now.plus(PARKED_AFTER_DROP);
-                    job.gang = Gang::Parked { until };
+                    job.gang = GangState::Parked { until };
                 }
             }
         }
@@ -221,7 +221,7 @@
         let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
-        job.gang = Gang::Committing;
+        job.gang = GangState::Committing;
         job.times.served_at = now;
         self.gang_barrier.leave(number);
         for task in 0..job.spec.tasks {
@@ -232,7 +232,7 @@
     /// The gang's members found so far hold their capacity.
     fn wait_at_barrier(&mut self, number: JobNumber, since: Micros) {
         if let Some(job) = self.job_table.get_mut(number) {
-            job.gang = Gang::Holding { since };
+            job.gang = GangState::Holding { since };
             self.gang_barrier.waiting.insert(number);
         }
     }
@@ -260,7 +260,7 @@
         let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
-        job.gang = Gang::Parked { until: now };
+        job.gang = GangState::Parked { until: now };
         if job.tasks.placed() == 0 {
             return;
         }
@@ -278,8 +278,8 @@
         return None;
     }
     match job.gang {
-        Gang::Parked { until } if until <= now && job.tasks.placed() == 0 => Some(now),
-        Gang::Holding { since } => Some(since),
+        GangState::Parked { until } if until <= now && job.tasks.placed() == 0 => Some(now),
+        GangState::Holding { since } => Some(since),
         _ => None,
     }
 }
--- a/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
+++ b/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{Job, ObservedState, Scheduler};
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::{JobKind, JobNumber};
 use crate::time::Micros;
 
@@ -62,12 +62,12 @@
     /// Stops a whole gang, all members at once.
     pub(super) fn stop_whole_gang(&mut self, number: JobNumber, grace: Micros, now: Micros) {
         if let Some(job) = self.job_table.get_mut(number) {
-            job.gang = Gang::Stopping;
+            job.gang = GangState::Stopping;
         }
         self.stop_all(number, grace, now);
         if let Some(job) = self.job_table.get_mut(number) {
             if job.tasks.placed() == 0 {
-                job.gang = Gang::Parked { until: now };
+                job.gang = GangState::Parked { until: now };
             }
         }
     }
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -7,7 +7,7 @@
 use super::delegation::JobOwner;
 use super::failure_history::FailureHistory;
 use super::{Job, JobBackoff, JobTimeline, JobTimes, Scheduler, TaskSet};
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::{JobKind, JobNumber, JobSpec, JobState};
 use crate::records::{Checkpoint, JobEntry, RecordCache, TASKS_PER_CHECKPOINT};
 use crate::time::Micros;
@@ -161,7 +161,7 @@
             due: None,
             tasks: TaskSet::new(spec.tasks),
             checkpoints: vec![Checkpoint::default(); tasks.div_ceil(TASKS_PER_CHECKPOINT as usize)],
-            gang: Gang::default(),
+            gang: GangState::default(),
             failures: FailureHistory::default(),
             rank: u8::MAX,
             spec,
@@ -211,10 +211,10 @@
             return;
         }
         if lost_tasks || job.tasks.placed() < job.spec.tasks {
-            job.gang = Gang::Stopping;
+            job.gang = GangState::Stopping;
             self.stop_all(number, Micros::ZERO, now);
         } else {
-            job.gang = Gang::Allowed;
+            job.gang = GangState::Allowed;
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/job_table/job.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/job.rs
@@ -5,7 +5,7 @@
 
 use super::allocation::Allocation;
 use super::task_set::TaskSet;
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::{JobKind, JobSpec, JobState, Priority};
 use crate::records::{Checkpoint, Guest};
 use crate::scheduler::delegation::JobOwner;
@@ -88,7 +88,7 @@
     /// The checkpoint of each range of tasks; of revision 0 if it is not on record.
     pub checkpoints: Vec<Checkpoint>,
     /// Where it stands between submission and start, if it is a gang.
-    pub gang: Gang,
+    pub gang: GangState,
     /// What failed, and what that says.
     pub failures: FailureHistory,
     /// When what happened to it.
--- a/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
@@ -5,7 +5,7 @@
 use super::task_keys::{TaskKey, TaskRange};
 use super::transaction::TransactionBuilder;
 use super::{to_json, Persistence, RecordSources};
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::records::{checkpoint_key, job_key, AllocationRecord, CheckpointRecord};
 use crate::scheduler::{Job, Task};
 
@@ -113,7 +113,7 @@
     }
 }
 
-fn checkpoint_record(tasks: &[Task], gang: Gang, up_to_segment: u64) -> CheckpointRecord {
+fn checkpoint_record(tasks: &[Task], gang: GangState, up_to_segment: u64) -> CheckpointRecord {
     let mut record = CheckpointRecord {
         up_to_segment,
         ..CheckpointRecord::default()
--- a/crates/saltpitch-core/src/scheduler/persistence/committed.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/committed.rs
@@ -7,7 +7,7 @@
 use super::task_keys::{TaskKey, TaskRange};
 use super::transaction::{CommittedMachine, TransactionContents};
 use super::Persistence;
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::{JobKind, JobNumber, JobState};
 use crate::records::Checkpoint;
 use crate::scheduler::job_table::JobTable;
@@ -134,7 +134,7 @@
 
 /// The allow loop: once all members of a gang are on record, every member's start is released at once.
 fn allow_gang(job: &mut Job, start_on: &mut Vec<Arc<str>>) {
-    if job.spec.kind != JobKind::Gang || job.gang != Gang::Committing {
+    if job.spec.kind != JobKind::Gang || job.gang != GangState::Committing {
         return;
     }
     let is_committed = |task: &Task| {
@@ -144,7 +144,7 @@
     if !job.tasks.iter().all(is_committed) {
         return;
     }
-    job.gang = Gang::Allowed;
+    job.gang = GangState::Allowed;
     let allocations = job.tasks.iter().filter_map(|task| task.allocation.as_ref());
     start_on.extend(allocations.map(|allocation| allocation.machine.clone()));
 }
--- a/crates/saltpitch-core/src/scheduler/persistence/segments.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/segments.rs
@@ -5,7 +5,7 @@
 use super::task_keys::TaskKey;
 use super::transaction::TransactionBuilder;
 use super::{to_json, Persistence, RecordSources};
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::JobNumber;
 use crate::records::{job_key, segment_key, SegmentEntry, SegmentRecord};
 use crate::scheduler::{Allocation, Job, Task};
@@ -143,12 +143,12 @@
 }
 
 /// Whether an allocation goes on record. A gang's members do so at quorum, not before.
-pub(super) fn is_recordable(allocation: &Allocation, gang: Gang) -> bool {
-    allocation.committed || !matches!(gang, Gang::Holding { .. })
+pub(super) fn is_recordable(allocation: &Allocation, gang: GangState) -> bool {
+    allocation.committed || !matches!(gang, GangState::Holding { .. })
 }
 
 /// What the log says of a task. Its allocation is part of the transaction from now on.
-pub(super) fn task_entry(index: u32, task: &mut Task, gang: Gang) -> SegmentEntry {
+pub(super) fn task_entry(index: u32, task: &mut Task, gang: GangState) -> SegmentEntry {
     let mut entry = SegmentEntry(index, task.attempt, String::new(), 0, u8::from(task.done));
     let allocation = task.allocation.as_mut();
     if let Some(allocation) = allocation.filter(|allocation| is_recordable(allocation, gang)) {
--- a/crates/saltpitch-core/src/scheduler/task_exits.rs
+++ b/crates/saltpitch-core/src/scheduler/task_exits.rs
@@ -4,7 +4,7 @@
 
 use super::Scheduler;
 use crate::agent::ExitCause;
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::{JobKind, JobNumber};
 use crate::time::Micros;
 
@@ -73,15 +73,15 @@
         if job.spec.kind != JobKind::Gang {
             return;
         }
-        if !job.is_complete() && !was_stopped && job.gang != Gang::Stopping {
-            job.gang = Gang::Stopping;
+        if !job.is_complete() && !was_stopped && job.gang != GangState::Stopping {
+            job.gang = GangState::Stopping;
             self.stop_all(number, Micros::ZERO, now);
         }
         let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
         if job.tasks.placed() == 0 {
-            job.gang = Gang::Parked { until: now };
+            job.gang = GangState::Parked { until: now };
             job.times.parked_at = now;
         }
     }
