--- a/crates/saltpitch-core/src/images.rs
+++ b/crates/saltpitch-core/src/images.rs
@@ -30,13 +30,13 @@
 
 /// The images that machines are known to have used, by the machine's name.
 #[derive(Clone, Debug, Default)]
-pub struct ImageEvidence {
+pub struct ImageLocations {
     machines: HashMap<String, ImageCache>,
 }
 
-impl ImageEvidence {
+impl ImageLocations {
     /// A task with this image ran on the machine.
-    pub fn used(&mut self, machine: &str, agent_epoch: u64, image: &str, size_mb: u64) {
+    pub fn record_use(&mut self, machine: &str, agent_epoch: u64, image: &str, size_mb: u64) {
         let cache = match self.machines.get_mut(machine) {
             Some(cache) => cache,
             None => self.machines.entry(machine.to_owned()).or_default(),
@@ -63,12 +63,12 @@
     }
 
     /// The machine was returned.
-    pub fn forget(&mut self, machine: &str) {
+    pub fn remove_machine(&mut self, machine: &str) {
         self.machines.remove(machine);
     }
 
     /// What is known of a machine's cache.
-    pub fn of(&self, machine: &str) -> Option<&ImageCache> {
+    pub fn cache_of(&self, machine: &str) -> Option<&ImageCache> {
         self.machines.get(machine)
     }
 }
--- a/crates/saltpitch-core/src/records/record_cache/jobs.rs
+++ b/crates/saltpitch-core/src/records/record_cache/jobs.rs
@@ -54,7 +54,7 @@
         let were_used = state == JobState::Done || spec.kind == JobKind::Service;
         let tasks = self.tasks.get(id).filter(|_| were_used);
         for allocation in tasks.into_iter().flat_map(TaskStates::allocations) {
-            self.images.used(
+            self.images.record_use(
                 &allocation.machine,
                 allocation.agent_epoch,
                 &spec.image,
--- a/crates/saltpitch-core/src/records/record_cache/machines.rs
+++ b/crates/saltpitch-core/src/records/record_cache/machines.rs
@@ -64,6 +64,6 @@
     /// The machine was returned: late heartbeats and listings of it mean nothing.
     pub(super) fn machine_gone(&mut self, name: &str) {
         self.returned_machines.insert(name);
-        self.images.forget(name);
+        self.images.remove_machine(name);
     }
 }
--- a/crates/saltpitch-core/src/records/record_cache/mod.rs
+++ b/crates/saltpitch-core/src/records/record_cache/mod.rs
@@ -22,7 +22,7 @@
 use super::stored::{JobRecord, LeaderRecord, MachineBlockRecord, NodeRecord, TermRecord};
 use super::{Cancellations, ReturnedMachines, Versioned};
 use crate::catalog::Catalog;
-use crate::images::ImageEvidence;
+use crate::images::ImageLocations;
 
 use delegation_index::DelegationIndex;
 use withdrawn_jobs::WithdrawnJobs;
@@ -85,7 +85,7 @@
     /// Machines that were returned.
     pub returned_machines: ReturnedMachines,
     /// Which machines hold which images.
-    pub images: ImageEvidence,
+    pub images: ImageLocations,
     withdrawn_jobs: WithdrawnJobs,
     delegation_index: DelegationIndex,
     /// Cancellations in the order in which this copy learned of them.
--- a/crates/saltpitch-core/src/records/record_cache/tasks.rs
+++ b/crates/saltpitch-core/src/records/record_cache/tasks.rs
@@ -101,7 +101,7 @@
                 let state = entry_state(entry, record.number);
                 let completed_on = states.set(task, state);
                 if let (Some(allocation), Some(spec)) = (completed_on, spec) {
-                    self.images.used(
+                    self.images.record_use(
                         &allocation.machine,
                         allocation.agent_epoch,
                         &spec.image,
--- a/crates/saltpitch-core/src/scheduler/recovery.rs
+++ b/crates/saltpitch-core/src/scheduler/recovery.rs
@@ -126,7 +126,8 @@
 
     /// What the records prove of a machine's cache, for a leader that has never heard of the machine.
     fn restore_images(&mut self, name: &str, records: &RecordCache, now: Micros) {
-        let (Some(cache), Some(machine)) = (records.images.of(name), self.inventory.get_mut(name))
+        let (Some(cache), Some(machine)) =
+            (records.images.cache_of(name), self.inventory.get_mut(name))
         else {
             return;
         };
