--- a/crates/saltpitch-cells/tests/host_admission.rs
+++ b/crates/saltpitch-cells/tests/host_admission.rs
@@ -49,8 +49,8 @@
         image: "img".to_owned(),
         image_mb: 1,
         estimate: Micros::from_secs(30),
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        save_time: Micros::ZERO,
         deadline: Some(Micros::from_secs(900)),
         dependencies: Vec::new(),
     };
--- a/crates/saltpitch-cells/tests/steps.rs
+++ b/crates/saltpitch-cells/tests/steps.rs
@@ -193,8 +193,8 @@
         image: "img".to_owned(),
         image_mb: 1,
         estimate: Micros::from_secs(30),
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        save_time: Micros::ZERO,
         deadline: Some(Micros::from_secs(100)),
         dependencies: vec!["job-7".to_owned()],
     };
--- a/crates/saltpitch-core/src/job.rs
+++ b/crates/saltpitch-core/src/job.rs
@@ -75,9 +75,11 @@
     /// How long a task runs, by its owner's estimate.
     pub estimate: Micros,
     /// The interval between a task's checkpoints; zero if it saves none.
-    pub checkpoint: Micros,
+    #[serde(rename = "checkpoint")]
+    pub checkpoint_interval: Micros,
     /// How long a task takes to save its progress when it is stopped.
-    pub save: Micros,
+    #[serde(rename = "save")]
+    pub save_time: Micros,
     /// When the job should be done, counted from its submission.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Micros>,
@@ -141,7 +143,7 @@
     }
 
     /// The most tasks that may be in one zone at a time.
-    pub fn per_zone(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
         } else {
@@ -150,8 +152,8 @@
     }
 
     /// Whether a stopped task can save its progress.
-    pub fn saves(&self) -> bool {
-        self.checkpoint > Micros::ZERO
+    pub fn can_save(&self) -> bool {
+        self.checkpoint_interval > Micros::ZERO
     }
 }
 
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -41,7 +41,7 @@
     /// Whether machines of this size may take tasks of the job at all. Machines whose accelerators others
     /// need take only tasks that can save when they have to make way.
     pub(super) fn ever_suits(&self, spec: &JobSpec, size: &Resources) -> bool {
-        let can_make_way = spec.kind == JobKind::Array && spec.saves();
+        let can_make_way = spec.kind == JobKind::Array && spec.can_save();
         spec.need.fits(size) && (!self.contested_for(spec, size) || can_make_way)
     }
 
@@ -86,7 +86,7 @@
     fn evict_sharing(&mut self, name: &Arc<str>, now: Micros) {
         for (number, task) in self.cordon(name) {
             let job = self.job_table.get(number);
-            let save = job.map(|job| job.spec.save).unwrap_or_default();
+            let save = job.map(|job| job.spec.save_time).unwrap_or_default();
             self.stop(number, task, save.plus(SAVE_MARGIN), now);
         }
     }
@@ -99,5 +99,5 @@
     };
     let spec = &job.spec;
     let is_running = allocation.observed == ObservedState::Running && allocation.stop.is_none();
-    is_running && spec.kind == JobKind::Array && spec.need.gpu == 0 && spec.saves()
+    is_running && spec.kind == JobKind::Array && spec.need.gpu == 0 && spec.can_save()
 }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/capacity_pools.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/capacity_pools.rs
@@ -200,7 +200,7 @@
                 .collect(),
             only: placed.keys().next().filter(|_| spec.one_zone).cloned(),
             is_one_zone: spec.one_zone,
-            max_per_zone: u64::from(spec.per_zone()),
+            max_per_zone: u64::from(spec.max_tasks_per_zone()),
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
+++ b/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
@@ -83,8 +83,8 @@
             ObservedState::Running | ObservedState::Saving
         )
     });
-    let grace = spec.save.plus(SAVE_MARGIN);
-    let can_save = spec.saves() && left > grace;
+    let grace = spec.save_time.plus(SAVE_MARGIN);
+    let can_save = spec.can_save() && left > grace;
     let is_gang = spec.kind == JobKind::Gang;
     // What loses nothing is stopped at once: sooner stopped is sooner elsewhere.
     let loses_nothing = !has_progress || spec.kind == JobKind::Service;
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -197,7 +197,8 @@
         if job.spec.one_zone && job.tasks.zones().keys().any(|used| &**used != zone) {
             return false;
         }
-        !job.spec.spread || job.tasks.zones().get(zone).copied().unwrap_or(0) < job.spec.per_zone()
+        !job.spec.spread
+            || job.tasks.zones().get(zone).copied().unwrap_or(0) < job.spec.max_tasks_per_zone()
     }
 
     /// Places as many idle tasks of an array or a service as go. Returns how many are left over that
--- a/crates/saltpitch-core/src/scheduler/preemption/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/mod.rs
@@ -81,7 +81,7 @@
                 continue;
             };
             let grace = match grace {
-                Grace::ToSave if victim.spec.saves() => victim.spec.save.plus(SAVE_MARGIN),
+                Grace::ToSave if victim.spec.can_save() => victim.spec.save_time.plus(SAVE_MARGIN),
                 Grace::ToSave | Grace::None => Micros::ZERO,
             };
             match victim.spec.kind {
--- a/crates/saltpitch-core/src/scheduler/preemption/options.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/options.rs
@@ -143,7 +143,7 @@
 /// only worth it for urgent work and quotas.
 fn is_settled(job: &Job, allocation: &Allocation, now: Micros) -> bool {
     now.since(allocation.since) > SETTLED_AFTER
-        && job.spec.saves()
+        && job.spec.can_save()
         && allocation.observed == ObservedState::Running
 }
 
@@ -158,12 +158,12 @@
         ObservedState::Running => now.since(allocation.running_since.unwrap_or(allocation.since)),
         _ => placed_for.times(PREPARATION_SHARE),
     };
-    if !victim.spec.saves() {
+    if !victim.spec.can_save() {
         return ran;
     }
     match spec.priority {
         // Production waits for nobody's save: what is lost is the time since the last checkpoint.
-        Priority::Production => Micros(ran.0 % victim.spec.checkpoint.0),
-        Priority::Low | Priority::Normal | Priority::High => victim.spec.save,
+        Priority::Production => Micros(ran.0 % victim.spec.checkpoint_interval.0),
+        Priority::Low | Priority::Normal | Priority::High => victim.spec.save_time,
     }
 }
--- a/crates/saltpitch-core/tests/accelerator_sharing.rs
+++ b/crates/saltpitch-core/tests/accelerator_sharing.rs
@@ -45,8 +45,8 @@
     let mut site = site();
     site.harness.submit("train-1", training(4));
     let simulation = JobSpec {
-        checkpoint: secs(10),
-        save: secs(1),
+        checkpoint_interval: secs(10),
+        save_time: secs(1),
         priority: Priority::Low,
         ..spec(JobKind::Array, 12, 2)
     };
@@ -69,8 +69,8 @@
 fn borrowers_stay_while_accelerators_are_in_use() {
     let mut site = site();
     let simulation = JobSpec {
-        checkpoint: secs(10),
-        save: secs(1),
+        checkpoint_interval: secs(10),
+        save_time: secs(1),
         priority: Priority::Low,
         ..spec(JobKind::Array, 4, 2)
     };
--- a/crates/saltpitch-core/tests/delegation_records.rs
+++ b/crates/saltpitch-core/tests/delegation_records.rs
@@ -26,8 +26,8 @@
         image: "img".to_owned(),
         image_mb: 1,
         estimate: Micros(1),
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        save_time: Micros::ZERO,
         deadline: None,
         dependencies: Vec::new(),
     };
--- a/crates/saltpitch-core/tests/harness/mod.rs
+++ b/crates/saltpitch-core/tests/harness/mod.rs
@@ -104,8 +104,8 @@
         image: "img".to_owned(),
         image_mb: 100,
         estimate: secs(20),
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        save_time: Micros::ZERO,
         deadline: None,
         dependencies: Vec::new(),
     }
--- a/crates/saltpitch-core/tests/job_failures.rs
+++ b/crates/saltpitch-core/tests/job_failures.rs
@@ -139,8 +139,8 @@
 fn nothing_is_stopped_for_a_service_that_fails_everywhere() {
     let mut site = site();
     let saves = JobSpec {
-        checkpoint: secs(5),
-        save: secs(1),
+        checkpoint_interval: secs(5),
+        save_time: secs(1),
         priority: Priority::Low,
         ..spec(JobKind::Array, MACHINES * 4, 2)
     };
--- a/crates/saltpitch-core/tests/limits.rs
+++ b/crates/saltpitch-core/tests/limits.rs
@@ -64,8 +64,8 @@
         image: "img".to_owned(),
         image_mb: 500,
         estimate: secs(600),
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        save_time: Micros::ZERO,
         deadline: None,
         dependencies: Vec::new(),
     }
--- a/crates/saltpitch-core/tests/record_samples.rs
+++ b/crates/saltpitch-core/tests/record_samples.rs
@@ -49,8 +49,8 @@
         image: "img-07".to_owned(),
         image_mb: 6_200,
         estimate: Micros::from_secs(240),
-        checkpoint: Micros::from_secs(30),
-        save: Micros::from_secs(4),
+        checkpoint_interval: Micros::from_secs(30),
+        save_time: Micros::from_secs(4),
         deadline: Some(Micros::from_secs(900)),
         dependencies: Vec::new(),
     }
@@ -76,8 +76,8 @@
         spread: true,
         spot: false,
         estimate: Micros::ZERO,
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        save_time: Micros::ZERO,
         dependencies: Vec::new(),
         ..waiting_array_spec()
     }
--- a/crates/saltpitch-testkit/src/agents.rs
+++ b/crates/saltpitch-testkit/src/agents.rs
@@ -236,8 +236,8 @@
         };
         let (task, _) = key;
         let save = spec_of(&task.0)
-            .filter(JobSpec::saves)
-            .map(|spec| spec.save);
+            .filter(JobSpec::can_save)
+            .map(|spec| spec.save_time);
         let can_save = save.is_some_and(|time| grace >= time) && held.state == TaskState::Running;
         if can_save {
             held.state = TaskState::Saving;
--- a/crates/saltpitch-testkit/src/histories.rs
+++ b/crates/saltpitch-testkit/src/histories.rs
@@ -115,8 +115,8 @@
         spot: true,
         image: "img-0".to_owned(),
         estimate: seconds(run),
-        checkpoint: Micros::ZERO,
-        save: Micros::ZERO,
+        checkpoint_interval: Micros::ZERO,
+        save_time: Micros::ZERO,
         deadline: None,
         dependencies: Vec::new(),
         ..drawn
--- a/crates/saltpitch-testkit/src/invariants.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -109,7 +109,10 @@
         let spec = &simulation.jobs[id].spec;
         let text = if spec.one_zone && zones.len() > 1 {
             format!("{id} in {zones:?}")
-        } else if zones.values().any(|tasks| *tasks > spec.per_zone()) {
+        } else if zones
+            .values()
+            .any(|tasks| *tasks > spec.max_tasks_per_zone())
+        {
             format!("{id} not spread: {zones:?}")
         } else {
             continue;
--- a/crates/saltpitch-testkit/src/simulation/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -203,8 +203,8 @@
             } else {
                 Micros::from_secs(3 + self.random_below(15))
             },
-            checkpoint: Micros::from_secs(if gang { 5 } else { 0 }),
-            save: Micros::from_secs(if gang { 2 } else { 0 }),
+            checkpoint_interval: Micros::from_secs(if gang { 5 } else { 0 }),
+            save_time: Micros::from_secs(if gang { 2 } else { 0 }),
             deadline: None,
             dependencies: Vec::new(),
         }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/common.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/common.rs
@@ -26,7 +26,7 @@
     (spec.tasks, spec.zone, spec.one_zone) = (tasks, None, false);
     (spec.spread, spec.spot) = (false, false);
     (spec.need.cpu, spec.need.gpu) = (2_000, 0);
-    (spec.checkpoint, spec.save) = (Micros::ZERO, Micros::ZERO);
+    (spec.checkpoint_interval, spec.save_time) = (Micros::ZERO, Micros::ZERO);
     spec.estimate = if kind == JobKind::Service {
         Micros::ZERO
     } else {
--- a/crates/saltpitch-testkit/tests/dependencies.rs
+++ b/crates/saltpitch-testkit/tests/dependencies.rs
@@ -29,7 +29,7 @@
     (spec.tasks, spec.zone, spec.one_zone) = (tasks, None, false);
     (spec.spread, spec.spot) = (false, false);
     (spec.need.cpu, spec.need.gpu) = (2_000, 0);
-    (spec.checkpoint, spec.save) = (Micros::ZERO, Micros::ZERO);
+    (spec.checkpoint_interval, spec.save_time) = (Micros::ZERO, Micros::ZERO);
     spec.estimate = secs(estimate);
     spec.dependencies = dependencies.iter().map(|n| (*n).to_owned()).collect();
     spec
--- a/crates/saltpitch-testkit/tests/operations.rs
+++ b/crates/saltpitch-testkit/tests/operations.rs
@@ -21,7 +21,7 @@
     (spec.tasks, spec.zone, spec.one_zone) = (tasks, None, false);
     (spec.spread, spec.spot) = (false, true);
     (spec.need.cpu, spec.need.gpu) = (2_000, 0);
-    (spec.checkpoint, spec.save) = (Micros::ZERO, Micros::ZERO);
+    (spec.checkpoint_interval, spec.save_time) = (Micros::ZERO, Micros::ZERO);
     spec.team = team.to_owned();
     spec.estimate = secs(estimate);
     spec
--- a/crates/saltpitch-testkit/tests/upgrade.rs
+++ b/crates/saltpitch-testkit/tests/upgrade.rs
@@ -178,7 +178,7 @@
     (spec.kind, spec.priority, spec.tasks) = (JobKind::Array, Priority::Normal, 2);
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, false);
     (spec.need.cpu, spec.need.gpu) = (2_000, 0);
-    (spec.checkpoint, spec.save) = (Micros::ZERO, Micros::ZERO);
+    (spec.checkpoint_interval, spec.save_time) = (Micros::ZERO, Micros::ZERO);
     spec.estimate = Micros::from_secs(600);
     spec
 }
--- a/crates/saltpitch-testkit/tests/waiting_jobs.rs
+++ b/crates/saltpitch-testkit/tests/waiting_jobs.rs
@@ -27,7 +27,7 @@
     spec.team = "red".to_owned();
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, true);
     (spec.need.cpu, spec.need.gpu) = (cpu, u64::from(kind == JobKind::Gang) * 1_000);
-    (spec.checkpoint, spec.save) = (Micros::ZERO, Micros::ZERO);
+    (spec.checkpoint_interval, spec.save_time) = (Micros::ZERO, Micros::ZERO);
     spec.estimate = secs(estimate_s);
     spec
 }
--- a/crates/saltpitch/src/wire/users.rs
+++ b/crates/saltpitch/src/wire/users.rs
@@ -162,8 +162,8 @@
         image: raw.hull.text("hull")?,
         image_mb: raw.image_gb.amount("image_gb")?,
         estimate: raw.passage_s.span("passage_s")?,
-        checkpoint: raw.moor_every_s.span("moor_every_s")?,
-        save: raw.tie_up_s.span("tie_up_s")?,
+        checkpoint_interval: raw.moor_every_s.span("moor_every_s")?,
+        save_time: raw.tie_up_s.span("tie_up_s")?,
         deadline,
         dependencies,
     })
@@ -244,8 +244,8 @@
         "spread": spec.spread,
         "lay_by": spec.spot,
         "passage_s": spec.estimate.as_secs_f64(),
-        "moor_every_s": spec.checkpoint.as_secs_f64(),
-        "tie_up_s": spec.save.as_secs_f64(),
+        "moor_every_s": spec.checkpoint_interval.as_secs_f64(),
+        "tie_up_s": spec.save_time.as_secs_f64(),
         "arrive_by_s": submission.deadline.map(Micros::as_secs_f64),
     });
     if submission.closing {
--- a/crates/saltpitch/tests/end_to_end/site/jobs.rs
+++ b/crates/saltpitch/tests/end_to_end/site/jobs.rs
@@ -55,8 +55,8 @@
             image: "img".to_owned(),
             image_mb: 100,
             estimate: Micros::from_secs_f64(run_s),
-            checkpoint: Micros::ZERO,
-            save: Micros::ZERO,
+            checkpoint_interval: Micros::ZERO,
+            save_time: Micros::ZERO,
             deadline: None,
             dependencies: Vec::new(),
         };
