--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -122,7 +122,7 @@
         backlog: &mut BatchBacklog,
     ) -> u64 {
         let spec = &job.spec;
-        let idle = job.idle_in_good_standing();
+        let idle = job.idle_tasks_not_at_fault();
         let mut want = self.wanted_tasks(job, idle, claimed);
         if want > 0 && spec.kind == JobKind::Array {
             // All that is left of it, though no more at a time than its team's limit allows.
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -52,7 +52,7 @@
             && self.is_active()
             && self.tasks.is_untouched()
             && self.guest.is_none()
-            && !self.at_fault()
+            && !self.is_at_fault()
     }
 
     /// Since when it has waited here.
@@ -146,7 +146,7 @@
         let open = self.job_table.unplaced().iter().take(MAX_JOBS_CONSIDERED);
         let mut jobs = open.filter_map(|number| self.job_table.get(*number));
         let waits = |job: &Job| now.since(job.waits_locally_since()) > MAX_WAIT_OF_SHORT_QUEUE;
-        jobs.any(|job| job.is_active() && job.guest.is_none() && !job.at_fault() && waits(job))
+        jobs.any(|job| job.is_active() && job.guest.is_none() && !job.is_at_fault() && waits(job))
     }
 
     fn has_free_room(&mut self, spec: &JobSpec) -> bool {
--- a/crates/saltpitch-core/src/scheduler/failure_history.rs
+++ b/crates/saltpitch-core/src/scheduler/failure_history.rs
@@ -39,7 +39,7 @@
 }
 
 impl TaskFailures {
-    fn at_fault(&self) -> bool {
+    fn is_at_fault(&self) -> bool {
         self.machines.len() >= MACHINES_AGAINST_JOB
     }
 }
@@ -100,7 +100,7 @@
 
 impl FailureHistory {
     /// Whether the job itself seems to be at fault.
-    pub(super) fn at_fault(&self, task_count: u32) -> bool {
+    pub(super) fn is_at_fault(&self, task_count: u32) -> bool {
         let several_tasks = self.failed_tasks.len() >= TASKS_AGAINST_JOB.min(task_count as usize);
         self.restored || (several_tasks && self.machines.len() >= MACHINES_AGAINST_JOB)
     }
@@ -112,19 +112,19 @@
 
     /// Tasks that failed on several machines.
     pub(super) fn tasks_at_fault(&self) -> impl Iterator<Item = u32> + '_ {
-        let at_fault = self.tasks.iter().filter(|(_, task)| task.at_fault());
+        let at_fault = self.tasks.iter().filter(|(_, task)| task.is_at_fault());
         at_fault.map(|(task, _)| *task)
     }
 
     /// A task failed on its machine.
-    pub(super) fn failed(&mut self, failure: &Failure, now: Micros) -> Verdict {
+    pub(super) fn record_failure(&mut self, failure: &Failure, now: Micros) -> Verdict {
         if failure.kind == JobKind::Service && failure.ran >= PROVEN_REPLICA {
-            self.completed(failure.task);
+            self.record_completion(failure.task);
         }
-        let was_at_fault = self.at_fault(failure.task_count);
+        let was_at_fault = self.is_at_fault(failure.task_count);
         self.avoid(&failure.machine, now.plus(AVOID_AFTER_FAILURE), now);
         let blame = self.blame(failure);
-        let at_fault = self.at_fault(failure.task_count);
+        let at_fault = self.is_at_fault(failure.task_count);
         let job_backoff = self.job_backoff(failure, now);
         if !blame.counts_against_machine && !at_fault {
             // One task fails wherever it runs: the others may go there.
@@ -147,12 +147,12 @@
     }
 
     /// A machine refused a task of this job: it goes elsewhere for the moment.
-    pub(super) fn refused(&mut self, machine: &Arc<str>, now: Micros) {
+    pub(super) fn record_refusal(&mut self, machine: &Arc<str>, now: Micros) {
         self.avoid(machine, now.plus(AVOID_AFTER_REFUSAL), now);
     }
 
     /// A task completed: the job works, and what failed before was not its fault.
-    pub(super) fn completed(&mut self, task: u32) {
+    pub(super) fn record_completion(&mut self, task: u32) {
         self.tasks.remove(&task);
         self.machines.clear();
         self.failed_tasks.clear();
@@ -162,7 +162,7 @@
     }
 
     /// What the records show of an array's earlier attempts.
-    pub(super) fn restore(&mut self, attempts: impl Iterator<Item = u32>) {
+    pub(super) fn restore_from_attempts(&mut self, attempts: impl Iterator<Item = u32>) {
         let many = attempts.filter(|attempt| *attempt >= RESTORED_ATTEMPTS);
         self.restored = many.take(TASKS_AGAINST_JOB).count() == TASKS_AGAINST_JOB;
     }
@@ -187,12 +187,12 @@
         if task.machines.len() < MACHINES_AGAINST_JOB && !task.machines.contains(machine) {
             task.machines.push(machine.clone());
         }
-        let task_at_fault = task.at_fault();
+        let task_at_fault = task.is_at_fault();
         let machines_of_task = match task_at_fault {
             true => task.machines.clone(),
             false => Vec::new(),
         };
-        if self.at_fault(failure.task_count) {
+        if self.is_at_fault(failure.task_count) {
             let all = self.tasks.values().flat_map(|task| &task.machines);
             return Blame {
                 counts_against_machine: false,
@@ -207,7 +207,7 @@
 
     /// Failures of tasks that were placed together count as one round.
     fn job_backoff(&mut self, failure: &Failure, now: Micros) -> Option<Micros> {
-        let of_job = self.at_fault(failure.task_count) || failure.kind == JobKind::Gang;
+        let of_job = self.is_at_fault(failure.task_count) || failure.kind == JobKind::Gang;
         if !of_job || failure.placed_at < self.round_at {
             return None;
         }
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -90,7 +90,7 @@
     /// What its team has left is kept for a gang that has waited too long: nothing behind that one takes
     /// of the same kind until it has started.
     fn reserved_quota(&self, job: &Job, now: Micros) -> Option<ReservedQuota> {
-        if !self.is_starved(job, now) || job.at_fault() || !self.can_become_free(job) {
+        if !self.is_starved(job, now) || job.is_at_fault() || !self.can_become_free(job) {
             return None;
         }
         // Every task takes processors, only some take accelerators.
@@ -249,7 +249,7 @@
             other.team == job.team
                 && other.spec.kind == JobKind::Array
                 && !other.tasks.idle().is_empty()
-                && !other.at_fault()
+                && !other.is_at_fault()
                 && self.is_blocked(other, now)
         };
         now.since(since) < MAX_KEPT || !self.job_table.values().any(is_blocked)
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -262,7 +262,7 @@
     }
     if job.spec.kind == JobKind::Array && job.tasks.done() == 0 {
         let attempts = job.tasks.iter().map(|task| task.attempt);
-        job.failures.restore(attempts);
+        job.failures.restore_from_attempts(attempts);
     }
     allocations
 }
--- a/crates/saltpitch-core/src/scheduler/job_failures.rs
+++ b/crates/saltpitch-core/src/scheduler/job_failures.rs
@@ -44,14 +44,14 @@
 
 impl Job {
     /// Whether the job itself seems to be at fault, and not the machines on which it failed.
-    pub(super) fn at_fault(&self) -> bool {
-        self.failures.at_fault(self.spec.tasks)
+    pub(super) fn is_at_fault(&self) -> bool {
+        self.failures.is_at_fault(self.spec.tasks)
     }
 
     /// Tasks for which machines may be scaled out or others preempted: those of a job at fault, and those
     /// that failed on several machines, take what is left over.
-    pub(super) fn idle_in_good_standing(&self) -> u64 {
-        if self.at_fault() {
+    pub(super) fn idle_tasks_not_at_fault(&self) -> u64 {
+        if self.is_at_fault() {
             return 0;
         }
         let at_fault = self.failures.tasks_at_fault();
@@ -63,7 +63,7 @@
 
     /// How many more tasks may be placed as far as earlier failures go.
     pub(super) fn placeable(&self) -> u64 {
-        if self.at_fault() {
+        if self.is_at_fault() {
             MAX_PLACED_AT_FAULT.saturating_sub(u64::from(self.tasks.placed()))
         } else {
             u64::MAX
@@ -89,7 +89,7 @@
             placed_at: allocation.since,
             ran: running_since.map_or(Micros::ZERO, |at| now.since(at)),
         };
-        let verdict = job.failures.failed(&failure, now);
+        let verdict = job.failures.record_failure(&failure, now);
         if let Some(wait) = verdict.job_backoff {
             job.backoff.place_after = now.plus(wait);
         }
@@ -119,7 +119,7 @@
     /// A machine refused a task of this job: it goes elsewhere for the moment.
     pub(super) fn task_refused(&mut self, number: JobNumber, machine: &Arc<str>, now: Micros) {
         if let Some(job) = self.job_table.get_mut(number) {
-            job.failures.refused(machine, now);
+            job.failures.record_refusal(machine, now);
             job.backoff.place_after = job.backoff.place_after.max(now.plus(PAUSE_AFTER_REFUSAL));
         }
     }
--- a/crates/saltpitch-core/src/scheduler/job_table/job.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/job.rs
@@ -157,7 +157,7 @@
         if self.spec.kind == JobKind::Service || !self.tasks.complete(task) {
             return false;
         }
-        self.failures.completed(task);
+        self.failures.record_completion(task);
         if self.tasks.done() == self.spec.tasks {
             self.times.done_at = Some(now);
         }
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -116,7 +116,7 @@
         let Some(job) = self.job_table.get(queued.number) else {
             return;
         };
-        let urgent = job.spec.priority == Priority::Production && !job.at_fault();
+        let urgent = job.spec.priority == Priority::Production && !job.is_at_fault();
         if urgent && self.preempts_near_image(queued, now) {
             return;
         }
--- a/crates/saltpitch-core/src/scheduler/preemption/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/mod.rs
@@ -40,7 +40,7 @@
         };
         let spec = job.spec.clone();
         // Nothing is stopped for what fails wherever it runs.
-        let wanted = wanted.min(job.idle_in_good_standing());
+        let wanted = wanted.min(job.idle_tasks_not_at_fault());
         if now < job.backoff.preempt_after || wanted == 0 {
             return;
         }
--- a/crates/saltpitch-core/src/scheduler/queue_order.rs
+++ b/crates/saltpitch-core/src/scheduler/queue_order.rs
@@ -116,7 +116,7 @@
     fn standing(&self, job: &Job, claimed: &mut [Resources], now: Micros) -> Option<Standing> {
         let team = self.quota.team(job.team)?;
         // A job at fault makes no claims: those of its team must not lose their quota to it.
-        let at_fault = job.at_fault();
+        let at_fault = job.is_at_fault();
         let remaining = match at_fault {
             true => job.tasks.placed(),
             false => job.spec.tasks - job.tasks.done(),
