--- a/crates/saltpitch-core/src/quota.rs
+++ b/crates/saltpitch-core/src/quota.rs
@@ -76,7 +76,7 @@
     }
 
     /// The index of the team with this name, or [`NO_TEAM`].
-    pub fn number(&self, name: &str) -> usize {
+    pub fn team_index(&self, name: &str) -> usize {
         let index = self.teams.iter().position(|team| team.limits.name == name);
         index.unwrap_or(NO_TEAM)
     }
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -142,7 +142,7 @@
         let submitted = now.since(wall.since(entry.record.submitted));
         Job {
             class,
-            team: self.quota.number(&spec.team),
+            team: self.quota.team_index(&spec.team),
             id: id.into(),
             revision: entry.revision,
             state: match cancelled {
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -256,6 +256,6 @@
 
     /// What the team's placed tasks take, for tests.
     pub fn used_by(&self, team: &str) -> Resources {
-        self.quota.used(self.quota.number(team))
+        self.quota.used(self.quota.team_index(team))
     }
 }
