--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -172,7 +172,7 @@
     /// On what terms machines are ordered for a job, by the policy.
     fn scale_out_terms(&mut self, queued: &QueuedJob, position: usize) -> Option<ScaleOutTerms> {
         let spec = self.job_table.get(queued.number)?.spec.clone();
-        let may_use_spot = self.spot_wanted(&spec);
+        let may_use_spot = self.may_use_spot(&spec);
         let max_price_ratio = if spec.kind == JobKind::Array {
             self.max_price_ratio(&spec)
         } else {
--- a/crates/saltpitch-core/src/scheduler/policy_bindings.rs
+++ b/crates/saltpitch-core/src/scheduler/policy_bindings.rs
@@ -101,7 +101,7 @@
     }
 
     /// Whether spot machines are used for a job.
-    pub(super) fn spot_wanted(&mut self, spec: &JobSpec) -> bool {
+    pub(super) fn may_use_spot(&mut self, spec: &JobSpec) -> bool {
         let cluster = self.cluster_variables();
         let variables = |name: &str| job_variable(spec, name).or_else(|| cluster(name));
         spec.spot && self.config.policy.flag(rule::USE_SPOT, &variables)
