--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -122,7 +122,7 @@
     }
 
     /// Marks a job that is over, and of which nothing is left on any machine, for its final record.
-    pub(super) fn check_complete(&mut self, number: JobNumber) {
+    pub(super) fn finish_if_over(&mut self, number: JobNumber) {
         let Some(job) = self.job_table.get(number) else {
             return;
         };
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -118,7 +118,7 @@
         if self.job_table.get(number).is_some_and(Job::is_cancelled) {
             self.cancel(number, now);
         } else {
-            self.check_complete(number);
+            self.finish_if_over(number);
         }
         self.placement_pass.request();
     }
@@ -233,7 +233,7 @@
     pub(super) fn cancel(&mut self, number: JobNumber, now: Micros) {
         self.job_table.dequeue(number);
         self.stop_all(number, Micros::ZERO, now);
-        self.check_complete(number);
+        self.finish_if_over(number);
         self.placement_pass.request();
         if let Some(id) = self.job_table.get(number).map(|job| job.id.clone()) {
             self.dependency_cancelled(&id, now);
--- a/crates/saltpitch-core/src/scheduler/task_exits.rs
+++ b/crates/saltpitch-core/src/scheduler/task_exits.rs
@@ -48,7 +48,7 @@
             self.defer_task(number, task, backoff, now);
         }
         self.gang_member_exited(number, was_stopped, now);
-        self.check_complete(number);
+        self.finish_if_over(number);
     }
 
     /// A task completed. The members of a gang complete together: when one is done, all of them are.
