--- a/crates/saltpitch-core/src/scheduler/capacity_planning.rs
+++ b/crates/saltpitch-core/src/scheduler/capacity_planning.rs
@@ -8,7 +8,7 @@
 use super::queue_order::QueuedJob;
 use super::{Job, ScaleOutOutcome, Scheduler};
 use crate::catalog::Resources;
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::JobKind;
 use crate::machine::Machine;
 use crate::time::Micros;
@@ -123,7 +123,7 @@
         backlog: &mut BatchBacklog,
     ) -> u64 {
         let spec = &job.spec;
-        let idle = job.idle_in_good_standing();
+        let idle = job.idle_tasks_not_at_fault();
         let mut unserved = self.allowed_tasks(job, idle, claimed);
         if unserved > 0 && spec.kind == JobKind::Array {
             // The backlog counts all of the job's idle tasks, although its team's limit may allow only some
@@ -149,7 +149,7 @@
     fn allowed_tasks(&self, job: &Job, idle: u64, claimed: &[Resources]) -> u64 {
         let spec = &job.spec;
         let is_gang = spec.kind == JobKind::Gang;
-        let is_complete_gang = matches!(job.gang, Gang::Committing | Gang::Allowed);
+        let is_complete_gang = matches!(job.gang, GangState::Committing | GangState::Allowed);
         let guest = job.guest.as_ref();
         if is_complete_gang || guest.is_some_and(|guest| !guest.may_rent) {
             return 0;
@@ -162,7 +162,7 @@
         }
         // The team's limit had room for the whole gang when it reached the barrier. Jobs that precede it in
         // the queue but find no machine must not prevent machines from being ordered for its last tasks.
-        let is_at_barrier = matches!(job.gang, Gang::Holding { .. }) && job.tasks.placed() > 0;
+        let is_at_barrier = matches!(job.gang, GangState::Holding { .. }) && job.tasks.placed() > 0;
         if is_at_barrier && self.quota.tasks_allowed(job.team, &spec.need) >= idle {
             return idle;
         }
@@ -180,7 +180,7 @@
         queue_position: usize,
     ) -> Option<ScaleOutTerms> {
         let spec = self.job_table.get(queued.number)?.spec.clone();
-        let may_use_spot = self.spot_wanted(&spec);
+        let may_use_spot = self.may_use_spot(&spec);
         let max_price_ratio = if spec.kind == JobKind::Array {
             self.max_price_ratio(&spec)
         } else {
--- a/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
+++ b/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{Job, ObservedState, Scheduler};
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::{JobKind, JobNumber};
 use crate::time::Micros;
 
@@ -62,12 +62,12 @@
     /// Stops a whole gang, all members at once.
     pub(super) fn stop_whole_gang(&mut self, number: JobNumber, grace: Micros, now: Micros) {
         if let Some(job) = self.job_table.get_mut(number) {
-            job.gang = Gang::Stopping;
+            job.gang = GangState::Stopping;
         }
         self.stop_all(number, grace, now);
         if let Some(job) = self.job_table.get_mut(number) {
             if job.tasks.placed() == 0 {
-                job.gang = Gang::Parked { until: now };
+                job.gang = GangState::Parked { until: now };
             }
         }
     }
@@ -83,8 +83,8 @@
             ObservedState::Running | ObservedState::Saving
         )
     });
-    let grace = spec.save.plus(SAVE_MARGIN);
-    let can_save = spec.saves() && left > grace;
+    let grace = spec.save_time.plus(SAVE_MARGIN);
+    let can_save = spec.can_save() && left > grace;
     let is_gang = spec.kind == JobKind::Gang;
     // What loses nothing is stopped at once: sooner stopped is sooner elsewhere.
     let loses_nothing = !has_progress || spec.kind == JobKind::Service;
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -7,7 +7,7 @@
 use super::delegation::JobOwner;
 use super::failure_history::FailureHistory;
 use super::{Job, JobBackoff, JobTimeline, JobTimes, Scheduler, TaskSet};
-use crate::gang::Gang;
+use crate::gang::GangState;
 use crate::job::{JobKind, JobNumber, JobSpec, JobState};
 use crate::records::{Checkpoint, JobEntry, RecordCache, TASKS_PER_CHECKPOINT};
 use crate::time::Micros;
@@ -118,7 +118,7 @@
         if self.job_table.get(number).is_some_and(Job::is_cancelled) {
             self.cancel(number, now);
         } else {
-            self.check_complete(number);
+            self.finish_if_over(number);
         }
         self.placement_pass.request();
     }
@@ -142,7 +142,7 @@
         let submitted = now.since(wall.since(entry.record.submitted_at));
         Job {
             class,
-            team: self.quota.number(&spec.team),
+            team: self.quota.team_index(&spec.team),
             id: id.into(),
             revision: entry.revision,
             state: match cancelled {
@@ -161,7 +161,7 @@
             dependents_deadline: None,
             tasks: TaskSet::new(spec.tasks),
             checkpoints: vec![Checkpoint::default(); tasks.div_ceil(TASKS_PER_CHECKPOINT as usize)],
-            gang: Gang::default(),
+            gang: GangState::default(),
             failures: FailureHistory::default(),
             rank: u8::MAX,
             spec,
@@ -211,10 +211,10 @@
             return;
         }
         if lost_tasks || job.tasks.placed() < job.spec.tasks {
-            job.gang = Gang::Stopping;
+            job.gang = GangState::Stopping;
             self.stop_all(number, Micros::ZERO, now);
         } else {
-            job.gang = Gang::Allowed;
+            job.gang = GangState::Allowed;
         }
     }
 
@@ -233,7 +233,7 @@
     pub(super) fn cancel(&mut self, number: JobNumber, now: Micros) {
         self.job_table.dequeue(number);
         self.stop_all(number, Micros::ZERO, now);
-        self.check_complete(number);
+        self.finish_if_over(number);
         self.placement_pass.request();
         if let Some(id) = self.job_table.get(number).map(|job| job.id.clone()) {
             self.dependency_cancelled(&id, now);
@@ -262,7 +262,7 @@
     }
     if job.spec.kind == JobKind::Array && job.tasks.done() == 0 {
         let attempts = job.tasks.iter().map(|task| task.attempt);
-        job.failures.restore(attempts);
+        job.failures.restore_from_attempts(attempts);
     }
     allocations
 }
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -116,7 +116,7 @@
         let Some(job) = self.job_table.get(queued.number) else {
             return;
         };
-        let urgent = job.spec.priority == Priority::Production && !job.at_fault();
+        let urgent = job.spec.priority == Priority::Production && !job.is_at_fault();
         if urgent && self.preempts_near_image(queued, now) {
             return;
         }
@@ -197,7 +197,8 @@
         if job.spec.one_zone && job.tasks.zones().keys().any(|used| &**used != zone) {
             return false;
         }
-        !job.spec.spread || job.tasks.zones().get(zone).copied().unwrap_or(0) < job.spec.per_zone()
+        !job.spec.spread
+            || job.tasks.zones().get(zone).copied().unwrap_or(0) < job.spec.max_tasks_per_zone()
     }
 
     /// Places as many idle tasks of an array or a service as go. Returns how many are left over that
--- a/crates/saltpitch-core/src/scheduler/preemption/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/mod.rs
@@ -40,7 +40,7 @@
         };
         let spec = job.spec.clone();
         // Nothing is stopped for what fails wherever it runs.
-        let wanted = wanted.min(job.idle_in_good_standing());
+        let wanted = wanted.min(job.idle_tasks_not_at_fault());
         if now < job.backoff.preempt_after || wanted == 0 {
             return;
         }
@@ -81,7 +81,7 @@
                 continue;
             };
             let grace = match grace {
-                Grace::ToSave if victim.spec.saves() => victim.spec.save.plus(SAVE_MARGIN),
+                Grace::ToSave if victim.spec.can_save() => victim.spec.save_time.plus(SAVE_MARGIN),
                 Grace::ToSave | Grace::None => Micros::ZERO,
             };
             match victim.spec.kind {
