--- a/crates/saltpitch-core/src/policy/mod.rs
+++ b/crates/saltpitch-core/src/policy/mod.rs
@@ -27,7 +27,7 @@
 /// The text of the built-in policy, which sets every rule.
 pub const DEFAULT: &str = include_str!("default.policy");
 
-/// Returns the value of the variable of this name; `None` if it has no value in this evaluation.
+/// A function that returns the value of a variable, or `None` if it has no value in this evaluation.
 pub type VariableLookup<'a> = &'a dyn Fn(&str) -> Option<Value>;
 
 /// The rules in effect: an operator's policy on top of the built-in one.
--- a/crates/saltpitch-core/src/policy/tests.rs
+++ b/crates/saltpitch-core/src/policy/tests.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn rules_are_evaluated() {
-    for (text, want) in [
+    for (text, expected) in [
         ("idle_keep_s = 2 * type.boot_s + 1", 101.0),
         (
             "idle_keep_s = if type.gpus > 0 and not type.spot then 7 else 8",
@@ -37,14 +37,14 @@
         ),
         ("idle_keep_s = 10 - 4 - 3", 3.0),
     ] {
-        let mut p = Policy::parse(text).expect(text);
-        assert_eq!(p.number("idle_keep_s", &machine), want, "{text}");
+        let mut policy = Policy::parse(text).expect(text);
+        assert_eq!(policy.number("idle_keep_s", &machine), expected, "{text}");
     }
 }
 
 #[test]
 fn mistakes_are_found_with_line_and_column() {
-    for (text, at, word) in [
+    for (text, position, words) in [
         ("idle_keep = 3", "1:1", "no rule"),
         (
             "drain_s = 5\nidle_keep_s = type.boots",
@@ -62,18 +62,21 @@
         ("drain_s = \"a", "1:11", "never ends"),
         ("drain_s = 1 $ 2", "1:13", "unexpected"),
     ] {
-        let e = Policy::parse(text).expect_err(text).to_string();
-        assert!(e.starts_with(at) && e.contains(word), "{text:?}: {e}");
+        let error = Policy::parse(text).expect_err(text).to_string();
+        assert!(
+            error.starts_with(position) && error.contains(words),
+            "{text:?}: {error}"
+        );
     }
 }
 
 #[test]
 fn an_error_is_reported_once_and_the_default_is_used() {
-    let mut p = Policy::parse("idle_keep_s = 9 / cluster.machines").expect("sound");
+    let mut policy = Policy::parse("idle_keep_s = 9 / cluster.machines").expect("valid policy");
     for _ in 0..3 {
-        assert_eq!(p.number("idle_keep_s", &machine), 50.0);
+        assert_eq!(policy.number("idle_keep_s", &machine), 50.0);
     }
-    let faults = p.take_faults();
+    let faults = policy.take_faults();
     assert_eq!(faults.len(), 1, "{faults:?}");
     assert!(faults[0].to_string().contains("division by zero"));
 }
--- a/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
@@ -33,15 +33,16 @@
 /// A zone is stalled if at least this many machines are overdue there and no machine that was ordered later
 /// has come up.
 const MIN_OVERDUE_IN_STALLED_ZONE: usize = 3;
-/// The least boot time by which a boot ratio is divided, in seconds.
+/// The least boot time of a type that boot ratios are computed with, in seconds.
 const MIN_BOOT_SECONDS: f64 = 0.001;
 
 /// A completed boot of a machine.
 #[derive(Clone, Copy, Debug)]
 struct CompletedBoot {
     ordered_at: Micros,
+    /// When the machine sent its first heartbeat.
     up_at: Micros,
-    /// The time that it took, as a multiple of the type's boot time.
+    /// The time from the order until then, as a multiple of the type's boot time.
     boot_ratio: f64,
 }
 
--- a/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/scale_out.rs
@@ -10,7 +10,7 @@
 
 /// The most requests for one pool that are planned in one pass.
 const MAX_REQUESTS_PER_POOL: u32 = 4;
-/// A pool's count of recent requests ends once its last request is this old.
+/// A pool's count of recent requests starts from zero once its last request is this old.
 const RECENT_REQUEST_WINDOW: Micros = Micros::from_secs(10);
 /// The requests in one round for a pool that production needs; other pools get one.
 const PRODUCTION_REQUESTS_PER_ROUND: u32 = 3;
