--- a/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/checkpoints.rs
@@ -1,7 +1,7 @@
-//! Checkpoints: what the log's oldest segments say of a range of tasks, in one record, so that the segments
-//! may be overwritten.
+//! Checkpoints: the state of a range of tasks in one record, so that the oldest segments of the placement log
+//! can be overwritten.
 
-use super::segments::{is_recordable, task_entry};
+use super::segments::{is_recordable, prepare_task_entry};
 use super::task_keys::{TaskKey, TaskRange};
 use super::transaction::TransactionBuilder;
 use super::{to_json, Persistence, RecordSources};
@@ -9,13 +9,13 @@
 use crate::records::{checkpoint_key, job_key, AllocationRecord, CheckpointRecord};
 use crate::scheduler::{Job, Task};
 
-/// Bytes set aside for a checkpoint's conditions and key.
+/// Bytes reserved for a checkpoint's preconditions and key.
 const CHECKPOINT_OVERHEAD_BYTES: usize = 200;
-/// Ranges that are tried for each write that is allowed: some are skipped.
-const RANGES_PER_WRITE: usize = 2;
+/// Number of task ranges considered for each allowed write, since some of them are skipped.
+const RANGES_CONSIDERED_PER_WRITE: usize = 2;
 
 impl Persistence {
-    /// Adds checkpoints of what the oldest segments mention, before these are overwritten.
+    /// Adds checkpoints of the tasks in the oldest segments, before these segments are overwritten.
     pub(super) fn add_checkpoints(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -23,7 +23,7 @@
         sources: &mut RecordSources,
     ) {
         self.drop_obsolete_segments(sources.jobs);
-        let limit = write_limit * RANGES_PER_WRITE;
+        let limit = write_limit * RANGES_CONSIDERED_PER_WRITE;
         let ranges = self
             .placement_log
             .ranges_without_checkpoint(sources.jobs, limit);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The range's checkpoint as of the newest segment, the one of this transaction included.
+    /// Returns the range's checkpoint as of the newest segment, including the one in this transaction.
     fn checkpoint_value(
         &self,
         range: TaskRange,
@@ -64,8 +64,8 @@
         to_json(&checkpoint_record(tasks, job.gang, up_to_segment))
     }
 
-    /// The checkpoint is too large for one value: the range's tasks are written to the log once more
-    /// instead.
+    /// Marks the range's tasks to be written to the log again, which replaces a checkpoint that is too large for
+    /// one value.
     fn rewrite_in_log(
         &mut self,
         range: TaskRange,
@@ -89,7 +89,7 @@
         self.placement_log.begin_rewrite(range, first_segment);
     }
 
-    /// Adds one checkpoint, on condition of its job and of its own last revision.
+    /// Adds one checkpoint. Preconditions require the job's record and the checkpoint's key to be unchanged.
     fn add_checkpoint(
         &mut self,
         range: TaskRange,
@@ -103,10 +103,10 @@
         builder.require(key.clone(), known_revision);
         builder.write(key, Some(value));
         for index in range.tasks(job.spec.tasks) {
-            // What the log would say of the task is in the checkpoint as well.
+            // The checkpoint contains everything that the task's entry in the log would.
             self.unsaved_tasks.remove(TaskKey::new(range.job, index));
             if let Some(task) = job.tasks.get_mut(index) {
-                task_entry(index, task, job.gang);
+                prepare_task_entry(index, task, job.gang);
             }
         }
         builder.contents.checkpoints.push(range);
--- a/crates/saltpitch-core/src/scheduler/persistence/commit.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/commit.rs
@@ -1,4 +1,4 @@
-//! Composing transactions, one at a time, and what follows from their outcome.
+//! Composes the leader's transactions, one at a time, and handles their outcomes.
 
 use std::collections::BTreeSet;
 
@@ -10,41 +10,45 @@
 use crate::scheduler::{Effect, SchedulerConfig};
 use crate::time::Micros;
 
-/// Time between two transactions, so that changes gather and requests stay within the store's rate.
+/// Time between two transactions: changes are batched meanwhile, and requests stay within the store's rate
+/// limit.
 const TRANSACTION_INTERVAL: Micros = Micros::from_millis(50);
-/// Writes that must be allowed before a transaction is composed that nothing urgent is part of.
-const GATHERED_WRITES: f64 = 4.0;
-/// The same if something is urgent.
-const URGENT_WRITES: f64 = 1.0;
-/// The shortest wait for the write budget to fill.
+/// Writes that the write budget must allow before a transaction without urgent changes is composed.
+const MIN_BATCHED_WRITES: f64 = 4.0;
+/// Writes that the write budget must allow before a transaction with an urgent change is composed.
+const MIN_URGENT_WRITES: f64 = 1.0;
+/// Minimum wait for the write budget to refill.
 const MIN_BUDGET_WAIT: Micros = Micros::from_millis(10);
-/// Wait after the store refused a transaction or could not be reached.
-const UNAVAILABLE_RETRY: Micros = Micros::from_millis(300);
-/// Wait after a transaction that was too large.
-const TOO_LARGE_RETRY: Micros = Micros::from_secs(1);
-/// Wait after a transaction whose preconditions failed or whose outcome is unknown.
+/// Delay after the store refused a request or could not be reached.
+const UNAVAILABLE_RETRY_DELAY: Micros = Micros::from_millis(300);
+/// Delay after a transaction that was too large for the store.
+const TOO_LARGE_RETRY_DELAY: Micros = Micros::from_secs(1);
+/// Delay before the records are reloaded after a transaction whose preconditions failed or whose outcome is
+/// unknown.
 const RELOAD_DELAY: Micros = Micros::from_millis(20);
-/// Refusals for the number of writes that are taken for a lower limit, if they come within
-/// [`RATE_LIMIT_WINDOW`]. One refusal may be a burst of users' requests.
-const REFUSALS_OF_LOWER_LIMIT: usize = 5;
+/// Number of rate limit refusals within [`RATE_LIMIT_WINDOW`] after which the store is assumed to enforce its
+/// next, lower write rate. A single refusal may be caused by a burst of users' requests.
+const REFUSALS_BEFORE_LOWER_RATE: usize = 5;
+/// The period in which rate limit refusals are counted.
 const RATE_LIMIT_WINDOW: Micros = Micros::from_secs(10);
 
-/// A transaction that was carried out.
+/// A transaction that the store has committed.
 pub(in crate::scheduler) struct CommittedTransaction {
-    /// What it brought on record.
+    /// What the transaction recorded.
     pub(in crate::scheduler) contents: TransactionContents,
-    /// Its revision.
+    /// The revision at which it was committed.
     pub(in crate::scheduler) revision: u64,
 }
 
 impl Persistence {
-    /// When the next transaction or reload is due; `None` if nothing is to be written, or if something is
-    /// in flight.
+    /// Returns when the next transaction or reload is due, or `None` if there is nothing to write or a
+    /// transaction or reload is in flight.
     pub(in crate::scheduler) fn next_due(&self) -> Option<Micros> {
         self.writes_due()
             .map(|due| due.max(self.next_transaction_at))
     }
 
+    /// Returns when the first change is due, regardless of the delay between transactions.
     fn writes_due(&self) -> Option<Micros> {
         if self.in_flight.is_some() || (self.outcome_unknown && self.reload_in_flight) {
             return None;
@@ -58,7 +62,7 @@
         task_due.into_iter().chain(block_due).min()
     }
 
-    /// The next transaction, or the request to reload the records, if one is due.
+    /// Returns the next transaction, or the request to reload the records, if one is due.
     pub(in crate::scheduler) fn next_effect(
         &mut self,
         sources: &mut RecordSources,
@@ -77,7 +81,8 @@
         let mut builder = TransactionBuilder::new(term_revision, max_writes, config);
         self.compose(&mut builder, sources);
         if builder.write_count() == 0 {
-            // Nothing that is due fits: more writes are needed at once than are allowed now.
+            // None of the due changes could be added, for example because they need more writes in one
+            // transaction than the budget allows now.
             self.next_transaction_at = self.write_budget.ready_at(allowed_writes + 1.0);
             return None;
         }
@@ -87,14 +92,14 @@
         Some(Effect::Commit(transaction))
     }
 
-    /// How many writes the budget allows. Changes gather while writes are scarce, but what is urgent does
-    /// not wait for others: `None` if the transaction has to wait.
+    /// Returns how many writes the budget allows, or `None` if the transaction has to wait. Changes are
+    /// batched while writes are scarce, but an urgent change does not wait for others.
     fn allowed_writes(&mut self, now: Micros) -> Option<f64> {
         let allowed = self.write_budget.available(now);
         let required = if self.unsaved_tasks.has_urgent(now) {
-            URGENT_WRITES
+            MIN_URGENT_WRITES
         } else {
-            GATHERED_WRITES
+            MIN_BATCHED_WRITES
         };
         if allowed >= required {
             return Some(allowed);
@@ -104,8 +109,8 @@
         None
     }
 
-    /// Adds what is due, by importance: placements first; checkpoints before anything else if the log
-    /// would hold up placements otherwise.
+    /// Adds the changes that are due, the most important first. The segment with the placements comes first,
+    /// and checkpoints directly after it if the log is short of space: a full log blocks all placements.
     fn compose(&mut self, builder: &mut TransactionBuilder, sources: &mut RecordSources) {
         self.add_segment(builder, sources);
         if self.placement_log.is_short_of_space() {
@@ -118,8 +123,8 @@
         self.add_deletions(builder);
     }
 
-    /// The transaction in flight ended. If it was carried out, it is returned for
-    /// [`Persistence::apply_commit`]; otherwise all that it held is to be written again.
+    /// Handles the end of the transaction in flight. A committed transaction is returned, to be passed to
+    /// [`Persistence::apply_commit`]; otherwise everything in it is marked for writing again.
     pub(in crate::scheduler) fn transaction_ended(
         &mut self,
         outcome: TransactionOutcome,
@@ -132,15 +137,16 @@
             TransactionOutcome::Committed(revision) => {
                 return Some(CommittedTransaction { contents, revision });
             }
-            TransactionOutcome::Unavailable => UNAVAILABLE_RETRY,
+            TransactionOutcome::Unavailable => UNAVAILABLE_RETRY_DELAY,
             TransactionOutcome::RateLimited => {
-                self.rate_limited(config, now);
-                UNAVAILABLE_RETRY
+                self.count_rate_limit_refusal(config, now);
+                UNAVAILABLE_RETRY_DELAY
             }
             TransactionOutcome::TooLarge => {
-                // The next limits are in force: what is stored larger has to be split first.
+                // The store enforces its next, smaller limits: blocks that exceed them are split before
+                // they are written again.
                 self.reduced_limits = true;
-                TOO_LARGE_RETRY
+                TOO_LARGE_RETRY_DELAY
             }
             TransactionOutcome::Unknown | TransactionOutcome::Conflict(_) => {
                 self.outcome_unknown = true;
@@ -152,7 +158,7 @@
         None
     }
 
-    /// Marks all that a transaction held for writing again.
+    /// Marks everything in a transaction for writing again.
     fn revert(&mut self, contents: TransactionContents, jobs: &mut JobTable, now: Micros) {
         let mut tasks = contents.tasks;
         for range in contents.checkpoints {
@@ -176,18 +182,19 @@
         self.obsolete_keys.extend(contents.deleted_keys);
     }
 
-    /// The store refused a transaction for the number of writes. Many refusals are its next limit.
-    fn rate_limited(&mut self, config: &SchedulerConfig, now: Micros) {
+    /// Counts a refusal for too many writes. After several refusals in a short time, the write budget is lowered
+    /// to the store's next write rate.
+    fn count_rate_limit_refusal(&mut self, config: &SchedulerConfig, now: Micros) {
         let window_start = now.since(RATE_LIMIT_WINDOW);
         self.rate_limit_refusals.push_back(now);
         self.rate_limit_refusals.retain(|at| *at >= window_start);
-        if self.rate_limit_refusals.len() >= REFUSALS_OF_LOWER_LIMIT {
+        if self.rate_limit_refusals.len() >= REFUSALS_BEFORE_LOWER_RATE {
             self.write_budget.lower_rate(config.next_write_rate);
         }
     }
 
-    /// The records were read anew: takes in what a transaction with unknown outcome did. Returns the
-    /// jobs whose records may differ from memory.
+    /// Applies reloaded records, which show whether a transaction with an unknown outcome was committed.
+    /// Returns the jobs whose records may differ from memory.
     pub(in crate::scheduler) fn records_reloaded(
         &mut self,
         records: &RecordCache,
@@ -204,13 +211,13 @@
         unsaved_jobs
     }
 
-    /// The records could not be read.
+    /// Schedules another reload after the records could not be read.
     pub(in crate::scheduler) fn reload_failed(&mut self, now: Micros) {
         self.reload_in_flight = false;
-        self.next_transaction_at = now.plus(UNAVAILABLE_RETRY);
+        self.next_transaction_at = now.plus(UNAVAILABLE_RETRY_DELAY);
     }
 
-    /// The next transaction may follow after the usual interval.
+    /// Allows the next transaction after [`TRANSACTION_INTERVAL`].
     pub(super) fn schedule_next_transaction(&mut self, now: Micros) {
         self.next_transaction_at = now.plus(TRANSACTION_INTERVAL);
     }
--- a/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/placement_log.rs
@@ -1,5 +1,5 @@
-//! The log of placements and outcomes: a ring of segments. A segment may be overwritten once checkpoints
-//! hold everything that still matters of it.
+//! The log of placements and task outcomes: a ring of segments. A segment may be overwritten once checkpoints
+//! cover all of its entries that are still needed.
 
 use std::collections::BTreeMap;
 
@@ -9,33 +9,33 @@
 use crate::scheduler::job_table::JobTable;
 use crate::scheduler::SchedulerConfig;
 
-/// Checkpoints take precedence over other writes when fewer than this part of the ring is free: a full
-/// log would hold up every placement.
+/// Checkpoints take precedence over other writes when less than `1 / SHORT_OF_SPACE_DIVISOR` of the ring is free:
+/// a full log blocks every placement.
 const SHORT_OF_SPACE_DIVISOR: u64 = 8;
-/// Checkpoints are written for segments up to this part of the ring ahead of the one that is overwritten
-/// next: what is placed in a rush and stays, as services do, would otherwise need hundreds of
-/// checkpoints at once.
+/// Checkpoints are written for the segments that will be overwritten within the next
+/// `1 / CHECKPOINT_AHEAD_DIVISOR` of the ring. Otherwise, many long-running tasks that were placed at the same
+/// time, such as those of services, would need hundreds of checkpoints at once.
 const CHECKPOINT_AHEAD_DIVISOR: u64 = 4;
-/// The most segments that are searched for ranges in need of a checkpoint.
+/// Maximum number of segments that are searched for task ranges in need of a checkpoint.
 const MAX_SEARCHED_SEGMENTS: usize = 64;
 
-/// The state of the log's ring.
+/// The state of the ring of segments.
 pub(super) struct PlacementLog {
-    /// How many keys the segments go round in.
+    /// Number of slots in the ring; each of them has its own key.
     segment_count: u64,
-    /// The next segment's number.
+    /// The number of the segment that is written next.
     next_segment: u64,
-    /// The revision of each key in use.
+    /// The revision of the key of each slot that has been written.
     slot_revisions: BTreeMap<u32, u64>,
-    /// Ranges that each segment mentions and that may still need it.
+    /// The task ranges with an entry in each segment that may still be needed, by the segment's number.
     live_segments: BTreeMap<u64, Vec<TaskRange>>,
-    /// Ranges whose checkpoint is too large for one value: all of their tasks are written to the log
-    /// anew instead, in segments from this one on.
-    rewritten_from: BTreeMap<TaskRange, u64>,
+    /// Ranges whose checkpoint is too large for one value, and the first segment that their tasks are written
+    /// to again instead.
+    rewrites: BTreeMap<TaskRange, u64>,
 }
 
 impl PlacementLog {
-    /// The log as the records show it. The ranges that need it are added by
+    /// Creates the log's state from the records. The task ranges in its segments are added by
     /// [`PlacementLog::restore`] once the jobs are known.
     pub(super) fn new(records: &RecordCache, config: &SchedulerConfig) -> PlacementLog {
         PlacementLog {
@@ -43,11 +43,11 @@
             next_segment: records.last_segment + 1,
             slot_revisions: slot_revisions(records),
             live_segments: BTreeMap::new(),
-            rewritten_from: BTreeMap::new(),
+            rewrites: BTreeMap::new(),
         }
     }
 
-    /// Takes in which ranges the segments on record mention.
+    /// Adds the task ranges in the recorded segments.
     pub(super) fn restore(&mut self, records: &RecordCache, jobs: &JobTable) {
         for segment in records.segments.values() {
             let ranges = known_ranges(segment, jobs);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes in what a transaction without an answer did, if it was carried out.
+    /// Applies reloaded records: the segment of a transaction with an unknown outcome, if it was committed.
     pub(super) fn reload(&mut self, records: &RecordCache, jobs: &JobTable) {
         self.slot_revisions = slot_revisions(records);
         for segment in records.segments.values() {
@@ -67,12 +67,12 @@
         self.next_segment = self.next_segment.max(records.last_segment + 1);
     }
 
-    /// The number of the segment that is written next.
+    /// Returns the number of the segment that is written next.
     pub(super) fn next_segment(&self) -> u64 {
         self.next_segment
     }
 
-    /// How many segments can be written before one that may still be needed is overwritten.
+    /// Returns how many segments can be written before one that may still be needed would be overwritten.
     pub(super) fn free_segments(&self) -> u64 {
         let oldest = self.live_segments.keys().next();
         oldest.map_or(self.segment_count, |number| {
@@ -80,29 +80,29 @@
         })
     }
 
-    /// Whether checkpoints are to be written before anything else, to free segments.
+    /// Returns whether so few segments are free that checkpoints take precedence over other writes.
     pub(super) fn is_short_of_space(&self) -> bool {
         self.free_segments() < self.segment_count / SHORT_OF_SPACE_DIVISOR
     }
 
-    /// The key that the next segment goes to.
+    /// Returns the slot that the next segment is written to.
     pub(super) fn next_slot(&self) -> u32 {
         (self.next_segment % self.segment_count) as u32
     }
 
-    /// The revision of a key, 0 if it was never written.
+    /// Returns the revision of a slot's key, or 0 if it was never written.
     pub(super) fn slot_revision(&self, slot: u32) -> u64 {
         self.slot_revisions.get(&slot).copied().unwrap_or(0)
     }
 
-    /// The next segment was written, and mentions these ranges.
+    /// Records that the next segment has been committed, with entries of these task ranges.
     pub(super) fn segment_written(&mut self, slot: u32, revision: u64, ranges: Vec<TaskRange>) {
         self.slot_revisions.insert(slot, revision);
         self.live_segments.insert(self.next_segment, ranges);
         self.next_segment += 1;
     }
 
-    /// Drops the oldest segments as far as checkpoints hold everything that still matters of them.
+    /// Drops the oldest segments up to the first one that is still needed.
     pub(super) fn drop_obsolete_segments(&mut self, jobs: &JobTable) {
         while let Some((number, ranges)) = self.live_segments.first_key_value() {
             if ranges.iter().any(|range| is_needed(*number, *range, jobs)) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The ranges of the oldest segments that need a checkpoint, at most `limit`.
+    /// Returns at most `limit` task ranges of the oldest segments that need a checkpoint.
     pub(super) fn ranges_without_checkpoint(
         &self,
         jobs: &JobTable,
@@ -130,20 +130,20 @@
             .collect()
     }
 
-    /// All tasks of the range are written to the log anew, in segments from `first_segment` on.
+    /// Registers that all tasks of the range are written to the log again, from `first_segment` on.
     pub(super) fn begin_rewrite(&mut self, range: TaskRange, first_segment: u64) {
-        self.rewritten_from.insert(range, first_segment);
+        self.rewrites.insert(range, first_segment);
     }
 
-    /// Whether the range's tasks are being written to the log anew.
+    /// Returns whether the range's tasks are being written to the log again.
     pub(super) fn is_rewriting(&self, range: TaskRange) -> bool {
-        self.rewritten_from.contains_key(&range)
+        self.rewrites.contains_key(&range)
     }
 
-    /// Ranges that were written to the log anew need none of the earlier segments. Only to be called
-    /// while no transaction is in flight.
+    /// Marks ranges whose tasks have all been written to the log again as independent of earlier segments. Must
+    /// only be called while no transaction is in flight.
     pub(super) fn finish_rewrites(&mut self, jobs: &mut JobTable, unsaved_tasks: &UnsavedTasks) {
-        self.rewritten_from.retain(|range, first_segment| {
+        self.rewrites.retain(|range, first_segment| {
             let Some(job) = jobs.get_mut(range.job) else {
                 return false;
             };
@@ -167,7 +167,7 @@
         .collect()
 }
 
-/// The ranges that a segment mentions, of jobs that are in memory.
+/// Returns the task ranges with an entry in a segment, for jobs that are in memory.
 fn known_ranges(segment: &RecordedSegment, jobs: &JobTable) -> Vec<TaskRange> {
     let ranges = segment.task_ranges.iter();
     ranges
@@ -179,7 +179,7 @@
         .collect()
 }
 
-/// Whether the range's checkpoint is older than the segment.
+/// Returns whether the range still needs the segment, because its checkpoint does not cover it.
 fn is_needed(segment: u64, range: TaskRange, jobs: &JobTable) -> bool {
     let job = jobs.get(range.job);
     let checkpoint = job.and_then(|job| job.checkpoints.get(range.index as usize));
--- a/crates/saltpitch-core/src/scheduler/persistence/segments.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/segments.rs
@@ -1,4 +1,4 @@
-//! Segments of the placement log: what is written of the tasks that are due.
+//! Segments of the placement log: the entries of the unsaved tasks that are due.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,21 +10,21 @@
 use crate::records::{job_key, segment_key, SegmentEntry, SegmentRecord};
 use crate::scheduler::{Allocation, Job, Task};
 
-/// The largest segment.
+/// Maximum size of a segment.
 const MAX_SEGMENT_BYTES: usize = 16 * 1024;
-/// Bytes of a segment beside its entries.
-const SEGMENT_ENVELOPE_BYTES: usize = 60;
-/// Bytes of a job's part of a segment beside its id and its entries.
-const SEGMENT_JOB_BYTES: usize = 8;
-/// Bytes of an entry beside the machine's name.
-const SEGMENT_ENTRY_BYTES: usize = 32;
+/// Estimated bytes of a segment in addition to its entries.
+const SEGMENT_BASE_BYTES: usize = 60;
+/// Estimated bytes of a job's part of a segment in addition to its id and its entries.
+const JOB_OVERHEAD_BYTES: usize = 8;
+/// Estimated bytes of an entry in addition to the machine's name.
+const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// The entries of one segment, collected within its limits.
+/// The entries of one segment, collected within its size limit.
 struct SegmentDraft {
     entries: BTreeMap<JobNumber, Vec<SegmentEntry>>,
     bytes: usize,
     max_bytes: usize,
-    /// Jobs of which allocations are written, each of which is a precondition.
+    /// Jobs with an allocation in this segment; each of them needs a precondition.
     allocating_jobs: BTreeSet<JobNumber>,
     max_allocating_jobs: usize,
 }
@@ -33,7 +33,7 @@
     fn new(builder: &TransactionBuilder, max_value_bytes: usize) -> SegmentDraft {
         SegmentDraft {
             entries: BTreeMap::new(),
-            bytes: SEGMENT_ENVELOPE_BYTES,
+            bytes: SEGMENT_BASE_BYTES,
             max_bytes: (max_value_bytes * 7 / 8)
                 .min(MAX_SEGMENT_BYTES)
                 .min(builder.max_bytes() / 2),
@@ -42,16 +42,16 @@
         }
     }
 
-    /// Adds a task's entry; false if it does not fit.
-    fn add(&mut self, key: TaskKey, job: &mut Job) -> bool {
+    /// Adds a task's entry and returns whether it fitted.
+    fn try_add(&mut self, key: TaskKey, job: &mut Job) -> bool {
         let allocation = job.allocation(key.task);
         let machine_bytes = allocation.map_or(0, |allocation| allocation.machine.len());
         let job_bytes = if self.entries.contains_key(&key.job) {
             0
         } else {
-            job.id.len() + SEGMENT_JOB_BYTES
+            job.id.len() + JOB_OVERHEAD_BYTES
         };
-        let bytes = job_bytes + machine_bytes + SEGMENT_ENTRY_BYTES;
+        let bytes = job_bytes + machine_bytes + ENTRY_OVERHEAD_BYTES;
         let needs_precondition = allocation.is_some() && !self.allocating_jobs.contains(&key.job);
         if self.bytes + bytes > self.max_bytes
             || (needs_precondition && self.allocating_jobs.len() >= self.max_allocating_jobs)
@@ -63,7 +63,7 @@
         }
         self.bytes += bytes;
         if let Some(task) = job.tasks.get_mut(key.task) {
-            let entry = task_entry(key.task, task, job.gang);
+            let entry = prepare_task_entry(key.task, task, job.gang);
             self.entries.entry(key.job).or_default().push(entry);
         }
         true
@@ -71,7 +71,7 @@
 }
 
 impl Persistence {
-    /// Adds a segment with the tasks that are unsaved, what is due first, as far as one value holds them.
+    /// Adds a segment with as many unsaved tasks as fit into one value, in order of their due times.
     pub(super) fn add_segment(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -83,10 +83,10 @@
         }
         self.drop_obsolete_segments(sources.jobs);
         if self.placement_log.free_segments() == 0 {
-            self.log_alerts.blocked(sources.now);
+            self.log_alerts.set_blocked(sources.now);
             return;
         }
-        self.log_alerts.unblocked();
+        self.log_alerts.clear_blocked();
         let entries = self.take_segment_entries(builder, sources);
         if entries.is_empty() {
             return;
@@ -98,7 +98,7 @@
         builder.contents.segment_slot = Some(slot);
     }
 
-    /// Takes the tasks that go into the next segment out of those that are unsaved.
+    /// Removes the tasks that fit into the next segment from the unsaved tasks and returns their entries.
     fn take_segment_entries(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -107,7 +107,7 @@
         let mut draft = SegmentDraft::new(builder, sources.config.max_value_bytes);
         while let Some(key) = self.unsaved_tasks.first() {
             if let Some(job) = sources.jobs.get_mut(key.job) {
-                if !draft.add(key, job) {
+                if !draft.try_add(key, job) {
                     break;
                 }
                 builder.contents.tasks.insert(key);
@@ -117,8 +117,8 @@
         draft.entries
     }
 
-    /// The segment's record. Allocations are on condition of their job's record: nothing is placed for a
-    /// job that was cancelled meanwhile.
+    /// Returns the segment's record. For each job with an allocation, a precondition requires its record to be
+    /// unchanged, so that no task of a job that has been cancelled meanwhile is placed.
     fn segment_record(
         &self,
         entries: BTreeMap<JobNumber, Vec<SegmentEntry>>,
@@ -142,13 +142,14 @@
     }
 }
 
-/// Whether an allocation goes on record. A gang's members do so at quorum, not before.
+/// Returns whether an allocation may be recorded. The allocations of a gang are recorded only once the gang has
+/// reached quorum.
 pub(super) fn is_recordable(allocation: &Allocation, gang: Gang) -> bool {
     allocation.committed || !matches!(gang, Gang::Holding { .. })
 }
 
-/// What the log says of a task. Its allocation is part of the transaction from now on.
-pub(super) fn task_entry(index: u32, task: &mut Task, gang: Gang) -> SegmentEntry {
+/// Returns a task's entry for the log, and marks the allocation in it as part of the transaction being composed.
+pub(super) fn prepare_task_entry(index: u32, task: &mut Task, gang: Gang) -> SegmentEntry {
     let mut entry = SegmentEntry(index, task.attempt, String::new(), 0, u8::from(task.done));
     let allocation = task.allocation.as_mut();
     if let Some(allocation) = allocation.filter(|allocation| is_recordable(allocation, gang)) {
--- a/crates/saltpitch-core/src/scheduler/persistence/transaction.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/transaction.rs
@@ -1,4 +1,4 @@
-//! One transaction: its limits, its parts, and what became of it.
+//! One transaction: its limits, its parts and its outcome.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,69 +8,69 @@
 use crate::records::TERM_KEY;
 use crate::scheduler::{Precondition, SchedulerConfig, Transaction, Write};
 
-/// Bytes of a transaction beside its parts.
-const ENVELOPE_BYTES: usize = 100;
-/// Bytes of a precondition or a write beside its key and value.
-const PART_BYTES: usize = 40;
-/// The most preconditions, as a multiple of the most writes.
-const PRECONDITIONS_PER_WRITE: usize = 4;
-/// A write needs its own key's precondition and often its job's.
-const MAX_PRECONDITIONS_OF_WRITE: usize = 2;
+/// Estimated bytes of a transaction in addition to its parts.
+const BASE_BYTES: usize = 100;
+/// Estimated bytes of a precondition or a write in addition to its key and value.
+const PART_OVERHEAD_BYTES: usize = 40;
+/// Maximum number of preconditions, as a multiple of the maximum number of writes.
+const PRECONDITION_LIMIT_PER_WRITE: usize = 4;
+/// Preconditions reserved for one write: its own key's and, for many writes, its job's.
+const PRECONDITIONS_NEEDED_PER_WRITE: usize = 2;
 
-/// What became of a transaction.
+/// The outcome of a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TransactionOutcome {
-    /// Carried out, at this revision.
+    /// Committed at this revision.
     Committed(u64),
-    /// Not carried out: these keys were not as expected.
+    /// Not committed: the preconditions of these keys failed.
     Conflict(Vec<String>),
-    /// Not carried out: refused, or no connection.
+    /// Not committed: the store refused the request or could not be reached.
     Unavailable,
-    /// Not carried out: more writes than the store takes now.
+    /// Not committed: it exceeded the store's write rate limit.
     RateLimited,
-    /// Never to be carried out as it stands: larger than the store takes.
+    /// Not committed, and a retry without changes would fail as well: it exceeds the store's size limits.
     TooLarge,
-    /// No answer: it may have been carried out, or may yet be.
+    /// The store did not answer: the transaction may have been committed, or may still be.
     Unknown,
 }
 
 /// A machine as its block's record shows it.
 #[derive(Clone, Debug)]
 pub(in crate::scheduler) struct CommittedMachine {
-    /// The machine.
+    /// The machine's name.
     pub(in crate::scheduler) name: Arc<str>,
-    /// Its return to the cloud is intended.
+    /// Whether the record says that the machine is to be returned to the cloud.
     pub(in crate::scheduler) is_returning: bool,
 }
 
-/// A block of machines that is written.
+/// A block of machines whose record is part of a transaction.
 #[derive(Debug)]
 pub(super) struct WrittenBlock {
     /// The block's number.
     pub(super) number: u32,
-    /// Its machines; none if the block's record is deleted.
+    /// The block's machines; empty if its record is deleted.
     pub(super) machines: Vec<CommittedMachine>,
 }
 
-/// What a transaction brings on record, in the scheduler's terms.
+/// What a transaction records, in the scheduler's terms.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct TransactionContents {
-    /// The slot of the log that a segment is written to.
+    /// The slot of the placement log that a segment is written to, if there is one.
     pub(super) segment_slot: Option<u32>,
-    /// The tasks that the segment mentions.
+    /// The tasks that have an entry in the segment.
     pub(super) tasks: BTreeSet<TaskKey>,
-    /// The ranges of which checkpoints are written.
+    /// The task ranges whose checkpoints are written.
     pub(super) checkpoints: Vec<TaskRange>,
-    /// The jobs whose final record is written.
+    /// The jobs whose final records are written.
     pub(in crate::scheduler) finished_jobs: Vec<JobNumber>,
-    /// The blocks of machines.
+    /// The blocks of machines whose records are written or deleted.
     pub(super) machine_blocks: Vec<WrittenBlock>,
     /// The keys that are deleted.
     pub(super) deleted_keys: Vec<String>,
 }
 
 impl TransactionContents {
-    /// Whether the state of this task is part of the transaction.
+    /// Returns whether the transaction records the state of this task.
     pub(super) fn includes_task(&self, key: TaskKey) -> bool {
         self.tasks.contains(&key)
             || self.checkpoints.contains(&key.range())
@@ -78,21 +78,21 @@
     }
 }
 
-/// Collects a transaction's parts within its limits.
+/// Collects the parts of a transaction within the store's limits.
 pub(super) struct TransactionBuilder {
     preconditions: Vec<Precondition>,
     writes: Vec<Write>,
     bytes: usize,
     max_writes: usize,
     max_bytes: usize,
-    /// The most preconditions, whatever the number of writes.
+    /// Maximum number of preconditions; it does not depend on `max_writes`.
     max_preconditions: usize,
-    /// What the parts mean.
+    /// What the parts record, in the scheduler's terms.
     pub(super) contents: TransactionContents,
 }
 
 impl TransactionBuilder {
-    /// A transaction on condition of the term, with at most `max_writes` writes.
+    /// Starts a transaction that requires the leader's term to be unchanged and has at most `max_writes` writes.
     pub(super) fn new(
         term_revision: u64,
         max_writes: usize,
@@ -101,63 +101,63 @@
         TransactionBuilder {
             preconditions: vec![Precondition::new(TERM_KEY, term_revision)],
             writes: Vec::new(),
-            bytes: ENVELOPE_BYTES,
+            bytes: BASE_BYTES,
             max_writes,
             max_bytes: config.max_transaction_bytes,
-            max_preconditions: config.max_transaction_writes * PRECONDITIONS_PER_WRITE,
+            max_preconditions: config.max_transaction_writes * PRECONDITION_LIMIT_PER_WRITE,
             contents: TransactionContents::default(),
         }
     }
 
-    /// The most writes that the transaction may have.
+    /// Returns the maximum number of writes.
     pub(super) fn max_writes(&self) -> usize {
         self.max_writes
     }
 
-    /// The most bytes that the transaction may have.
+    /// Returns the maximum size in bytes.
     pub(super) fn max_bytes(&self) -> usize {
         self.max_bytes
     }
 
-    /// How many writes the transaction has.
+    /// Returns the number of writes so far.
     pub(super) fn write_count(&self) -> usize {
         self.writes.len()
     }
 
-    /// The number of writes at which half of what is free now is used.
+    /// Returns the write limit at which half of the writes that are still free are used, rounded up.
     pub(super) fn half_of_free_writes(&self) -> usize {
         self.writes.len() + (self.max_writes - self.writes.len()).div_ceil(2)
     }
 
-    /// How many preconditions are free if every write that is allowed needs its own.
+    /// Returns how many preconditions are left if each allowed write uses those reserved for it.
     pub(super) fn spare_preconditions(&self) -> usize {
-        let reserved = MAX_PRECONDITIONS_OF_WRITE * self.max_writes;
+        let reserved = PRECONDITIONS_NEEDED_PER_WRITE * self.max_writes;
         self.max_preconditions
             .saturating_sub(self.preconditions.len() + reserved)
     }
 
-    /// Whether one more write of this size fits, with at most `write_limit` writes in all.
+    /// Returns whether another write of this size fits, with at most `write_limit` writes in total.
     pub(super) fn fits(&self, write_limit: usize, bytes: usize) -> bool {
         self.writes.len() < write_limit
-            && self.preconditions.len() + MAX_PRECONDITIONS_OF_WRITE <= self.max_preconditions
+            && self.preconditions.len() + PRECONDITIONS_NEEDED_PER_WRITE <= self.max_preconditions
             && self.bytes + bytes <= self.max_bytes
     }
 
     /// Adds a precondition unless the key has one already.
     pub(super) fn require(&mut self, key: String, revision: u64) {
         if !self.preconditions.iter().any(|known| known.key == key) {
-            self.bytes += key.len() + PART_BYTES;
+            self.bytes += key.len() + PART_OVERHEAD_BYTES;
             self.preconditions.push(Precondition { key, revision });
         }
     }
 
-    /// Adds a write; no value deletes the key.
+    /// Adds a write; `None` as the value deletes the key.
     pub(super) fn write(&mut self, key: String, value: Option<String>) {
-        self.bytes += key.len() + value.as_ref().map_or(0, String::len) + PART_BYTES;
+        self.bytes += key.len() + value.as_ref().map_or(0, String::len) + PART_OVERHEAD_BYTES;
         self.writes.push(Write { key, value });
     }
 
-    /// The transaction to be sent, and what it means.
+    /// Returns the transaction to be sent and what it records.
     pub(super) fn build(self) -> (Transaction, TransactionContents) {
         let transaction = Transaction {
             preconditions: self.preconditions,
