--- a/crates/saltpitch-core/src/scheduler/persistence/committed.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/committed.rs
@@ -1,4 +1,4 @@
-//! A transaction that was carried out: what is on record now, and what may start.
+//! Applies a committed transaction: which changes are recorded now, and which tasks may start.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,19 +14,20 @@
 use crate::scheduler::{Job, Task};
 use crate::time::Micros;
 
-/// What follows from a transaction that was carried out.
+/// The consequences of a committed transaction.
 #[derive(Default)]
 pub(in crate::scheduler) struct CommittedChanges {
-    /// The machines that are on record.
+    /// The machines in the block records that the transaction wrote.
     pub(in crate::scheduler) machines: Vec<CommittedMachine>,
-    /// The machines that starts may be sent to, in the order in which their allocations were committed.
+    /// The machines that start commands may be sent to now, in the order in which their allocations were committed.
     pub(in crate::scheduler) dispatch_targets: Vec<Arc<str>>,
-    /// Jobs that were cancelled while their allocations were being written.
+    /// Jobs that were cancelled while their allocations were being committed.
     pub(in crate::scheduler) cancelled_jobs: Vec<JobNumber>,
 }
 
 impl Persistence {
-    /// Takes in what is on record now. Jobs whose final record was written must have left `jobs`.
+    /// Applies a committed transaction and returns its consequences. Jobs whose final record it wrote must already
+    /// have been removed from `jobs`.
     pub(in crate::scheduler) fn apply_commit(
         &mut self,
         transaction: CommittedTransaction,
@@ -56,7 +57,7 @@
     ) -> Vec<CommittedMachine> {
         let blocks = std::mem::take(&mut contents.machine_blocks);
         for block in &blocks {
-            self.machine_blocks.written(block, revision);
+            self.machine_blocks.block_committed(block, revision);
         }
         blocks
             .into_iter()
@@ -74,7 +75,8 @@
         self.placement_log.segment_written(slot, revision, ranges);
     }
 
-    /// Notes the checkpoints' revisions. Their tasks are on record like those of the segment.
+    /// Stores the checkpoints' revisions, and adds their tasks to those of the segment, since they are committed
+    /// in the same way.
     fn apply_checkpoints(
         &self,
         contents: &mut TransactionContents,
@@ -100,17 +102,17 @@
     jobs: &mut JobTable,
     changes: &mut CommittedChanges,
 ) {
-    let mut numbers: Vec<JobNumber> = tasks.iter().map(|key| key.job).collect();
-    numbers.dedup();
-    for number in numbers {
+    let mut job_numbers: Vec<JobNumber> = tasks.iter().map(|key| key.job).collect();
+    job_numbers.dedup();
+    for number in job_numbers {
         let Some(job) = jobs.get_mut(number) else {
             continue;
         };
-        let of_job = TaskKey::new(number, 0)..=TaskKey::new(number, u32::MAX);
-        for key in tasks.range(of_job) {
+        let tasks_of_job = TaskKey::new(number, 0)..=TaskKey::new(number, u32::MAX);
+        for key in tasks.range(tasks_of_job) {
             commit_allocation(key.task, job, &mut changes.dispatch_targets);
         }
-        allow_gang(job, &mut changes.dispatch_targets);
+        release_gang(job, &mut changes.dispatch_targets);
         if job.state != JobState::Active {
             changes.cancelled_jobs.push(number);
         }
@@ -118,7 +120,7 @@
 }
 
 fn commit_allocation(task: u32, job: &mut Job, dispatch_targets: &mut Vec<Arc<str>>) {
-    let starts_alone = job.spec.kind != JobKind::Gang;
+    let starts_independently = job.spec.kind != JobKind::Gang;
     let Some(allocation) = job.allocation_mut(task) else {
         return;
     };
@@ -127,13 +129,13 @@
     }
     allocation.in_transaction = false;
     allocation.committed = true;
-    if starts_alone {
+    if starts_independently {
         dispatch_targets.push(allocation.machine.clone());
     }
 }
 
-/// The allow loop: once all members of a gang are on record, every member's start is released at once.
-fn allow_gang(job: &mut Job, dispatch_targets: &mut Vec<Arc<str>>) {
+/// Releases the start commands of all members of a gang together, once every member's allocation is committed.
+fn release_gang(job: &mut Job, dispatch_targets: &mut Vec<Arc<str>>) {
     if job.spec.kind != JobKind::Gang || job.gang != Gang::Committing {
         return;
     }
--- a/crates/saltpitch-core/src/scheduler/persistence/final_records.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/final_records.rs
@@ -1,4 +1,4 @@
-//! Final records of jobs that are over, and the deletion of keys that nothing needs any more.
+//! Adds the final records of finished jobs and the deletion of obsolete keys to a transaction.
 
 use super::task_keys::TaskKey;
 use super::transaction::TransactionBuilder;
@@ -6,13 +6,13 @@
 use crate::job::JobState;
 use crate::records::{job_key, JobRecord};
 
-/// Bytes set aside for a final record with its conditions.
+/// Bytes reserved for a final record with its preconditions.
 const FINAL_RECORD_BYTES: usize = 400;
-/// Bytes set aside for the deletion of a key.
+/// Bytes reserved for the deletion of a key.
 const DELETION_BYTES: usize = 300;
 
 impl Persistence {
-    /// Adds the final records of jobs that are over.
+    /// Adds the final records of finished jobs.
     pub(super) fn add_final_records(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -32,9 +32,9 @@
                 _ => JobState::Done,
             };
             let done_at = job.times.done_at.filter(|_| state == JobState::Done);
-            let finished = done_at.map(|at| sources.clock.wall(at));
+            let done_at = done_at.map(|at| sources.clock.wall(at));
             builder.require(job_key(&job.id), job.revision);
-            let record = JobRecord::final_record(state, finished);
+            let record = JobRecord::final_record(state, done_at);
             builder.write(job_key(&job.id), to_json(&record));
             self.finished_jobs.remove(&number);
             for task in 0..job.spec.tasks {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Adds the deletion of keys that nothing needs any more.
+    /// Adds the deletion of obsolete keys.
     pub(super) fn add_deletions(&mut self, builder: &mut TransactionBuilder) {
         while builder.fits(builder.max_writes(), DELETION_BYTES) {
             let Some(key) = self.obsolete_keys.pop_front() else {
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_block.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_block.rs
@@ -1,4 +1,5 @@
-//! One block: machines of one type, zone and kind that share a record.
+//! One block: machines that share a record because they have the same type and zone and are all spot machines or
+//! all on demand.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,14 +7,14 @@
 use crate::machine::Machine;
 use crate::records::{MachineBlockRecord, Versioned, MACHINES_PER_BLOCK};
 
-/// Set aside for an address that is not known yet.
-const LONGEST_USUAL_ADDRESS: &str = "255.255.255.255:65535";
-/// Stands for the name of a machine where only its length matters.
-const USUAL_MACHINE_NAME: &str = "vm-000000";
-/// Bytes of a machine's record beside its name and address.
-const MACHINE_RECORD_BYTES: usize = 40;
+/// The longest IPv4 address; its length is reserved for an address that is not known yet.
+const LONGEST_IPV4_ADDRESS: &str = "255.255.255.255:65535";
+/// A machine name of typical length, for estimates of sizes.
+const TYPICAL_MACHINE_NAME: &str = "vm-000000";
+/// Maximum bytes of a machine's record in addition to its name and address.
+const MACHINE_OVERHEAD_BYTES: usize = 40;
 
-/// What the machines of a block have in common.
+/// The properties that all machines of a block share.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct BlockKind {
     pub(super) type_name: String,
@@ -22,7 +23,7 @@
 }
 
 impl BlockKind {
-    /// The kind of block that a machine belongs to.
+    /// Returns the kind of block that a machine belongs to.
     pub(super) fn of(machine: &Machine) -> BlockKind {
         BlockKind {
             type_name: machine.machine_type.name.clone(),
@@ -32,21 +33,21 @@
     }
 }
 
-/// Machines of one type, zone and kind that share a record.
+/// Machines of one [`BlockKind`] that share a record.
 pub(super) struct Block {
     pub(super) kind: BlockKind,
     pub(super) machines: BTreeSet<Arc<str>>,
-    /// The size of the record, at the most.
+    /// Estimated size of the record; an upper bound unless machines have been moved to other blocks.
     pub(super) bytes: usize,
-    /// The record's revision, 0 if it is not there.
+    /// The record's revision, or 0 if the block is not recorded.
     pub(super) revision: u64,
-    /// Blocks that took over machines of this one: they must be on record before this one is written
-    /// without those, or else a leader that comes in between would take them for gone.
+    /// Blocks that machines of this one were moved to. They must be recorded before this block is written
+    /// without these machines; otherwise, a leader elected in between would assume that the machines are gone.
     pub(super) successors: Vec<u32>,
 }
 
 impl Block {
-    /// A block without machines, which is not on record.
+    /// Creates a block without machines that is not recorded yet.
     pub(super) fn empty(kind: BlockKind) -> Block {
         Block {
             kind,
@@ -57,9 +58,9 @@
         }
     }
 
-    /// A block as it is on record.
-    pub(super) fn from_record(on_record: &Versioned<MachineBlockRecord>) -> Block {
-        let record = &on_record.value;
+    /// Creates a block from its record.
+    pub(super) fn from_record(stored: &Versioned<MachineBlockRecord>) -> Block {
+        let record = &stored.value;
         let names = record.machines.iter().map(|machine| machine.0.as_str());
         let sizes = record
             .machines
@@ -73,32 +74,32 @@
             },
             machines: names.map(Arc::from).collect(),
             bytes: sizes.sum(),
-            revision: on_record.revision,
+            revision: stored.revision,
             successors: Vec::new(),
         }
     }
 
-    /// Whether another machine's record of this size fits.
+    /// Returns whether another machine's record of this size fits.
     pub(super) fn has_room_for(&self, bytes: usize, max_bytes: usize) -> bool {
         self.machines.len() < MACHINES_PER_BLOCK && self.bytes + bytes <= max_bytes
     }
 
-    /// Estimates the size of the record after machines have moved to other blocks.
+    /// Estimates the size of the record again after machines have been moved to other blocks.
     pub(super) fn estimate_bytes(&mut self) {
-        self.bytes = self.machines.len() * expected_bytes(USUAL_MACHINE_NAME);
+        self.bytes = self.machines.len() * max_machine_bytes(TYPICAL_MACHINE_NAME);
     }
 }
 
 /// A machine that is moved to another block.
 pub(super) struct BlockMove {
-    /// The machine.
+    /// The machine's name.
     pub(super) machine: Arc<str>,
-    /// The block that it is moved to.
+    /// The number of the block that it is moved to.
     pub(super) to: u32,
 }
 
-/// Which machines of a block go into new ones, numbered from `next_number` on, so that none is larger than
-/// `max_bytes`.
+/// Returns the moves that split a block that is larger than `max_bytes`. The first machines stay in the block
+/// with this `number`; the others are moved to new blocks, numbered from `next_number` on.
 pub(super) fn planned_moves(
     block: &Block,
     number: u32,
@@ -109,7 +110,7 @@
     let mut target = number;
     let mut target_bytes = 0;
     for name in &block.machines {
-        let bytes = expected_bytes(name);
+        let bytes = max_machine_bytes(name);
         if target_bytes + bytes > max_bytes {
             target = if target == number {
                 next_number
@@ -129,12 +130,12 @@
     moves
 }
 
-/// The size of a machine's record, at the most.
+/// Returns an upper bound of the size of a machine's record.
 fn machine_bytes(name: &str, address: &str) -> usize {
-    name.len() + address.len() + MACHINE_RECORD_BYTES
+    name.len() + address.len() + MACHINE_OVERHEAD_BYTES
 }
 
-/// The size of the record of a machine whose address is not known yet, at the most.
-pub(super) fn expected_bytes(name: &str) -> usize {
-    machine_bytes(name, LONGEST_USUAL_ADDRESS)
+/// Returns an upper bound of the size of the record of a machine whose address is not known yet.
+pub(super) fn max_machine_bytes(name: &str) -> usize {
+    machine_bytes(name, LONGEST_IPV4_ADDRESS)
 }
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_block_writes.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_block_writes.rs
@@ -1,21 +1,21 @@
-//! The records of blocks of machines as parts of a transaction.
+//! Adds the records of machine blocks to a transaction.
 
 use super::machine_blocks::BlockDraft;
 use super::transaction::TransactionBuilder;
 use super::{to_json, Persistence, RecordSources};
 use crate::records::machine_block_key;
 
-/// Bytes set aside for a block's condition and key.
+/// Bytes reserved for a block's precondition and key.
 const BLOCK_OVERHEAD_BYTES: usize = 200;
 
 impl Persistence {
-    /// Adds the records of the blocks that are due.
+    /// Adds the records of the machine blocks that are due.
     pub(super) fn add_machine_blocks(
         &mut self,
         builder: &mut TransactionBuilder,
         sources: &mut RecordSources,
     ) {
-        for number in self.machine_blocks.due(sources.now) {
+        for number in self.machine_blocks.due_blocks(sources.now) {
             let being_written = &builder.contents.machine_blocks;
             if self.machine_blocks.awaits_successor(number, being_written) {
                 continue;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Adds one block's record. It is on condition of its own last revision: a transaction of this
-    /// leader that is applied late must not undo a later one.
+    /// Adds one block's record. A precondition requires the block's key to be unchanged, so that a transaction of
+    /// this leader that the store applies late cannot overwrite a later one.
     fn add_machine_block(
         &mut self,
         draft: BlockDraft,
@@ -59,8 +59,8 @@
         builder.contents.machine_blocks.push(draft.written);
     }
 
-    /// The store takes no value of this size any more: the block's machines are spread over several
-    /// blocks, which are written with the next transaction.
+    /// Splits a block whose record the store no longer accepts because of its size. The resulting blocks are
+    /// written with the next transaction.
     fn split_machine_block(&mut self, number: u32, sources: &mut RecordSources) {
         for block_move in self.machine_blocks.split(number, sources.now) {
             if let Some(machine) = sources.machines.get_mut(&block_move.machine) {
--- a/crates/saltpitch-core/src/scheduler/persistence/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/mod.rs
@@ -1,10 +1,11 @@
-//! What is not yet on record, and the one transaction that is in flight.
+//! Writes the scheduler's state to the state service: tracks the changes that are not recorded yet and the one
+//! transaction that is in flight.
 //!
-//! The scheduler reports what changed in memory ([`Persistence::task_placed`] and the like). From that,
-//! [`Persistence::next_effect`] composes one transaction at a time, on condition of the leader's term and of
-//! what each write replaces. Its outcome comes back to [`Persistence::transaction_ended`], which either says
-//! what is on record now or marks everything for writing again. When the outcome is unknown, the records
-//! are read anew before anything else is written.
+//! The scheduler reports each change in memory, for example with [`Persistence::task_placed`].
+//! [`Persistence::next_effect`] then composes one transaction at a time, with preconditions on the leader's term
+//! and on the revision of each key that it overwrites. [`Persistence::transaction_ended`] receives the outcome. It
+//! either returns the committed transaction or marks everything in it for writing again. After an unknown outcome,
+//! the records are reloaded before anything else is written.
 
 mod alerts;
 mod checkpoints;
@@ -47,53 +48,53 @@
 
 pub(in crate::scheduler) use transaction::CommittedMachine;
 
-/// What the records are made of: the other components' state that transactions are composed from.
+/// The state of other components that transactions are composed from.
 pub(in crate::scheduler) struct RecordSources<'a> {
-    /// The settings.
+    /// The scheduler's settings.
     pub(in crate::scheduler) config: &'a SchedulerConfig,
-    /// The jobs.
+    /// The jobs in memory.
     pub(in crate::scheduler) jobs: &'a mut JobTable,
-    /// The machines.
+    /// The machines in memory.
     pub(in crate::scheduler) machines: &'a mut MachineInventory,
     /// The leader's clock.
     pub(in crate::scheduler) clock: &'a LeaderClock,
-    /// The present time.
+    /// The present steady time.
     pub(in crate::scheduler) now: Micros,
 }
 
 impl RecordSources<'_> {
-    /// The time of day that belongs to a past steady time, which may lie before the election.
+    /// Returns the time of day of a past steady time, which may be before the leader's election.
     fn wall_time(&self, at: Micros) -> Micros {
         self.clock.wall(self.now).since(self.now.since(at))
     }
 }
 
-/// Differences between the scheduler's memory and the records, and how fast they may be written.
+/// The differences between the scheduler's memory and the records, and the limits on writing them.
 pub(in crate::scheduler) struct Persistence {
     unsaved_tasks: UnsavedTasks,
-    /// Jobs that are over and whose final record is yet to be written.
+    /// Finished jobs whose final records have yet to be written.
     finished_jobs: BTreeSet<JobNumber>,
     machine_blocks: MachineBlocks,
     placement_log: PlacementLog,
-    /// Keys that nothing needs any more.
+    /// Keys that are no longer needed and are to be deleted.
     obsolete_keys: VecDeque<String>,
     in_flight: Option<TransactionContents>,
-    /// The last transaction may or may not have been carried out: the records are read anew before
-    /// anything else is written.
+    /// Whether the last transaction may or may not have been committed: the records are reloaded before anything
+    /// else is written.
     outcome_unknown: bool,
     reload_in_flight: bool,
     next_transaction_at: Micros,
     write_budget: TokenBucket,
-    /// The store has refused a value for its size: its next limits are in force.
+    /// Whether the store has refused a transaction for its size and is taken to enforce its next, smaller limits.
     reduced_limits: bool,
-    /// When the store refused transactions for the number of writes.
+    /// When the store recently refused transactions because of its write rate limit.
     rate_limit_refusals: VecDeque<Micros>,
     log_alerts: PlacementLogAlerts,
 }
 
-/// Recovery: what a new leader takes from the records.
+/// Recovery of a new leader's state from the records.
 impl Persistence {
-    /// Nothing is unsaved yet.
+    /// Creates the state of a new leader, without unsaved changes.
     pub(in crate::scheduler) fn new(
         records: &RecordCache,
         config: &SchedulerConfig,
@@ -120,15 +121,15 @@
         }
     }
 
-    /// Takes in what the log's segments on record mention, once the jobs are known.
+    /// Restores the placement log from its recorded segments, once the jobs are known.
     pub(in crate::scheduler) fn restore_log(&mut self, records: &RecordCache, jobs: &mut JobTable) {
         self.placement_log.restore(records, jobs);
-        // Found in every incident of one week: what checkpoints already hold counted as needed until the
-        // first write, and each new leader reported a full log.
+        // Without this, segments that checkpoints already cover would count as needed until the first write, and
+        // each new leader would report a full log, as happened in every incident of one week.
         self.drop_obsolete_segments(jobs);
     }
 
-    /// A machine is found in two blocks on record: it is removed from the one named here.
+    /// Removes a machine that two block records contain from the block with this number.
     pub(in crate::scheduler) fn remove_duplicate_machine(
         &mut self,
         name: &Arc<str>,
@@ -139,9 +140,9 @@
     }
 }
 
-/// What changed in memory.
+/// Changes in memory that are to be recorded.
 impl Persistence {
-    /// A task was placed.
+    /// Marks a task that was placed to be written.
     pub(in crate::scheduler) fn task_placed(
         &mut self,
         job: JobNumber,
@@ -153,17 +154,17 @@
         self.unsaved_tasks.task_placed(key, spec, now);
     }
 
-    /// A task ended or lost its allocation.
+    /// Marks a task that ended or lost its allocation to be written.
     pub(in crate::scheduler) fn task_ended(&mut self, job: JobNumber, task: u32, now: Micros) {
         self.unsaved_tasks.task_ended(TaskKey::new(job, task), now);
     }
 
-    /// A job is over: its final record is to be written.
+    /// Marks the final record of a finished job to be written.
     pub(in crate::scheduler) fn job_finished(&mut self, job: JobNumber) {
         self.finished_jobs.insert(job);
     }
 
-    /// The job left memory: nothing of it is written any more, and its checkpoints are deleted.
+    /// Drops the unsaved tasks of a job that was removed from memory, and marks its checkpoints to be deleted.
     pub(in crate::scheduler) fn job_removed(&mut self, number: JobNumber, job: &Job) {
         for task in 0..job.spec.tasks {
             self.unsaved_tasks.remove(TaskKey::new(number, task));
@@ -175,67 +176,67 @@
         }
     }
 
-    /// The records show the final record of this job already.
+    /// Clears the mark of a job whose final record is already stored.
     pub(in crate::scheduler) fn final_record_found(&mut self, job: JobNumber) {
         self.finished_jobs.remove(&job);
     }
 
-    /// The machine's record is to be written at `due`, together with others that change by then.
+    /// Marks the machine's block to be written at `due`, together with other changes until then.
     pub(in crate::scheduler) fn machine_changed(&mut self, machine: &mut Machine, due: Micros) {
         self.machine_blocks.machine_changed(machine, due);
     }
 
-    /// The machine is proven gone.
+    /// Removes a machine that is proven gone from its block and marks the block to be written.
     pub(in crate::scheduler) fn machine_gone(&mut self, machine: &Machine, now: Micros) {
         self.machine_blocks.machine_gone(machine, now);
     }
 
-    /// These keys are to be deleted.
+    /// Marks keys to be deleted.
     pub(in crate::scheduler) fn delete_keys(&mut self, keys: impl Iterator<Item = String>) {
         self.obsolete_keys.extend(keys);
     }
 }
 
-/// What is not on record yet.
+/// Queries about unsaved changes and the placement log.
 impl Persistence {
-    /// Whether the task's state is yet to be written, or part of the transaction in flight.
+    /// Returns whether the task's state has yet to be written or is part of the transaction in flight.
     pub(in crate::scheduler) fn is_task_unsaved(&self, job: JobNumber, task: u32) -> bool {
         self.unsaved_tasks.contains(TaskKey::new(job, task)) || self.is_task_in_flight(job, task)
     }
 
-    /// Whether the task's state is part of the transaction in flight.
+    /// Returns whether the task's state is part of the transaction in flight.
     pub(in crate::scheduler) fn is_task_in_flight(&self, job: JobNumber, task: u32) -> bool {
         let key = TaskKey::new(job, task);
         let in_flight = self.in_flight.as_ref();
         in_flight.is_some_and(|contents| contents.includes_task(key))
     }
 
-    /// Whether the job's final record is yet to be written.
+    /// Returns whether the job's final record has yet to be written.
     pub(in crate::scheduler) fn awaits_final_record(&self, job: JobNumber) -> bool {
         self.finished_jobs.contains(&job)
     }
 
-    /// How many tasks, jobs and blocks of machines differ from their records.
+    /// Returns how many tasks, finished jobs and blocks of machines differ from their records.
     pub(in crate::scheduler) fn unsaved_count(&self) -> usize {
         self.unsaved_tasks.len() + self.finished_jobs.len() + self.machine_blocks.unsaved_count()
     }
 
-    /// The number of the log's next segment.
+    /// Returns the number of the placement log's next segment.
     pub(in crate::scheduler) fn next_segment(&self) -> u64 {
         self.placement_log.next_segment()
     }
 
-    /// How many segments can be written before one that may still be needed.
+    /// Returns how many segments can be written before one that may still be needed would be overwritten.
     pub(in crate::scheduler) fn free_segments(&self) -> u64 {
         self.placement_log.free_segments()
     }
 
-    /// Whether the outcome of the last transaction is unknown.
+    /// Returns whether the outcome of the last transaction is unknown.
     pub(in crate::scheduler) fn is_outcome_unknown(&self) -> bool {
         self.outcome_unknown
     }
 
-    /// Drops the oldest segments as far as checkpoints hold everything that still matters of them.
+    /// Drops the oldest segments of the placement log up to the first one that is still needed.
     fn drop_obsolete_segments(&mut self, jobs: &mut JobTable) {
         if self.in_flight.is_none() {
             self.placement_log
@@ -245,7 +246,7 @@
     }
 }
 
-/// A record's value; `None` for what JSON cannot express, which no record holds.
+/// Serializes a record. Returns `None` for a value that JSON cannot express, which no record contains.
 fn to_json<T: Serialize>(record: &T) -> Option<String> {
     serde_json::to_string(record).ok()
 }
