--- a/crates/saltpitch-core/src/records/cancellations.rs
+++ b/crates/saltpitch-core/src/records/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations as a controller learned of them, for a leader that cannot read them itself.
+//! The cancellations that a controller has seen, for a leader that cannot reach the state service.
 
 use std::collections::VecDeque;
 
@@ -6,106 +6,109 @@
 
 use crate::messages::AckRequest;
 
-/// The most cancellations that a controller remembers for a leader without the state service.
+/// Maximum number of cancellations that a controller keeps for a leader that cannot reach the state service.
 const MAX_CANCELLATIONS: usize = 10_000;
-/// The most cancellations in one acknowledgement.
+/// Maximum number of cancellations in one acknowledgement.
 const MAX_CANCELLATIONS_PER_ACK: usize = 1_000;
 
 /// A position in a controller's list of cancellations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AckCursor {
-    /// The process that keeps the list; a restarted controller starts a new one.
+    /// Identifies the process that keeps the list; a restarted controller starts a new list.
     pub process: u64,
-    /// How many entries of the list are known.
+    /// Number of entries of the list that the leader has received.
     pub entries: u64,
 }
 
-/// A controller's acknowledgement to a leader that cannot reach the state service: one page of the
-/// jobs that the controller knows to be cancelled and that the leader's records do not show.
+/// A controller's acknowledgement to a leader that cannot reach the state service: one page of the jobs that the
+/// controller knows to be cancelled and that are not cancelled in the leader's records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancellationAck {
-    /// Where the next page starts.
+    /// The position at which the next page starts.
     #[serde(rename = "upto")]
     pub next: AckCursor,
-    /// Whether there is another page. Only the last one completes the acknowledgement.
+    /// Whether there is another page. Only the last page completes the acknowledgement.
     #[serde(rename = "more")]
     pub has_more: bool,
-    /// The ids of the cancelled jobs.
+    /// Ids of the cancelled jobs.
     pub cancelled: Vec<String>,
 }
 
-/// A job's cancellation; ordered by revision.
+/// The cancellation of a job; ordered by revision.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Cancellation {
     /// The revision of the record that cancelled the job.
     pub(super) revision: u64,
-    /// The job.
+    /// The job's id.
     pub(super) id: String,
 }
 
-/// Cancellations in the order in which a controller learned of them, which need not be that of their
-/// revisions. Bounded: the oldest fall out, and a leader whose records are older than those gets no
-/// acknowledgement.
+/// A bounded list of cancellations in the order in which a controller has seen them, which may differ from the
+/// order of their revisions. The oldest entries are dropped. A leader whose records are older than the newest
+/// revision among them gets no acknowledgement.
 #[derive(Clone, Debug, Default)]
 pub struct Cancellations {
-    /// How many entries fell out.
-    first: u64,
-    list: VecDeque<Cancellation>,
-    /// The highest revision of the entries that fell out.
-    forgotten_up_to: u64,
+    /// Number of entries that have been dropped.
+    dropped_count: u64,
+    entries: VecDeque<Cancellation>,
+    /// The highest revision of the entries that have been dropped.
+    max_dropped_revision: u64,
 }
 
 impl Cancellations {
     /// Adds a cancellation.
-    pub(super) fn note(&mut self, revision: u64, id: &str) {
+    pub(super) fn push(&mut self, revision: u64, id: &str) {
         let id = id.to_owned();
-        self.list.push_back(Cancellation { revision, id });
+        self.entries.push_back(Cancellation { revision, id });
     }
 
-    /// All entries, by revision.
+    /// Returns all entries, ordered by revision.
     pub(super) fn into_sorted(self) -> Vec<Cancellation> {
-        let mut entries = Vec::from(self.list);
+        let mut entries = Vec::from(self.entries);
         entries.sort_unstable();
         entries
     }
 
-    /// Forgets the oldest entries above the bound.
+    /// Drops the oldest entries until at most `MAX_CANCELLATIONS` are left.
     pub fn trim(&mut self) {
-        while self.list.len() > MAX_CANCELLATIONS {
-            if let Some(oldest) = self.list.pop_front() {
-                self.first += 1;
-                self.forgotten_up_to = self.forgotten_up_to.max(oldest.revision);
+        while self.entries.len() > MAX_CANCELLATIONS {
+            if let Some(oldest) = self.entries.pop_front() {
+                self.dropped_count += 1;
+                self.max_dropped_revision = self.max_dropped_revision.max(oldest.revision);
             }
         }
     }
 
-    /// What a leader with these records has not seen, from its cursor on. `None` if too much was forgotten
-    /// to say.
+    /// Returns the next page of cancellations that are missing from the leader's records, starting at its cursor.
+    /// Returns `None` if a dropped entry may be missing from them.
     pub fn acknowledge(&self, process: u64, request: AckRequest) -> Option<CancellationAck> {
         let AckRequest { revision, cursor } = request;
-        if revision < self.forgotten_up_to {
+        if revision < self.max_dropped_revision {
             return None;
         }
-        let known = if cursor.process == process {
+        let known_entries = if cursor.process == process {
             cursor.entries
         } else {
             0
         };
-        let skip = known.saturating_sub(self.first) as usize;
-        let mut entries = self.first.max(known);
+        let skip = known_entries.saturating_sub(self.dropped_count) as usize;
+        let mut position = self.dropped_count.max(known_entries);
         let mut cancelled = Vec::new();
-        for cancellation in self.list.iter().skip(skip) {
+        for cancellation in self.entries.iter().skip(skip) {
             if cancelled.len() >= MAX_CANCELLATIONS_PER_ACK {
                 break;
             }
-            entries += 1;
+            position += 1;
             if cancellation.revision > revision {
                 cancelled.push(cancellation.id.clone());
             }
         }
         Some(CancellationAck {
-            next: AckCursor { process, entries },
-            has_more: entries < self.first + self.list.len() as u64,
+            next: AckCursor {
+                process,
+                entries: position,
+            },
+            has_more: position < self.dropped_count + self.entries.len() as u64,
             cancelled,
         })
     }
--- a/crates/saltpitch-core/src/records/record_cache/carry_over.rs
+++ b/crates/saltpitch-core/src/records/record_cache/carry_over.rs
@@ -1,4 +1,4 @@
-//! What a copy of the records that was read anew takes over from the one before.
+//! Carries unrecorded state over from the previous copy of the records when the records are read again.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,28 +7,28 @@
 use crate::records::Cancellations;
 
 impl RecordCache {
-    /// Takes over what is on no record: returned machines, images and the list of cancellations. A
-    /// machine that the older copy has and this one does not was returned in between.
+    /// Carries over the state that is not recorded: returned machines, cached images and the list of cancellations.
+    /// A machine that is in the old copy but not in this one was returned in between.
     pub fn carry_over_from(&mut self, mut old: RecordCache) {
-        let on_record: HashSet<&str> = self.machine_names().collect();
+        let recorded: HashSet<&str> = self.machine_names().collect();
         let old_machines = old.machine_names();
-        let gone: Vec<String> = old_machines
-            .filter(|name| !on_record.contains(name))
+        let returned: Vec<String> = old_machines
+            .filter(|name| !recorded.contains(name))
             .map(str::to_owned)
             .collect();
         let old_cancellations = std::mem::take(&mut old.cancellations);
-        self.take_over_cancellations(old_cancellations, &old.jobs);
+        self.append_to_cancellations(old_cancellations, &old.jobs);
         self.returned_machines = old.returned_machines;
         self.images = old.images;
-        for name in &gone {
+        for name in &returned {
             self.machine_gone(name);
         }
     }
 
-    /// The list that leaders ask for goes on: what the older copy had is in it. Of a long history the
-    /// newest entries are kept, so those that this copy adds come in the order of their revisions rather
-    /// than of their keys.
-    fn take_over_cancellations(
+    /// Appends the cancellations that are new in this copy to the old list, whose entries leaders refer to by
+    /// position. Only the newest entries of a long list are kept. The new ones are therefore appended in the order of
+    /// their revisions, not in that of their keys.
+    fn append_to_cancellations(
         &mut self,
         old: Cancellations,
         old_jobs: &HashMap<String, JobEntry>,
@@ -39,7 +39,7 @@
             let known_state = known.map(|entry| entry.record.state);
             if known_state != Some(JobState::Cancelled) {
                 let revision = cancellation.revision;
-                self.cancellations.note(revision, &cancellation.id);
+                self.cancellations.push(revision, &cancellation.id);
             }
         }
         self.cancellations.trim();
--- a/crates/saltpitch-core/src/records/record_cache/implicit_cancellations.rs
+++ b/crates/saltpitch-core/src/records/record_cache/implicit_cancellations.rs
@@ -1,38 +1,39 @@
-//! Jobs that are cancelled with one that they depend on, before their own records say so.
+//! Jobs that are implicitly cancelled because a job that they depend on is cancelled, before their own records
+//! show it.
 
 use std::collections::{HashMap, HashSet};
 
 use super::JobEntry;
 use crate::job::JobState;
 
-/// Dependencies between jobs as far as they may still withdraw a job.
+/// The implicitly cancelled jobs, and the dependencies that may still cancel further jobs.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ImplicitCancellations {
-    /// Jobs that wait for others, by those that they depend on.
+    /// The active jobs that depend on a job, by that job's id.
     dependents: HashMap<String, Vec<String>>,
-    /// Jobs not yet cancelled on record that depend on a cancelled one, directly or through others. None
-    /// of them has ever started a task, since what it depends on was never done; none of them ever will.
-    withdrawn: HashSet<String>,
+    /// The jobs that depend on a cancelled job, directly or indirectly, and are not recorded as cancelled yet. None
+    /// of them has ever started a task, because its dependencies were never all done, and none ever will.
+    implicitly_cancelled: HashSet<String>,
 }
 
 impl ImplicitCancellations {
-    /// A job's state, as users see it: on record, or cancelled with one that it depends on.
+    /// Returns a job's state as users see it: cancelled if it is implicitly cancelled, otherwise the recorded state.
     pub(super) fn job_state(&self, id: &str, jobs: &HashMap<String, JobEntry>) -> Option<JobState> {
-        let on_record = jobs.get(id)?.record.state;
-        Some(if self.withdrawn.contains(id) {
+        let recorded_state = jobs.get(id)?.record.state;
+        Some(if self.implicitly_cancelled.contains(id) {
             JobState::Cancelled
         } else {
-            on_record
+            recorded_state
         })
     }
 
-    /// The withdrawn jobs.
-    pub(super) fn iter(&self) -> impl Iterator<Item = &str> {
-        self.withdrawn.iter().map(String::as_str)
+    /// Returns the ids of the implicitly cancelled jobs.
+    pub(super) fn job_ids(&self) -> impl Iterator<Item = &str> {
+        self.implicitly_cancelled.iter().map(String::as_str)
     }
 
-    /// A job's record, which is in `jobs` already, is new or has changed. Whether a job comes before or
-    /// after those that it depends on, as in a list by keys, makes no difference.
+    /// Applies the new or changed record of a job, which is already in `jobs`. The result does not depend on whether
+    /// a job's record is applied before or after those of its dependencies, as in a listing sorted by keys.
     pub(super) fn job_changed(
         &mut self,
         id: &str,
@@ -41,21 +42,22 @@
         jobs: &HashMap<String, JobEntry>,
     ) {
         let is_active = state == JobState::Active;
-        let depends_on_cancelled = is_active && self.note_dependencies(id, dependencies, jobs);
+        let depends_on_cancelled = is_active && self.track_dependencies(id, dependencies, jobs);
         if !is_active {
-            self.withdrawn.remove(id);
+            self.implicitly_cancelled.remove(id);
         }
         if state == JobState::Cancelled || depends_on_cancelled {
-            self.withdraw_dependents(id, jobs);
+            self.cancel_dependents(id, jobs);
         }
         if !is_active {
-            // Its dependents are withdrawn by now, or need not wait for it any more.
+            // Its dependents are implicitly cancelled by now, or need not wait for this job any more.
             self.dependents.remove(id);
         }
     }
 
-    /// Notes what an active job waits for. True if one of these is cancelled, and the job with it.
-    fn note_dependencies(
+    /// Registers an active job with its unfinished dependencies. Returns whether one of its dependencies is
+    /// cancelled, in which case the job is implicitly cancelled as well.
+    fn track_dependencies(
         &mut self,
         id: &str,
         dependencies: &[String],
@@ -66,7 +68,7 @@
             match self.job_state(dependency, jobs) {
                 Some(JobState::Done) => {}
                 Some(JobState::Cancelled) => {
-                    self.withdrawn.insert(id.to_owned());
+                    self.implicitly_cancelled.insert(id.to_owned());
                     depends_on_cancelled = true;
                 }
                 Some(JobState::Active) | None => {
@@ -80,14 +82,14 @@
         depends_on_cancelled
     }
 
-    /// Withdraws the active jobs that depend on this one, directly or through others.
-    fn withdraw_dependents(&mut self, id: &str, jobs: &HashMap<String, JobEntry>) {
+    /// Implicitly cancels the active jobs that depend on this one, directly or indirectly.
+    fn cancel_dependents(&mut self, id: &str, jobs: &HashMap<String, JobEntry>) {
         let mut cancelled = vec![id.to_owned()];
         while let Some(id) = cancelled.pop() {
             for dependent in self.dependents.get(&id).into_iter().flatten() {
                 let entry = jobs.get(dependent);
                 let is_active = entry.is_some_and(|entry| entry.record.state == JobState::Active);
-                if is_active && self.withdrawn.insert(dependent.clone()) {
+                if is_active && self.implicitly_cancelled.insert(dependent.clone()) {
                     cancelled.push(dependent.clone());
                 }
             }
--- a/crates/saltpitch-core/src/records/record_cache/jobs.rs
+++ b/crates/saltpitch-core/src/records/record_cache/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs in the cache.
+//! The jobs in the cache.
 
 use serde_json::value::RawValue;
 
@@ -21,12 +21,12 @@
         let record: JobRecord = parse(raw)?;
         let old_state = known.map(|known| known.record.state);
         if record.spec.is_none() {
-            self.note_images_at_end(id, record.state);
+            self.record_images_of_finished_job(id, record.state);
             self.tasks.remove(id);
         }
         let state = record.state;
         if state == JobState::Cancelled && old_state != Some(JobState::Cancelled) {
-            self.cancellations.note(revision, id);
+            self.cancellations.push(revision, id);
         }
         self.delegation_index.update(id, &record);
         let spec = record.spec.clone();
@@ -38,21 +38,22 @@
         Ok(Change::Job(id.to_owned()))
     }
 
-    /// Whether the job's final record was written: what is said of its tasks means nothing any more.
-    pub(super) fn is_over(&self, id: &str) -> bool {
+    /// Returns whether the job has a final record, after which records of its tasks are ignored.
+    pub(super) fn has_final_record(&self, id: &str) -> bool {
         let entry = self.jobs.get(id);
         entry.is_some_and(|entry| entry.record.spec.is_none())
     }
 
-    /// A job's final record leaves out its tasks. Those of a job that is done completed where they were
-    /// placed; the replicas of a cancelled service ran there.
-    fn note_images_at_end(&mut self, id: &str, state: JobState) {
+    /// Registers the image of a finished job on the machines that its tasks used, since the final record does not
+    /// contain the tasks. All tasks of a job that is done have completed on their machines, and the replicas of a
+    /// cancelled service ran on theirs.
+    fn record_images_of_finished_job(&mut self, id: &str, state: JobState) {
         let entry = self.jobs.get(id);
         let Some(spec) = entry.and_then(|entry| entry.record.spec.as_deref()) else {
             return;
         };
-        let were_used = state == JobState::Done || spec.kind == JobKind::Service;
-        let tasks = self.tasks.get(id).filter(|_| were_used);
+        let image_was_used = state == JobState::Done || spec.kind == JobKind::Service;
+        let tasks = self.tasks.get(id).filter(|_| image_was_used);
         for allocation in tasks.into_iter().flat_map(TaskStates::allocations) {
             self.images.used(
                 &allocation.machine,
@@ -63,22 +64,23 @@
         }
     }
 
-    /// A job's state, as users see it: on record, or cancelled with one that it depends on.
+    /// Returns a job's state as users see it: cancelled if a job that it depends on is cancelled, otherwise the
+    /// recorded state.
     pub fn job_state(&self, id: &str) -> Option<JobState> {
         self.implicit_cancellations.job_state(id, &self.jobs)
     }
 
-    /// The jobs that are cancelled with one that they depend on, and not on record yet.
+    /// Returns the jobs that are cancelled because a job that they depend on is, and not recorded as cancelled yet.
     pub fn implicitly_cancelled_jobs(&self) -> impl Iterator<Item = &str> {
-        self.implicit_cancellations.iter()
+        self.implicit_cancellations.job_ids()
     }
 
-    /// The active jobs that another cell may own.
+    /// Returns the active jobs that another cell may own.
     pub fn delegated_jobs(&self) -> impl Iterator<Item = &str> {
         self.delegation_index.delegated_jobs()
     }
 
-    /// The active jobs that are run for another cell.
+    /// Returns the active jobs that are run for another cell.
     pub fn guest_jobs(&self) -> impl Iterator<Item = &str> {
         self.delegation_index.guest_jobs()
     }
--- a/crates/saltpitch-core/src/records/record_cache/tasks.rs
+++ b/crates/saltpitch-core/src/records/record_cache/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks in the cache: checkpoints and segments of the placement log.
+//! The tasks in the cache, from checkpoints and segments of the placement log.
 
 use serde_json::value::RawValue;
 
@@ -10,11 +10,12 @@
 use crate::records::TASKS_PER_CHECKPOINT;
 
 impl RecordCache {
-    /// How many tasks of a job are running and how many have completed, for display.
+    /// Returns how many tasks of a job are running, that is, have an allocation, and how many have completed. For
+    /// display only.
     pub fn task_counts(&self, id: &str) -> (u64, u64) {
         let tasks = self.tasks.get(id);
         tasks.map_or((0, 0), |tasks| {
-            (u64::from(tasks.running), u64::from(tasks.done))
+            (u64::from(tasks.placed), u64::from(tasks.done))
         })
     }
 
@@ -38,7 +39,7 @@
         let checkpoints = self.checkpoints.entry(id.to_owned()).or_default();
         checkpoints.insert(index, checkpoint);
         self.last_segment = self.last_segment.max(record.up_to_segment);
-        if !self.is_over(id) {
+        if !self.has_final_record(id) {
             self.apply_checkpoint(id, index, record);
         }
         Ok(Change::Tasks)
@@ -73,7 +74,7 @@
         let segment = RecordedSegment {
             revision,
             number,
-            task_ranges: mentioned_ranges(&record),
+            task_ranges: task_ranges(&record),
         };
         self.apply_segment(record);
         self.segments.insert(slot, segment);
@@ -90,7 +91,7 @@
 
     fn apply_segment(&mut self, record: SegmentRecord) {
         for (id, entries) in record.entries {
-            if self.is_over(&id) {
+            if self.has_final_record(&id) {
                 continue;
             }
             let job = self.jobs.get(&id);
@@ -99,8 +100,8 @@
             for entry in entries {
                 let task = entry.0;
                 let state = entry_state(entry, record.number);
-                let completed_on = states.set(task, state);
-                if let (Some(allocation), Some(spec)) = (completed_on, spec) {
+                let completed_allocation = states.set(task, state);
+                if let (Some(allocation), Some(spec)) = (completed_allocation, spec) {
                     self.images.used(
                         &allocation.machine,
                         allocation.agent_epoch,
@@ -113,15 +114,15 @@
     }
 }
 
-/// The ranges of tasks that a segment mentions.
-fn mentioned_ranges(record: &SegmentRecord) -> Vec<RecordedRange> {
+/// Returns the ranges of tasks with an entry in a segment.
+fn task_ranges(record: &SegmentRecord) -> Vec<RecordedRange> {
     let mut ranges = Vec::new();
     for (id, entries) in &record.entries {
         let tasks = entries.iter().map(|entry| entry.0);
-        let mut of_job: Vec<u32> = tasks.map(|task| task / TASKS_PER_CHECKPOINT).collect();
-        of_job.sort_unstable();
-        of_job.dedup();
-        ranges.extend(of_job.into_iter().map(|index| RecordedRange {
+        let mut indexes: Vec<u32> = tasks.map(|task| task / TASKS_PER_CHECKPOINT).collect();
+        indexes.sort_unstable();
+        indexes.dedup();
+        ranges.extend(indexes.into_iter().map(|index| RecordedRange {
             job: id.clone(),
             index,
         }));
@@ -129,7 +130,7 @@
     ranges
 }
 
-/// What a checkpoint says of each task of its range.
+/// Returns the states of a checkpoint's tasks, in the order of their indexes.
 fn checkpoint_states(record: CheckpointRecord) -> Vec<TaskState> {
     let attempts = record.attempts.iter().take(TASKS_PER_CHECKPOINT as usize);
     let mut states: Vec<TaskState> = attempts
@@ -155,7 +156,7 @@
     states
 }
 
-/// What an entry of a segment says of its task.
+/// Returns the state of a task from its entry in a segment.
 fn entry_state(entry: SegmentEntry, segment: u64) -> TaskState {
     let is_allocated = entry.is_allocated();
     let SegmentEntry(_, attempt, machine, agent_epoch, done) = entry;
--- a/crates/saltpitch-core/src/records/recorded_tasks.rs
+++ b/crates/saltpitch-core/src/records/recorded_tasks.rs
@@ -1,43 +1,44 @@
-//! What the records say of tasks: of the log's segments and the checkpoints, the newest counts.
+//! The recorded state of tasks: the newest of the placement log's segments and the checkpoints applies.
 
 use crate::job::MAX_TASKS;
 
-/// The machine of a task, as the records show it.
+/// The recorded allocation of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AllocatedMachine {
-    /// The machine.
+    /// The machine's name.
     pub machine: String,
-    /// The epoch of the machine's agent in which the task was placed.
+    /// The epoch of the machine's agent at the time of the placement.
     pub agent_epoch: u64,
 }
 
-/// A task as the newest record of it shows it.
+/// The state of a task according to its newest record.
 #[derive(Clone, Debug, Default)]
 pub struct TaskState {
-    /// The segment that the state is from.
+    /// The segment that the state comes from, or the last segment that its checkpoint covers.
     pub(super) segment: u64,
     /// The newest attempt.
     pub attempt: u32,
-    /// Whether it has completed.
+    /// Whether the task has completed.
     pub done: bool,
-    /// Where it is placed.
+    /// The task's allocation, if it has one.
     pub allocation: Option<Box<AllocatedMachine>>,
 }
 
-/// The tasks of a job, as far as anything is on record of them.
+/// The recorded states of a job's tasks.
 #[derive(Clone, Debug, Default)]
 pub struct TaskStates {
-    /// By the task's index.
+    /// The states by the task's index.
     pub tasks: Vec<TaskState>,
-    /// How many are placed.
-    pub(super) running: u32,
-    /// How many have completed.
+    /// Number of tasks with an allocation.
+    pub(super) placed: u32,
+    /// Number of tasks that have completed.
     pub(super) done: u32,
 }
 
 impl TaskStates {
-    /// Applies what a record says of a task. Records may come late or twice: the newest segment's
-    /// entry stays. Returns where the task has just completed.
+    /// Applies the state of a task from a record, unless the known state is from a newer segment: records may be
+    /// applied late or twice. Returns the task's previous allocation if the record shows that the task has completed
+    /// since.
     pub(super) fn set(&mut self, task: u32, new: TaskState) -> Option<AllocatedMachine> {
         let index = task as usize;
         if index >= self.tasks.len() {
@@ -50,7 +51,7 @@
         if new.segment < known.segment {
             return None;
         }
-        self.running = self.running + u32::from(new.allocation.is_some())
+        self.placed = self.placed + u32::from(new.allocation.is_some())
             - u32::from(known.allocation.is_some());
         self.done = self.done + u32::from(new.done) - u32::from(known.done);
         let has_completed = new.done && !known.done;
@@ -59,7 +60,7 @@
         allocation.map(|allocation| *allocation)
     }
 
-    /// Where tasks are placed.
+    /// Returns the allocations of all tasks that have one.
     pub(super) fn allocations(&self) -> impl Iterator<Item = &AllocatedMachine> {
         let tasks = self.tasks.iter();
         tasks.filter_map(|task| task.allocation.as_deref())
@@ -69,28 +70,28 @@
 /// A range of tasks that share a checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedRange {
-    /// The job.
+    /// The job's id.
     pub job: String,
     /// The range's index within the job.
     pub index: u32,
 }
 
-/// What the cache keeps of a segment of the log.
+/// What the cache keeps of a segment of the placement log.
 #[derive(Clone, Debug)]
 pub struct RecordedSegment {
-    /// Its revision.
+    /// The revision of the segment's key.
     pub revision: u64,
-    /// Its number.
+    /// The segment's number.
     pub number: u64,
-    /// The ranges of tasks that it mentions.
+    /// The ranges of tasks with an entry in the segment.
     pub task_ranges: Vec<RecordedRange>,
 }
 
 /// What the cache keeps of the checkpoint of one range of tasks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Checkpoint {
-    /// Its revision.
+    /// The revision of the checkpoint's key.
     pub revision: u64,
-    /// The last segment of the log that it covers.
+    /// The last segment of the placement log that the checkpoint covers.
     pub up_to_segment: u64,
 }
