--- a/crates/saltpitch-core/src/records/delegation.rs
+++ b/crates/saltpitch-core/src/records/delegation.rs
@@ -1,6 +1,6 @@
-//! Jobs that another cell runs, and jobs that this cell runs for another one.
+//! Jobs that are delegated to another cell, and guest jobs that this cell runs for another cell.
 //!
-//! Both are optional fields of a job's record, left out where they are not used. See docs/cells.md.
+//! Both are optional fields of a job's record, which are left out if they are not used. See docs/cells.md.
 
 use serde::{Deserialize, Deserializer, Serialize};
 
@@ -10,16 +10,16 @@
 /// The delegation of one whole job to another cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delegation {
-    /// The host cell.
+    /// The name of the host cell.
     #[serde(rename = "c")]
     pub cell: String,
-    /// Counts the delegations of this job; part of the id that the host is sent.
+    /// Counts the delegations of this job; part of the job id that is sent to the host cell.
     #[serde(rename = "n")]
     pub number: u32,
-    /// The state.
+    /// The state of the delegation.
     #[serde(rename = "s")]
     pub state: DelegationState,
-    /// The user asked for the job's cancellation, which the host has yet to confirm.
+    /// Whether the user has cancelled the job and the host cell has yet to confirm it.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     pub cancel_requested: bool,
 }
@@ -28,26 +28,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DelegationState {
-    /// Submissions to the host may be under way.
+    /// Submissions to the host cell may be in flight.
     Offered,
-    /// The host has accepted the job: it is never submitted again under this number.
+    /// The host cell has accepted the job. It is never submitted again under this delegation number.
     Accepted,
-    /// The host reported that tasks of it run.
+    /// The host cell has reported that tasks of the job are running.
     Running,
-    /// It has ended: the job is the origin's own again.
+    /// The delegation has ended: the origin cell owns the job again.
     Returned,
-    /// The record cannot be read: the job is placed nowhere.
+    /// The delegation cannot be read: the job is not placed in any cell.
     #[serde(skip_serializing)]
     Damaged,
 }
 
 impl Delegation {
-    /// Whether the host may own the job.
+    /// Returns whether the host cell may own the job.
     pub fn is_open(&self) -> bool {
         self.state != DelegationState::Returned
     }
 
-    /// The placeholder of a delegation that cannot be read.
+    /// Returns a placeholder for a delegation that cannot be read.
     fn damaged() -> Delegation {
         Delegation {
             cell: String::new(),
@@ -58,52 +58,53 @@
     }
 }
 
-/// Reads a delegation. One that cannot be read does not hide its job: users' questions about the job are
-/// answered as before, and nothing of it is placed.
+/// Deserializes a delegation. One that cannot be read becomes a placeholder, so that its job stays visible: users
+/// can still query the job, but none of its tasks is placed.
 pub(super) fn read_delegation<'de, D: Deserializer<'de>>(
     input: D,
 ) -> Result<Option<Box<Delegation>>, D::Error> {
     let value = Option::<serde_json::Value>::deserialize(input)?;
     Ok(value.map(|value| {
-        let read = serde_json::from_value::<Delegation>(value);
-        let plausible = |delegation: &Delegation| !delegation.cell.is_empty();
-        let usable = read.ok().filter(plausible);
-        Box::new(usable.unwrap_or_else(Delegation::damaged))
+        let parsed = serde_json::from_value::<Delegation>(value);
+        let has_cell = |delegation: &Delegation| !delegation.cell.is_empty();
+        let valid = parsed.ok().filter(has_cell);
+        Box::new(valid.unwrap_or_else(Delegation::damaged))
     }))
 }
 
-/// A job that this cell runs for another one.
+/// Marks a job that this cell runs for another cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guest {
-    /// The origin cell.
+    /// The name of the origin cell.
     #[serde(rename = "c")]
     pub cell: String,
-    /// Whether machines may be rented for it.
+    /// Whether machines may be rented for the job.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub may_rent: bool,
 }
 
-/// What has to be written when a user cancels a job.
+/// What has to be recorded when a user cancels a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CancelStep {
-    /// This record: the job is cancelled with it.
+    /// Writing this record cancels the job.
     Confirm(JobRecord),
-    /// This record: it requests the cancellation from the host cell. The job is not cancelled yet.
+    /// Writing this record requests the cancellation from the host cell. The job is not cancelled yet.
     Request(JobRecord),
-    /// Nothing: the cancellation has been requested from the host cell already.
+    /// Nothing is written: the cancellation has already been requested from the host cell, or the delegation
+    /// is damaged.
     Await,
 }
 
 impl JobRecord {
-    /// Whether another cell may own the job.
+    /// Returns whether another cell may own the job.
     pub fn is_delegated(&self) -> bool {
         self.delegation
             .as_ref()
             .is_some_and(|delegation| delegation.is_open())
     }
 
-    /// How a user's cancellation of this job goes on. A job that another cell may own is cancelled only
-    /// once that cell has confirmed it.
+    /// Returns the next step of a user's cancellation of this job. A job that another cell may own is cancelled
+    /// only once that cell has confirmed the cancellation.
     pub fn cancel_step(&self) -> CancelStep {
         let mut record = self.clone();
         match &mut record.delegation {
--- a/crates/saltpitch-core/src/records/keys.rs
+++ b/crates/saltpitch-core/src/records/keys.rs
@@ -1,16 +1,16 @@
-//! The keys in the state service. They are a published format: samples of each version are tested.
+//! The keys in the state service. They are a published format: tests compare them with samples of each version.
 
 /// The prefix of all keys.
 pub const PREFIX: &str = "salt/";
-/// The key of the term.
+/// The key of the term's record.
 pub const TERM_KEY: &str = "salt/term";
-/// The key of the leader, attached to the leadership lease.
+/// The key of the leader's record, which is attached to the leadership lease.
 pub const LEADER_KEY: &str = "salt/leader";
-/// The key of the machine types; read where it is there, written by no version in production.
+/// The key of the machine types. It is read if it exists; no version in production writes it.
 pub const CATALOG_KEY: &str = "salt/catalog";
-/// Tasks in one checkpoint: a full one stays below the smallest value limit.
+/// Number of tasks in one checkpoint; a full checkpoint stays below the smallest value limit of the store.
 pub const TASKS_PER_CHECKPOINT: u32 = 128;
-/// The most machines in the record of one block.
+/// Maximum number of machines in the record of one block.
 pub const MACHINES_PER_BLOCK: usize = 64;
 
 const JOB_PREFIX: &str = "salt/j/";
@@ -18,40 +18,40 @@
 const SEGMENT_PREFIX: &str = "salt/l/";
 const MACHINE_BLOCK_PREFIX: &str = "salt/b/";
 const NODE_PREFIX: &str = "salt/n/";
-/// Prefixes of kinds of records that only earlier versions wrote.
+/// Prefixes of keys that only earlier versions wrote.
 const EARLIER_PREFIXES: [&str; 2] = ["salt/m/", "salt/p/"];
 
-/// The key of a job.
+/// Returns the key of a job's record.
 pub fn job_key(id: &str) -> String {
     format!("{JOB_PREFIX}{id}")
 }
 
-/// The job whose record is stored at `key`, if it is a job's.
+/// Returns the id of the job whose record is stored at `key`, or `None` if it is not the key of a job.
 pub fn job_id(key: &str) -> Option<&str> {
     key.strip_prefix(JOB_PREFIX)
 }
 
-/// The key of the checkpoint of one range of a job's tasks.
+/// Returns the key of the checkpoint of one range of a job's tasks.
 pub fn checkpoint_key(id: &str, index: u32) -> String {
     format!("{CHECKPOINT_PREFIX}{id}/{index}")
 }
 
-/// The key of a slot of the placement log.
+/// Returns the key of a slot of the placement log.
 pub fn segment_key(slot: u32) -> String {
     format!("{SEGMENT_PREFIX}{slot}")
 }
 
-/// The key of a block of machines.
+/// Returns the key of a block of machines.
 pub fn machine_block_key(number: u32) -> String {
     format!("{MACHINE_BLOCK_PREFIX}{number}")
 }
 
-/// The key of a controller's incarnation.
+/// Returns the key of the record with a controller's incarnation.
 pub fn node_key(name: &str) -> String {
     format!("{NODE_PREFIX}{name}")
 }
 
-/// What is stored at a key.
+/// The kind of record that is stored at a key.
 pub(super) enum Key<'a> {
     /// The term.
     Term,
@@ -59,23 +59,23 @@
     Leader,
     /// The machine types.
     Catalog,
-    /// A controller's incarnation, by its name.
+    /// A controller's incarnation, by the controller's name.
     Node(&'a str),
     /// A job, by its id.
     Job(&'a str),
-    /// A checkpoint, by its job and the index of its range of tasks.
+    /// A checkpoint, by the job's id and the index of the range of tasks.
     Checkpoint(&'a str, u32),
     /// A block of machines, by its number.
     MachineBlock(u32),
-    /// A segment of the placement log, by its slot.
+    /// A segment of the placement log, by the slot that it is stored in.
     Segment(u32),
-    /// A kind of record that this version does not read.
+    /// A record in the layout of an earlier version, which this version does not read.
     EarlierLayout,
-    /// Nothing that is known.
+    /// A key that this version does not use.
     Other,
 }
 
-/// What is stored at a key.
+/// Returns what kind of record is stored at a key.
 pub(super) fn parse_key(key: &str) -> Key<'_> {
     match key {
         TERM_KEY => return Key::Term,
--- a/crates/saltpitch-core/src/records/mod.rs
+++ b/crates/saltpitch-core/src/records/mod.rs
@@ -1,7 +1,7 @@
-//! What the state service holds, and a controller's copy of it.
+//! The records in the state service, and a controller's copy of them.
 //!
-//! All keys share one prefix and every controller follows them with one watch, so that whoever sees a
-//! job has also seen each earlier change of term.
+//! All keys share one prefix, and every controller follows them with a single watch. A controller that sees a
+//! change of a job has therefore also seen each earlier change of the term.
 
 mod cancellations;
 mod delegation;
--- a/crates/saltpitch-core/src/records/record_cache/machines.rs
+++ b/crates/saltpitch-core/src/records/record_cache/machines.rs
@@ -1,4 +1,4 @@
-//! Machines in the cache.
+//! The machines in the cache.
 
 use std::collections::HashSet;
 
@@ -29,8 +29,8 @@
         let old = self.machine_blocks.insert(number, block);
         let old_machines = old.iter().flat_map(|old| &old.value.machines);
         for machine in old_machines.filter(|machine| !remaining.contains(&machine.0)) {
-            // A block that was split leaves its machines to others.
-            if !self.is_machine_on_record(&machine.0) {
+            // The machine may have been moved to another block when this one was split.
+            if !self.is_machine_recorded(&machine.0) {
                 self.machine_gone(&machine.0);
             }
         }
@@ -50,18 +50,18 @@
         Change::Machines
     }
 
-    /// The names of the machines on record.
+    /// Returns the names of the recorded machines.
     pub(super) fn machine_names(&self) -> impl Iterator<Item = &str> {
         let blocks = self.machine_blocks.values();
         let machines = blocks.flat_map(|block| &block.value.machines);
         machines.map(|machine| machine.0.as_str())
     }
 
-    fn is_machine_on_record(&self, name: &str) -> bool {
-        self.machine_names().any(|on_record| on_record == name)
+    fn is_machine_recorded(&self, name: &str) -> bool {
+        self.machine_names().any(|recorded| recorded == name)
     }
 
-    /// The machine was returned: late heartbeats and listings of it mean nothing.
+    /// Registers a machine as returned, so that its late heartbeats and cloud listings are ignored.
     pub(super) fn machine_gone(&mut self, name: &str) {
         self.returned_machines.insert(name);
         self.images.forget(name);
--- a/crates/saltpitch-core/src/records/record_cache/mod.rs
+++ b/crates/saltpitch-core/src/records/record_cache/mod.rs
@@ -1,8 +1,8 @@
 //! A controller's copy of the records.
 //!
-//! Changes may come late, twice and in any order: of each key, the newest revision counts. The parts are kept
-//! up in modules of their own: [`jobs`], [`tasks`], [`machines`], and what follows from one job's end for
-//! those that depend on it, [`implicit_cancellations`].
+//! Changes may be applied late, twice and in any order: for each key, the newest revision wins. The modules [`jobs`],
+//! [`tasks`] and [`machines`] apply the changes of their kinds of records, and [`implicit_cancellations`] derives
+//! which jobs are cancelled because a job that they depend on is.
 
 mod carry_over;
 mod delegation_index;
@@ -30,79 +30,80 @@
 /// A job's record as of one revision.
 #[derive(Clone, Debug)]
 pub struct JobEntry {
-    /// The revision.
+    /// The revision at which the record was written.
     pub revision: u64,
-    /// The record.
+    /// The job's record.
     pub record: JobRecord,
 }
 
 /// What changed in the cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: a newer record was there already.
+    /// Nothing that needs a reaction: the change or a newer one was already applied, this version does not use the
+    /// key, or a checkpoint was deleted.
     None,
-    /// The term.
+    /// The term's record.
     Term,
-    /// The leader.
+    /// The leader's record.
     Leader,
     /// The machine types.
     Catalog,
-    /// The incarnation of this controller.
+    /// The incarnation of the controller with this name.
     Node(String),
-    /// This job.
+    /// The record of the job with this id.
     Job(String),
-    /// Tasks: a segment or a checkpoint.
+    /// The states of tasks, in a segment or a checkpoint.
     Tasks,
-    /// Machines.
+    /// A block of machines.
     Machines,
 }
 
 /// A controller's copy of the records, as of one revision.
 #[derive(Clone, Debug, Default)]
 pub struct RecordCache {
-    /// The revision up to which it is complete.
+    /// The revision up to which the copy is complete.
     pub revision: u64,
-    /// All jobs ever accepted.
+    /// All jobs that were ever accepted, by id.
     pub jobs: HashMap<String, JobEntry>,
-    /// The tasks of jobs that are not over.
+    /// The tasks of jobs without a final record, by the job's id.
     pub tasks: HashMap<String, TaskStates>,
-    /// Checkpoints by job and range of tasks.
+    /// Checkpoints by the job's id and the index of the range of tasks.
     pub checkpoints: HashMap<String, BTreeMap<u32, Checkpoint>>,
-    /// The log's segments by the slot that they are written to.
+    /// The segments of the placement log, by the slot that they are stored in.
     pub segments: BTreeMap<u32, RecordedSegment>,
-    /// The highest number of a segment that any record mentions.
+    /// The highest segment number in any segment or checkpoint.
     pub last_segment: u64,
-    /// Blocks of machines.
+    /// Blocks of machines, by number.
     pub machine_blocks: BTreeMap<u32, Versioned<MachineBlockRecord>>,
-    /// Incarnations of controllers.
+    /// The announcements of controllers with their incarnations, by the controller's name.
     pub nodes: BTreeMap<String, Versioned<NodeRecord>>,
-    /// The term.
+    /// The term's record.
     pub term: Versioned<TermRecord>,
-    /// The leader, if there is one.
+    /// The leader's record, if there is a leader.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// The machine types, if they are on record.
+    /// The machine types, if they are recorded.
     pub catalog: Option<Versioned<Arc<Catalog>>>,
-    /// Machines that were returned.
+    /// Machines that were returned to the cloud.
     pub returned_machines: ReturnedMachines,
-    /// Which machines hold which images.
+    /// The images that machines are known to have cached.
     pub images: ImageEvidence,
     implicit_cancellations: ImplicitCancellations,
     delegation_index: DelegationIndex,
-    /// Cancellations in the order in which this copy learned of them.
+    /// Cancellations in the order in which they were applied to this copy.
     pub cancellations: Cancellations,
-    /// A record of an earlier version's layout was seen: this version must not lead on half of the
-    /// records.
+    /// Whether a record in the layout of an earlier version was found. This version cannot read such records, and
+    /// must not lead with only a part of the records.
     pub has_earlier_layout: bool,
 }
 
-/// Why a record was refused.
+/// The reason why a record was refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// It is not what this version reads: damaged, or written by a later version.
+    /// This version cannot read the record: it is damaged, or a later version wrote it.
     #[error("{0}")]
     Unreadable(String),
-    /// It is laid out by an earlier version.
-    #[error("it is laid out by an earlier version; see CHANGELOG.md")]
+    /// The record has the layout of an earlier version.
+    #[error("it has the layout of an earlier version; see CHANGELOG.md")]
     EarlierLayout,
 }
 
@@ -111,8 +112,8 @@
 }
 
 impl RecordCache {
-    /// Applies one key's change, unless a newer one is already there. A record that cannot be read
-    /// is refused and leaves the cache as it was.
+    /// Applies a write of one key, unless a newer one has already been applied. A record that cannot be read is
+    /// refused and leaves the cached record unchanged.
     pub fn put(&mut self, key: &str, raw: &RawValue, revision: u64) -> Result<Change, RecordError> {
         match parse_key(key) {
             Key::Term => self.put_term(raw, revision),
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Applies the deletion of a key, unless a newer write of it is already there.
+    /// Applies the deletion of a key, unless a newer write of it has already been applied.
     pub fn delete(&mut self, key: &str, revision: u64) -> Change {
         match parse_key(key) {
             Key::Leader => self.delete_leader(revision),
@@ -191,7 +192,7 @@
         Ok(Change::Node(name.to_owned()))
     }
 
-    /// The newest incarnation known of a controller.
+    /// Returns a controller's newest known incarnation, or 0 if none is known.
     pub fn incarnation_of(&self, node: &str) -> u64 {
         let record = self.nodes.get(node);
         record.map_or(0, |record| record.value.incarnation)
--- a/crates/saltpitch-core/src/records/returned_machines.rs
+++ b/crates/saltpitch-core/src/records/returned_machines.rs
@@ -1,38 +1,38 @@
-//! Machines that were returned to the cloud.
+//! Names of machines that were returned to the cloud.
 
 use std::collections::{HashSet, VecDeque};
 
-/// The most returned machines whose names are remembered.
+/// Maximum number of names that are kept.
 const MAX_RETURNED: usize = 50_000;
 
-/// Names of machines that were returned: late heartbeats and listings of them mean nothing. Bounded: the
-/// oldest fall out, since nothing of them can be in flight any more by then.
+/// A bounded set of names of returned machines, whose late heartbeats and cloud listings are ignored. The oldest
+/// names are dropped: by then, no message about these machines can be in flight any more.
 #[derive(Clone, Debug, Default)]
 pub struct ReturnedMachines {
     names: HashSet<String>,
-    order: VecDeque<String>,
+    insertion_order: VecDeque<String>,
 }
 
 impl ReturnedMachines {
-    /// Whether the machine of this name was returned.
+    /// Returns whether the machine with this name was returned.
     pub fn contains(&self, name: &str) -> bool {
         self.names.contains(name)
     }
 
-    /// The machine is on record, whatever was known before.
+    /// Removes a machine because it is recorded again.
     pub(super) fn remove(&mut self, name: &str) {
         if self.names.remove(name) {
-            self.order.retain(|n| n != name);
+            self.insertion_order.retain(|returned| returned != name);
         }
     }
 
-    /// Remembers a returned machine.
+    /// Adds a returned machine.
     pub fn insert(&mut self, name: &str) {
         if self.names.insert(name.to_owned()) {
-            self.order.push_back(name.to_owned());
-            if self.order.len() > MAX_RETURNED {
-                if let Some(old) = self.order.pop_front() {
-                    self.names.remove(&old);
+            self.insertion_order.push_back(name.to_owned());
+            if self.insertion_order.len() > MAX_RETURNED {
+                if let Some(oldest) = self.insertion_order.pop_front() {
+                    self.names.remove(&oldest);
                 }
             }
         }
--- a/crates/saltpitch-core/src/records/stored.rs
+++ b/crates/saltpitch-core/src/records/stored.rs
@@ -1,7 +1,7 @@
-//! The values in the state service, as they are serialised.
+//! The serialized form of the records in the state service.
 //!
-//! Names of fields and variants and the order of tuples are a published format. A new field is optional
-//! and left out while it is not used; a Rust name may change as long as its serde name stays.
+//! The serde names of fields and variants and the order of tuples are a published format. A new field must be
+//! optional and is left out if it is not used. A Rust name may change as long as its serde name stays the same.
 
 use std::sync::Arc;
 
@@ -12,19 +12,19 @@
 use crate::job::{JobSpec, JobState};
 use crate::time::Micros;
 
-/// The term. Its number is the leader's fencing token, and its revision a precondition of every write of
-/// the leader.
+/// The term. Its number is the leader's fencing token, and its revision is a precondition of every write by the
+/// leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// The fencing token of the present leader; only ever raised.
+    /// The fencing token of the present leader; it is never lowered.
     pub term: u64,
-    /// The controller that took this term.
+    /// The name of the controller that started this term.
     pub node: String,
     /// The incarnation of that controller's process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Time of day from which no leader before this one can answer an agent. Each leader passes it on,
-    /// so that a leader that was partitioned is still waited for when two others came after it.
+    /// Time of day from which no earlier leader can answer an agent. Each leader passes it on to the next one, so
+    /// that the wait for a partitioned leader still applies after two further elections.
     #[serde(rename = "quiet", default)]
     pub earlier_leaders_fenced_at: Micros,
 }
@@ -32,23 +32,23 @@
 /// The present leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Its name.
+    /// The name of the leader's controller.
     pub node: String,
-    /// The incarnation of its process.
+    /// The incarnation of the leader's process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The term that it took.
+    /// The term that the leader started.
     pub term: u64,
 }
 
-/// Written by each process when it starts, and by a leader that resigns: a newer incarnation proves that
-/// the older one answers nobody.
+/// A controller's announcement, written by each process when it starts and by a leader when it resigns. A newer
+/// incarnation proves that the older one no longer answers any request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeRecord {
     /// The newest incarnation of the controller's process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Whether this process knows delegations to other cells. Left out where it does not.
+    /// Whether this process supports delegations to other cells. Left out if it does not.
     #[serde(rename = "cells", default, skip_serializing_if = "std::ops::Not::not")]
     pub knows_delegations: bool,
 }
@@ -56,21 +56,22 @@
 /// A job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Where it stands.
+    /// The state of the job.
     #[serde(rename = "s")]
     pub state: JobState,
     /// Time of day of the submission.
     #[serde(rename = "t", default)]
     pub submitted_at: Micros,
-    /// The job's description; `None` once the job is over and none of its tasks is left.
+    /// The job's specification; `None` in the final record, which is written once the job is done or cancelled
+    /// and none of its tasks is left.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Arc<JobSpec>>,
-    /// Time of day at which a job was found done, from which the waiting time of its dependents counts.
-    /// Left out otherwise; earlier versions don't know the field.
+    /// Time of day at which the leader found the job to be done; the waiting times of its dependents are counted
+    /// from then. Left out otherwise; earlier versions do not have this field.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub done_at: Option<Micros>,
-    /// The job's delegation to another cell, the last one if there were several. Boxed like the guest: records
-    /// of jobs that are over stay in memory for ever, and few jobs have either.
+    /// The job's last delegation to another cell. Both this field and `guest` are boxed: records of finished jobs
+    /// are never removed from memory, and few jobs have either field.
     #[serde(
         rename = "x",
         default,
@@ -78,13 +79,13 @@
         deserialize_with = "read_delegation"
     )]
     pub delegation: Option<Box<Delegation>>,
-    /// The cell that the job is run for; `None` for this cell's own jobs.
+    /// The cell that the job is run for, or `None` for this cell's own jobs.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub guest: Option<Box<Guest>>,
 }
 
 impl JobRecord {
-    /// An accepted job.
+    /// Creates the record of an accepted job.
     pub fn accepted(submitted_at: Micros, spec: Arc<JobSpec>) -> JobRecord {
         JobRecord {
             state: JobState::Active,
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Leaves out what is of no use any more once the job is cancelled: where it might have run, and
-    /// what it depended on.
+    /// Drops the parts of the specification that a cancelled job does not need: its machine types and its
+    /// dependencies.
     pub fn drop_scheduling_fields(&mut self) {
         if let Some(spec) = &mut self.spec {
             let spec = Arc::make_mut(spec);
@@ -106,7 +107,7 @@
         }
     }
 
-    /// A job that is over, with none of its tasks left.
+    /// Creates the final record of a job that is done or cancelled and has no tasks left.
     pub fn final_record(state: JobState, done_at: Option<Micros>) -> JobRecord {
         JobRecord {
             state,
@@ -119,29 +120,30 @@
     }
 }
 
-/// Where one task may be: its index within the checkpoint, the machine, and the agent's epoch.
+/// The allocation of one task: the task's index within the checkpoint, the machine's name and the epoch of the
+/// machine's agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllocationRecord(pub u32, pub String, pub u64);
 
-/// The state of up to [`TASKS_PER_CHECKPOINT`] tasks of a job, as the log shows them up to a segment.
+/// The states of up to [`TASKS_PER_CHECKPOINT`] tasks of a job, as of a segment of the placement log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CheckpointRecord {
-    /// The last segment of the log that this covers.
+    /// The last segment of the placement log that the checkpoint covers.
     #[serde(rename = "l", default)]
     pub up_to_segment: u64,
-    /// Highest attempt used, per task.
+    /// The highest attempt of each task.
     #[serde(rename = "a")]
     pub attempts: Vec<u32>,
-    /// Completed tasks, as runs: first task and how many.
+    /// Completed tasks as runs, each with the index of its first task and the number of tasks.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<(u32, u32)>,
-    /// Where tasks may be.
+    /// The allocations of tasks.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub allocations: Vec<AllocationRecord>,
 }
 
 impl CheckpointRecord {
-    /// Adds a completed task; tasks come in order.
+    /// Adds a completed task. Tasks must be added in the order of their indexes.
     pub fn add_done(&mut self, task: u32) {
         match self.done.last_mut() {
             Some((first, count)) if *first + *count == task => *count += 1,
@@ -149,7 +151,7 @@
         }
     }
 
-    /// The completed tasks, by their index within the checkpoint.
+    /// Returns the indexes of the completed tasks within the checkpoint.
     pub fn done_tasks(&self) -> impl Iterator<Item = u32> + '_ {
         self.done.iter().flat_map(|(first, count)| {
             *first..first.saturating_add((*count).min(TASKS_PER_CHECKPOINT))
@@ -157,50 +159,50 @@
     }
 }
 
-/// The state of one task: its index, attempt, machine and agent epoch (empty and 0 if it has none), and
-/// whether it has completed.
+/// The state of one task: its index, its attempt, the machine's name and agent epoch (empty and 0 without an
+/// allocation), and 1 if it has completed, otherwise 0.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SegmentEntry(pub u32, pub u32, pub String, pub u64, pub u8);
 
 impl SegmentEntry {
-    /// Whether the task has a machine.
+    /// Returns whether the task has an allocation.
     pub fn is_allocated(&self) -> bool {
         !self.2.is_empty()
     }
 }
 
-/// A segment of the placement log: task states of any number of jobs in one value, since writes are
-/// scarce. Segments are written to a ring of keys; one is overwritten only when checkpoints cover
-/// what it says of jobs that are not over.
+/// A segment of the placement log. One value contains the task states of any number of jobs, because the store
+/// limits the number of writes. Segments are written to a ring of keys; a segment is overwritten only once
+/// checkpoints cover its entries of all jobs without a final record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SegmentRecord {
-    /// Its number; numbers only grow.
+    /// The segment's number; it increases with each segment.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Entries by job.
+    /// The entries of each job, by the job's id.
     #[serde(rename = "e")]
     pub entries: Vec<(String, Vec<SegmentEntry>)>,
 }
 
-/// One machine of a block: its name, its address, whether its return to the cloud is intended (nothing
-/// is placed on it again), and the time of day at which it was rented or first seen.
+/// One machine of a block: its name, its address, whether it is to be returned to the cloud (no task is placed on
+/// it any more), and the time of day at which it was rented or first seen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord(pub String, pub String, pub bool, pub Micros);
 
-/// A block of machines of one type in one zone, spot machines apart. Thousands of machines come and go
-/// while writes are scarce, so many share a record.
+/// A block of machines of one type in one zone; spot machines are in separate blocks. Many machines share a record
+/// because the store limits the number of writes, and thousands of machines are rented and returned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineBlockRecord {
-    /// The type of its machines.
+    /// The name of the machines' type.
     #[serde(rename = "t")]
     pub type_name: String,
-    /// Their zone.
+    /// The machines' zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether they are spot machines.
+    /// Whether the machines are spot machines.
     #[serde(rename = "s", default)]
     pub spot: bool,
-    /// The machines.
+    /// The machines of the block.
     #[serde(rename = "m")]
     pub machines: Vec<MachineRecord>,
 }
