--- a/crates/saltpitch-core/src/scheduler/persistence/machine_block.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_block.rs
@@ -98,8 +98,8 @@
     pub(super) to: u32,
 }
 
-/// Returns the moves that split a block that is larger than `max_bytes`. The first machines stay in the block
-/// with this `number`; the others are moved to new blocks, numbered from `next_number` on.
+/// Returns the moves that split a block so that no block is larger than `max_bytes`. The first machines stay in the
+/// block with this `number`; the others are moved to new blocks, numbered from `next_number` on.
 pub(super) fn planned_moves(
     block: &Block,
     number: u32,
--- a/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/machine_blocks.rs
@@ -72,7 +72,7 @@
         self.due_times.len()
     }
 
-    /// Applies that a block's record was written, or deleted if the block has no machines left.
+    /// Updates a block after its record was written, or deleted because no machine is left in it.
     pub(super) fn block_committed(&mut self, block: &WrittenBlock, revision: u64) {
         let known = self.blocks.get(&block.number);
         if block.machines.is_empty() && known.is_some_and(|known| known.machines.is_empty()) {
--- a/crates/saltpitch-core/src/scheduler/persistence/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/mod.rs
@@ -79,8 +79,8 @@
     /// Keys that are no longer needed and are to be deleted.
     obsolete_keys: VecDeque<String>,
     in_flight: Option<TransactionContents>,
-    /// Whether the last transaction may or may not have been committed: the records are reloaded before anything
-    /// else is written.
+    /// Whether the outcome of the last transaction is unknown: the records are reloaded before anything else is
+    /// written.
     outcome_unknown: bool,
     reload_in_flight: bool,
     next_transaction_at: Micros,
@@ -129,7 +129,7 @@
         self.drop_obsolete_segments(jobs);
     }
 
-    /// Removes a machine that two block records contain from the block with this number.
+    /// Removes a machine from the block with this number, because the record of another block contains it as well.
     pub(in crate::scheduler) fn remove_duplicate_machine(
         &mut self,
         name: &Arc<str>,
@@ -142,7 +142,7 @@
 
 /// Changes in memory that are to be recorded.
 impl Persistence {
-    /// Marks a task that was placed to be written.
+    /// Marks a task for writing after it was placed.
     pub(in crate::scheduler) fn task_placed(
         &mut self,
         job: JobNumber,
@@ -154,12 +154,12 @@
         self.unsaved_tasks.task_placed(key, spec, now);
     }
 
-    /// Marks a task that ended or lost its allocation to be written.
+    /// Marks a task for writing after it ended or lost its allocation.
     pub(in crate::scheduler) fn task_ended(&mut self, job: JobNumber, task: u32, now: Micros) {
         self.unsaved_tasks.task_ended(TaskKey::new(job, task), now);
     }
 
-    /// Marks the final record of a finished job to be written.
+    /// Marks a finished job for the writing of its final record.
     pub(in crate::scheduler) fn job_finished(&mut self, job: JobNumber) {
         self.finished_jobs.insert(job);
     }
--- a/crates/saltpitch-core/src/scheduler/persistence/unsaved_tasks.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/unsaved_tasks.rs
@@ -14,7 +14,7 @@
 /// How much earlier placements of production jobs are due than those of batch jobs that were placed at the same
 /// time: batch jobs must not delay them when writes are scarce.
 const PRODUCTION_ADVANCE: Micros = Micros::from_secs(8);
-/// How much earlier placements of gangs are due than those of batch jobs.
+/// How much earlier placements of gangs are due than those of batch jobs, for the same reason.
 const GANG_ADVANCE: Micros = Micros::from_secs(4);
 /// A task that has been due for this long is urgent: its write is not delayed for batching.
 const URGENT_AFTER: Micros = Micros::from_secs(1);
