--- a/crates/saltpitch-core/src/controller/agent_heartbeats.rs
+++ b/crates/saltpitch-core/src/controller/agent_heartbeats.rs
@@ -1,47 +1,47 @@
-//! Agents' heartbeats: answered by the leader, redirected by everybody else.
+//! Handling of agents' heartbeats: the leader answers them, and all other controllers redirect the agent.
 
 use crate::agent::{Command, Heartbeat};
 use crate::time::Micros;
 
 use super::{Controller, LossReason, Notice};
 
-/// How many redirected agents are remembered before old ones are dropped, and for how long those
-/// are kept then.
-const MAX_REDIRECTED: usize = 10_000;
-const REDIRECTED_KEPT: Micros = Micros::from_secs(10);
+/// The number of remembered redirects above which expired ones are removed.
+const MAX_REDIRECTED_AGENTS: usize = 10_000;
+/// How long a redirect is kept when expired ones are removed.
+const REDIRECT_RETENTION: Micros = Micros::from_secs(10);
 
-/// The answer to a heartbeat.
+/// The answer to an agent's heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeartbeatAnswer {
-    /// The agent's lease is renewed; these commands are for it.
+    /// The agent's lease is renewed, and the agent is to execute these commands.
     Commands {
-        /// The fencing token.
+        /// The fencing token of the leader.
         fencing_token: u64,
-        /// The commands, to be executed in this sequence.
+        /// The commands, in the order of their execution.
         commands: Vec<Command>,
     },
-    /// Another controller may answer.
+    /// This controller does not answer; the agent should try another one.
     Redirect {
-        /// Its name, if it is known.
+        /// The name of the leader, if this controller knows it and can reach it.
         leader: Option<String>,
     },
 }
 
 impl Controller {
-    /// Answers an agent's heartbeat.
+    /// Answers an agent's heartbeat. A heartbeat with a fencing token above this leader's ends the leadership.
     pub fn agent_heartbeat(&mut self, heartbeat: Heartbeat, now: Micros) -> HeartbeatAnswer {
         if !self.may_answer(now) {
             return self.redirect(heartbeat.machine, now);
         }
-        let nobody = HeartbeatAnswer::Redirect { leader: None };
-        let returned = self.records.returned_machines.contains(&heartbeat.machine);
+        let rejection = HeartbeatAnswer::Redirect { leader: None };
+        let is_returned = self.records.returned_machines.contains(&heartbeat.machine);
         let Some(leadership) = &mut self.leadership else {
-            return nobody;
+            return rejection;
         };
         let fencing_token = leadership.scheduler.term();
         let seen_token = heartbeat.fencing_token;
         let machine = heartbeat.machine.clone();
-        match leadership.scheduler.heartbeat(heartbeat, returned, now) {
+        match leadership.scheduler.heartbeat(heartbeat, is_returned, now) {
             Ok(commands) => HeartbeatAnswer::Commands {
                 fencing_token,
                 commands,
@@ -55,23 +55,23 @@
                 if seen_token > fencing_token {
                     self.lose_leadership(LossReason::NewerToken);
                 }
-                nobody
+                rejection
             }
         }
     }
 
     fn redirect(&mut self, machine: String, now: Micros) -> HeartbeatAnswer {
         self.redirected.insert(machine, now);
-        if self.redirected.len() > MAX_REDIRECTED {
+        if self.redirected.len() > MAX_REDIRECTED_AGENTS {
             self.redirected
-                .retain(|_, at| now.since(*at) < REDIRECTED_KEPT);
+                .retain(|_, at| now.since(*at) < REDIRECT_RETENTION);
         }
         HeartbeatAnswer::Redirect {
-            leader: self.leader_elsewhere(now).map(str::to_owned),
+            leader: self.reachable_other_leader(now).map(str::to_owned),
         }
     }
 
-    /// How many agents were redirected within about two heartbeat intervals.
+    /// Returns how many agents this controller redirected within two heartbeat intervals and 5 seconds.
     pub(super) fn recently_redirected(&self, now: Micros) -> u32 {
         let interval = self.config.scheduler.heartbeat_interval.times(2.0);
         let span = interval.plus(Micros::from_secs(5));
--- a/crates/saltpitch-core/src/controller/leader_election.rs
+++ b/crates/saltpitch-core/src/controller/leader_election.rs
@@ -1,4 +1,4 @@
-//! Acquiring the leadership, renewing it and giving it up.
+//! Acquisition, renewal and loss of the leadership.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,44 +13,45 @@
 
 use super::{Controller, Leadership, LossReason, Notice};
 
-/// How long after a resignation a controller defers to the others.
-const DEFERENCE: Micros = Micros::from_secs(30);
+/// How long a controller lets the others become leader first after it has resigned.
+const RESIGNATION_DEFERRAL: Micros = Micros::from_secs(30);
 
-/// How long a leader may go unheard before it resigns, as a part of the agents' lease, and at least.
-const UNHEARD_SHARE_OF_LEASE: f64 = 0.2;
-const UNHEARD_MIN: Micros = Micros::from_secs(2);
+/// How long a leader may be isolated from its agents before it resigns, as a share of the agents' lease.
+const MAX_ISOLATION_SHARE_OF_LEASE: f64 = 0.2;
+/// The lower limit of that time.
+const MIN_ISOLATION_BEFORE_RESIGNATION: Micros = Micros::from_secs(2);
 
-/// Whether to campaign, as far as the records say.
+/// Whether and when a controller campaigns for the leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Candidacy {
-    /// Not now: somebody leads, or this process is not ready.
+    /// Not now: there is a leader, or this process is not ready to lead.
     No,
-    /// Once the leadership has been vacant for this long.
+    /// As soon as there has been no leader for this long.
     After(Micros),
-    /// At once: an earlier incarnation of this controller holds the leadership.
+    /// Immediately: an earlier incarnation of this controller holds the leadership.
     AtOnce,
 }
 
-/// What a leader that resigns has to write.
+/// The steps by which a leader puts its resignation on record.
 #[derive(Clone, Debug)]
 pub struct Resignation {
-    /// The leadership lease, to be dropped if the write fails.
+    /// The id of the leadership lease, to be revoked if the transaction fails.
     pub store_lease: u64,
-    /// What to write, and on what conditions.
+    /// The transaction to commit.
     pub transaction: Transaction,
 }
 
-/// A transaction by which a leader takes the next term without giving up the leadership.
+/// A transaction by which a leader takes the next term while it keeps the leadership.
 #[derive(Clone, Debug)]
 pub struct TermIncrement {
     /// The new term.
     pub term: u64,
-    /// What to write, and on what conditions.
+    /// The transaction to commit.
     pub transaction: Transaction,
 }
 
 impl Controller {
-    /// Whether to campaign. `random` spreads the candidates.
+    /// Returns whether and when to campaign. `random` spreads the candidates' delays.
     pub fn candidacy(&self, now: Micros, random: u64) -> Candidacy {
         let ready = self.synced && self.announced && self.catalog.is_some();
         let is_leaderless =
@@ -61,12 +62,12 @@
         if self.records.leader.is_some() {
             return Candidacy::AtOnce;
         }
-        let isolated = self.live_peers(now) == 0 && !self.config.peers.is_empty();
-        let defers = now < self.deferring_until || isolated;
+        let is_isolated = self.live_peers(now) == 0 && !self.config.peers.is_empty();
+        let defers = now < self.deferring_until || is_isolated;
         Candidacy::After(election_delay(random, defers))
     }
 
-    /// The transaction by which to take the leadership, on the records as they are here.
+    /// Builds an election attempt from this controller's copy of the records, unless they show a leader.
     pub fn campaign(&self, wall: Micros) -> Option<ElectionAttempt> {
         leadership::campaign(
             &self.records,
@@ -78,9 +79,9 @@
         )
     }
 
-    /// The election attempt was carried out at `revision`, and the records were read since. Starts to lead; false
-    /// if the leadership is another's already. `lease_opened_at` is a time at which the leadership
-    /// lease was certainly open.
+    /// Starts to lead after the election attempt was committed at `revision` and the records were read again.
+    /// Returns false if another controller has taken the leadership since. `lease_opened_at` is a time at
+    /// which the leadership lease was certainly in force.
     pub fn election_won(
         &mut self,
         attempt: ElectionAttempt,
@@ -125,12 +126,15 @@
         scheduler
     }
 
-    /// The leadership lease to renew, if this controller leads.
+    /// Returns the id of the leadership lease to renew, if this controller leads.
     pub fn store_lease(&self) -> Option<u64> {
-        self.leadership.as_ref().map(|l| l.store_lease)
+        self.leadership
+            .as_ref()
+            .map(|leadership| leadership.store_lease)
     }
 
-    /// The leadership lease was renewed; the renewal was sent at `sent_at`.
+    /// Extends the time for answering agents after the leadership lease was renewed by a request that was
+    /// sent at `sent_at`.
     pub fn lease_renewed(&mut self, sent_at: Micros) {
         let until = sent_at.plus(self.answer_bound());
         if let Some(leadership) = &mut self.leadership {
@@ -138,7 +142,7 @@
         }
     }
 
-    /// Ends the leadership at once.
+    /// Ends the leadership immediately.
     pub fn lose_leadership(&mut self, reason: LossReason) {
         if let Some(leadership) = self.leadership.take() {
             let term = leadership.scheduler.term();
@@ -147,14 +151,14 @@
         }
     }
 
-    /// A transaction of this epoch failed because the term has changed.
+    /// Ends the leadership of this epoch after one of its transactions failed because the term has changed.
     pub fn term_conflict(&mut self, epoch: u64) {
         if self.epoch == epoch {
             self.lose_leadership(LossReason::TermChanged);
         }
     }
 
-    /// A term that exists: a newer one than ours ends the leadership.
+    /// Ends the leadership if `term` is newer than its own.
     pub(super) fn term_seen(&mut self, term: u64) {
         if self
             .scheduler()
@@ -164,13 +168,14 @@
         }
     }
 
-    /// A newer term on record ends the leadership, unless this process raised it.
+    /// Ends the leadership if the recorded term is newer, unless this process raised the term itself. Then the
+    /// scheduler takes over the new term.
     pub(super) fn check_recorded_term(&mut self) {
         let recorded = &self.records.term;
         let (revision, record) = (recorded.revision, &recorded.value);
         let term = record.term;
-        let own = record.node == self.config.name && record.incarnation == self.incarnation;
-        if !own {
+        let is_own = record.node == self.config.name && record.incarnation == self.incarnation;
+        if !is_own {
             return self.term_seen(term);
         }
         if let Some(leadership) = &mut self.leadership {
@@ -180,12 +185,13 @@
         }
     }
 
-    /// Whether the agents have not reached this leader for too long although others would hear them.
+    /// Returns whether the agents have failed to reach this leader for too long although they reach another
+    /// controller.
     pub fn should_resign(&mut self, now: Micros) -> bool {
-        let redirected = self.most_redirected(now);
+        let redirected_agents = self.most_redirected(now);
         let live_peers = self.live_peers(now);
         let other_controllers = self.config.peers.len();
-        let lease = self.config.scheduler.agent_lease;
+        let agent_lease = self.config.scheduler.agent_lease;
         let Some(leadership) = &mut self.leadership else {
             return false;
         };
@@ -193,8 +199,8 @@
         let reachability = AgentReachability {
             known_agents: agents.reachable,
             recently_heard: agents.recently_heard,
-            // Machines that receive no answers try every controller in turn.
-            redirected_agents: redirected.saturating_sub(agents.inbound_partitioned),
+            // Agents that receive no answers try every controller in turn, also with a healthy leader.
+            redirected_agents: redirected_agents.saturating_sub(agents.inbound_partitioned),
             live_peers,
             other_controllers,
         };
@@ -203,17 +209,19 @@
             return false;
         }
         let since = *leadership.isolated_since.get_or_insert(now);
-        let limit = lease.times(UNHEARD_SHARE_OF_LEASE).max(UNHEARD_MIN);
+        let limit = agent_lease
+            .times(MAX_ISOLATION_SHARE_OF_LEASE)
+            .max(MIN_ISOLATION_BEFORE_RESIGNATION);
         now.since(since) > limit
     }
 
-    /// Gives way: the leadership ends here first, then on record.
+    /// Resigns. The leadership ends in this process before the returned transaction ends it on record.
     pub fn resign(&mut self, now: Micros, wall: Micros) -> Option<Resignation> {
         let leadership = self.leadership.as_ref()?;
         let store_lease = leadership.store_lease;
         let term_revision = leadership.scheduler.term_revision();
         self.lose_leadership(LossReason::AgentsUnreachable);
-        self.deferring_until = now.plus(DEFERENCE);
+        self.deferring_until = now.plus(RESIGNATION_DEFERRAL);
         self.incarnation = wall.0.max(self.incarnation + 1);
         let record = self.node_record();
         let transaction = resignation(&self.records, &self.config.name, &record, term_revision);
@@ -223,12 +231,13 @@
         })
     }
 
-    /// The resignation could not be written: the new incarnation has yet to be announced.
+    /// Requests another announcement because the resignation, which contains the new incarnation, could not
+    /// be written.
     pub fn resignation_failed(&mut self) {
         self.announced = false;
     }
 
-    /// The transaction that raises the term of the leadership of this epoch.
+    /// Builds the transaction that raises the term, if this controller still leads in this epoch.
     pub fn term_increment(&self, epoch: u64) -> Option<TermIncrement> {
         let scheduler = self.scheduler().filter(|_| self.epoch == epoch)?;
         let record = TermRecord {
--- a/crates/saltpitch-core/src/controller/mod.rs
+++ b/crates/saltpitch-core/src/controller/mod.rs
@@ -1,14 +1,13 @@
-//! One controller as a state machine without input or output.
+//! A controller as a state machine that performs no input or output.
 //!
-//! [`Controller`] decides everything that safety rests on outside of scheduling itself: when to
-//! campaign, how long agents may be answered, when to resign, what peers are told and when the
-//! copy of the records counts as read. The program's tasks and the simulated site in
-//! `saltpitch-testkit` drive the same code: they carry messages, keep timers and execute effects, and
-//! decide nothing of this themselves.
+//! [`Controller`] makes every decision outside of scheduling on which safety depends: when to campaign, how
+//! long agents may be answered, when to resign, what peers are told, and when the copy of the records counts
+//! as complete. The async tasks of the program and the simulated site in `saltpitch-testkit` drive the same
+//! code: they transport messages, keep timers and execute effects, but make none of these decisions.
 //!
 //! Submodules: `record_sync` follows the state service, `leader_election` acquires, renews and gives up
-//! the leadership, `peer_heartbeats` and `agent_heartbeats` answer peers and agents, [`notice`] holds what
-//! the operators' log is told.
+//! the leadership, `peer_heartbeats` and `agent_heartbeats` answer peers and agents, and [`notice`] defines
+//! the events for the operators' log.
 
 mod agent_heartbeats;
 mod leader_election;
@@ -34,7 +33,7 @@
 /// How long a peer counts as alive after its last heartbeat.
 pub const PEER_TIMEOUT: Micros = Micros::from_secs(3);
 
-/// Another controller, as the settings name it.
+/// Another controller, as it appears in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerIdentity {
     /// Its name.
@@ -43,7 +42,7 @@
     pub zone: String,
 }
 
-/// What a controller has to know about itself and the site.
+/// The configuration of a controller.
 #[derive(Clone, Debug)]
 pub struct ControllerConfig {
     /// This controller's name.
@@ -52,86 +51,90 @@
     pub zone: String,
     /// All other controllers.
     pub peers: Vec<PeerIdentity>,
-    /// The scheduler's part of the settings.
+    /// The configuration of the scheduler.
     pub scheduler: SchedulerConfig,
-    /// Whether jobs may be delegated to other cells.
+    /// Whether this controller supports the delegation of jobs to other cells.
     pub knows_delegations: bool,
 }
 
-/// How the state service has served this process lately, as its adapter saw it.
+/// The recent availability of the state service to this process, as the store adapter observed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreHealth {
-    /// Whether it served this process at its last answer, which is not too old.
+    /// Whether the state service has recently answered this process and its last answer was a success.
     pub reachable: bool,
-    /// When it last served this process.
+    /// When the state service last answered a request of this process successfully.
     pub last_success_at: Option<Micros>,
 }
 
-/// What was last heard from a peer.
+/// The last status received from a peer.
 #[derive(Clone, Debug)]
 struct PeerObservation {
     status: PeerStatus,
-    heard_at: Micros,
-    /// When the last request that it answered was sent. A message may have waited in a socket while
-    /// this process stood still; only the time of the request tells how old an answer may be.
-    asked_at: Micros,
+    received_at: Micros,
+    /// When this controller sent the last request that the peer answered. A message may have waited in a
+    /// socket while this process was paused, so only the time of the request bounds the age of an answer.
+    requested_at: Micros,
 }
 
-/// The leadership as long as this controller holds it.
+/// The state of this controller's leadership.
 struct Leadership {
     scheduler: Scheduler,
     /// The id of the leadership lease in the state service.
     store_lease: u64,
-    /// Until when agents may be answered without another renewal or further acknowledgements.
+    /// Until when this controller may answer agents without another renewal or further acknowledgements.
     answers_until: Micros,
     acks: CancellationAcks,
     /// The previous leader, until it is proven gone.
     previous: Option<ProcessIdentity>,
-    /// From when on the leaders before the previous one answer nobody.
+    /// When the leaders before the previous one no longer answer any agent.
     earlier_leaders_fenced_at: Micros,
-    /// Since when the agents have not reached this leader although others would hear them.
+    /// Since when the agents have not reached this leader although they reach another controller.
     isolated_since: Option<Micros>,
 }
 
-/// What the delegation of jobs to other cells works with, while this controller leads.
+/// The parts of a leading controller that the delegation of jobs to other cells uses.
 pub struct DelegationAccess<'a> {
     /// The scheduler.
     pub scheduler: &'a mut Scheduler,
     /// The copy of the records.
     pub records: &'a RecordCache,
-    /// The conditions that stand for all controllers knowing delegations; `None` while one does not.
+    /// The preconditions which ensure that all controllers support delegations; `None` while one of them
+    /// does not.
     pub announcement_preconditions: Option<Vec<Precondition>>,
 }
 
-/// One controller. Every method takes the present time; nothing here reads a clock.
+/// One controller. Methods that depend on the time take it as an argument; nothing here reads a clock.
 pub struct Controller {
     config: ControllerConfig,
-    /// Distinguishes this process from every other, earlier and later ones of this controller included.
+    /// A random id that distinguishes this process from all others, including earlier and later processes of
+    /// this controller.
     process: u64,
-    /// This process's incarnation. On record it proves that earlier processes answer nobody.
+    /// This process's incarnation. Its record proves that earlier processes answer no agents.
     incarnation: u64,
+    /// Whether the incarnation is on record.
     announced: bool,
     records: RecordCache,
+    /// Whether the records have been read at least once.
     synced: bool,
     catalog: Option<Arc<Catalog>>,
-    /// When the term in the records was first seen here.
+    /// When this controller first saw the term in the records.
     term_seen_at: Micros,
-    /// When a cancellation was last learnt of.
+    /// When this controller last received a cancellation.
     last_cancellation_at: Option<Micros>,
     leadership: Option<Leadership>,
-    /// Counts leaderships begun and ended, so that late answers do not reach a later one.
+    /// Incremented at each begin and end of a leadership, so that late answers do not reach a later one.
     epoch: u64,
-    /// After a resignation: until when this controller defers to the others.
+    /// Until when this controller lets others become leader first, after it has resigned.
     deferring_until: Micros,
     peers: HashMap<String, PeerObservation>,
-    /// Agents that were redirected, and when last.
+    /// The agents that this controller redirected, each with the time of its last redirect.
     redirected: HashMap<String, Micros>,
     notices: Vec<Notice>,
 }
 
 impl Controller {
-    /// A process that has just started. `incarnation` is its start by the time of day; `process` is
-    /// drawn at random.
+    /// Creates the state of a process that has just started. `incarnation` is the time of day of the start,
+    /// and `process` is a random id.
     pub fn new(config: ControllerConfig, process: u64, incarnation: u64) -> Controller {
         Controller {
             config,
@@ -152,32 +155,32 @@
         }
     }
 
-    /// The settings that it was made with.
+    /// Returns the configuration of this controller.
     pub fn config(&self) -> &ControllerConfig {
         &self.config
     }
 
-    /// The copy of the records.
+    /// Returns this controller's copy of the records.
     pub fn records(&self) -> &RecordCache {
         &self.records
     }
 
-    /// Whether the records were read at least once since this process started.
+    /// Returns whether the records have been read at least once since this process started.
     pub fn is_synced(&self) -> bool {
         self.synced
     }
 
-    /// Whether this process's incarnation is on record.
+    /// Returns whether this process's incarnation is on record.
     pub fn is_announced(&self) -> bool {
         self.announced
     }
 
-    /// The machine types, once the cloud or the records told them.
+    /// Returns the machine types, once they are known from the cloud or the records.
     pub fn catalog(&self) -> Option<&Arc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// Takes over the machine types from the cloud.
+    /// Replaces the machine types by those that the cloud returned.
     pub fn set_catalog(&mut self, catalog: Arc<Catalog>) {
         self.catalog = Some(catalog.clone());
         if let Some(leadership) = &mut self.leadership {
@@ -185,39 +188,43 @@
         }
     }
 
-    /// Whether this controller holds the leadership, entitled to answer agents at present or not.
+    /// Returns whether this controller holds the leadership, even if it may not answer agents at the moment.
     pub fn is_leader(&self) -> bool {
         self.leadership.is_some()
     }
 
-    /// The count of leaderships begun and ended. What was asked for in one epoch is not delivered in
-    /// another, see [`Controller::scheduler_in_epoch`].
+    /// Returns how many times a leadership of this process has begun or ended. The answer to a request of one
+    /// epoch is not delivered in another, see [`Controller::scheduler_in_epoch`].
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether agents may be answered now.
+    /// Returns whether this controller may answer agents now.
     pub fn may_answer(&self, now: Micros) -> bool {
         self.leadership
             .as_ref()
-            .is_some_and(|l| now < l.answers_until)
+            .is_some_and(|leadership| now < leadership.answers_until)
     }
 
-    /// The scheduler, if this controller leads.
+    /// Returns the scheduler if this controller leads.
     pub fn scheduler(&self) -> Option<&Scheduler> {
-        self.leadership.as_ref().map(|l| &l.scheduler)
+        self.leadership
+            .as_ref()
+            .map(|leadership| &leadership.scheduler)
     }
 
-    /// The scheduler, if this controller still leads in the epoch in which something was asked for.
+    /// Returns the scheduler if this controller still leads in the epoch in which a request was made.
     pub fn scheduler_in_epoch(&mut self, epoch: u64) -> Option<&mut Scheduler> {
         if self.epoch != epoch {
             return None;
         }
-        self.leadership.as_mut().map(|l| &mut l.scheduler)
+        self.leadership
+            .as_mut()
+            .map(|leadership| &mut leadership.scheduler)
     }
 
-    /// Runs the scheduler's loops if this controller may answer agents: past the bound on answers
-    /// nothing is started either.
+    /// Runs the scheduler's loops if this controller may answer agents. Otherwise the leader starts nothing
+    /// either.
     pub fn poll(&mut self, now: Micros) -> Vec<Effect> {
         if !self.may_answer(now) {
             return Vec::new();
@@ -230,8 +237,8 @@
         leadership.scheduler.poll(now)
     }
 
-    /// Scheduler and records, while this controller may answer agents: only then is anything decided
-    /// about other cells.
+    /// Returns the scheduler and the records while this controller may answer agents. Only then may it make
+    /// decisions about other cells.
     pub fn delegation_access(&mut self, now: Micros) -> Option<DelegationAccess<'_>> {
         if !self.may_answer(now) {
             return None;
@@ -245,34 +252,34 @@
         })
     }
 
-    /// The records were read anew for the scheduler of this epoch, or could not be.
-    pub fn records_reloaded(&mut self, epoch: u64, read: bool, now: Micros, wall: Micros) {
+    /// Tells the scheduler of this epoch whether the records could be reloaded, as it requested.
+    pub fn records_reloaded(&mut self, epoch: u64, succeeded: bool, now: Micros, wall: Micros) {
         if self.epoch != epoch {
             return;
         }
         if let Some(leadership) = &mut self.leadership {
-            let records = read.then_some(&self.records);
+            let records = succeeded.then_some(&self.records);
             leadership.scheduler.records_reloaded(records, now, wall);
         }
     }
 
-    /// A page of the cloud's list of machines, asked for in this epoch.
+    /// Passes one page of the cloud's list of machines to the scheduler of the epoch that requested it.
     pub fn machines_listed(&mut self, epoch: u64, page: &[ListedMachine], now: Micros) {
         if self.epoch != epoch {
             return;
         }
         if let Some(leadership) = &mut self.leadership {
-            let returned = |name: &str| self.records.returned_machines.contains(name);
-            leadership.scheduler.listed(page, &returned, now);
+            let is_returned = |name: &str| self.records.returned_machines.contains(name);
+            leadership.scheduler.listed(page, &is_returned, now);
         }
     }
 
-    /// What happened since the last call that the log should tell.
+    /// Takes the events for the log that have occurred since the last call.
     pub fn take_notices(&mut self) -> Vec<Notice> {
         std::mem::take(&mut self.notices)
     }
 
-    /// How long agents may be answered after the last renewal or acknowledgement.
+    /// Returns how long this controller may answer agents after the last renewal or acknowledgement.
     fn answer_bound(&self) -> Micros {
         answer_bound(
             self.config.scheduler.cancel_timeout,
--- a/crates/saltpitch-core/src/controller/notice.rs
+++ b/crates/saltpitch-core/src/controller/notice.rs
@@ -1,4 +1,4 @@
-//! What a controller wants its log to tell. The shell writes each notice as one line.
+//! Events that a controller reports for the log. The program writes each notice as one line.
 
 use std::fmt;
 
@@ -6,18 +6,18 @@
 use crate::scheduler::{HeartbeatRejection, JobTimeline};
 use crate::time::Micros;
 
-/// Why the leadership ended.
+/// The reason why a leadership ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
-    /// A newer term is on record or was named by a peer.
+    /// The records or a peer show a newer term.
     NewerTerm,
-    /// An agent has seen a newer token.
+    /// An agent has seen a newer fencing token.
     NewerToken,
     /// A transaction failed because the term has changed.
     TermChanged,
-    /// The leadership lease ended.
+    /// The leadership lease in the state service has expired.
     LeaseExpired,
-    /// Agents do not reach this controller.
+    /// The agents do not reach this controller.
     AgentsUnreachable,
 }
 
@@ -33,50 +33,50 @@
     }
 }
 
-/// One event for the log.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// A record that this version cannot read was skipped.
     UnreadableRecord {
-        /// Its key.
+        /// The key of the record.
         key: String,
-        /// What is wrong with it.
+        /// The reason why it cannot be read.
         error: RecordError,
     },
-    /// The leadership ended.
+    /// This controller's leadership ended.
     LeadershipLost {
-        /// The term that ended.
+        /// The last term of the leadership.
         term: u64,
-        /// Why.
+        /// Why it ended.
         reason: LossReason,
     },
-    /// The previous leader answers nobody any more.
+    /// The previous leader is proven to answer no agents any more.
     PreviousLeaderGone {
-        /// Its name.
+        /// The name of the previous leader.
         node: String,
     },
     /// A peer acknowledged a cancellation that the records do not show yet.
     CancelledByPeer {
-        /// The cancelled job.
+        /// The id of the cancelled job.
         job: String,
-        /// The peer.
+        /// The name of the peer.
         peer: String,
     },
-    /// An agent's heartbeat was not answered.
+    /// The leader rejected an agent's heartbeat.
     HeartbeatRejected {
-        /// The machine.
+        /// The name of the machine.
         machine: String,
-        /// The highest token that it has seen.
+        /// The highest fencing token that its agent has seen.
         fencing_token: u64,
-        /// Why.
+        /// Why the heartbeat was rejected.
         reason: HeartbeatRejection,
     },
-    /// A job ended.
+    /// A job is done or cancelled.
     JobEnded(EndedJob),
 }
 
 impl Notice {
-    /// Whether it belongs into the log at the level `error`.
+    /// Returns whether the notice is to be logged at the level `error`.
     pub fn is_error(&self) -> bool {
         matches!(self, Notice::UnreadableRecord { .. })
     }
@@ -103,33 +103,33 @@
                 reason,
             } => write!(
                 f,
-                "heartbeat of {machine} (fencing token {fencing_token}) gets no answer: {reason:?}"
+                "heartbeat of {machine} (fencing token {fencing_token}) is rejected: {reason:?}"
             ),
             Notice::JobEnded(job) => job.fmt(f),
         }
     }
 }
 
-/// A job that ended, and where its time went: shows on-call staff which jobs were late and why.
+/// A job that ended, with its timeline. Its log line shows on-call staff which jobs were late and why.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedJob {
-    /// Its id.
+    /// The job's id.
     pub id: String,
-    /// Its class.
+    /// The name of its class.
     pub class: String,
-    /// How many tasks it had.
+    /// The number of its tasks.
     pub tasks: u32,
     /// The owner's estimate of a task's run time.
     pub estimate: Micros,
-    /// The deadline, counted from the submission.
+    /// The deadline, relative to the submission.
     pub deadline: Option<Micros>,
-    /// The jobs that it waited on.
+    /// The ids of the jobs that it depended on.
     pub dependencies: Vec<String>,
-    /// The time since the submission.
-    pub took: Micros,
-    /// What the leader saw of it.
+    /// The time from the submission to the end.
+    pub duration: Micros,
+    /// The job's timeline as far as this leader observed it.
     pub timeline: JobTimeline,
-    /// Whether it was cancelled rather than done.
+    /// Whether the job was cancelled rather than done.
     pub cancelled: bool,
 }
 
@@ -145,7 +145,7 @@
             self.tasks,
             seconds(self.estimate),
             seconds(self.deadline.unwrap_or_default()),
-            seconds(self.took),
+            seconds(self.duration),
             seconds(self.timeline.released),
             seconds(self.timeline.last_placed),
             self.timeline.attempts,
--- a/crates/saltpitch-core/src/controller/peer_heartbeats.rs
+++ b/crates/saltpitch-core/src/controller/peer_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between controllers.
+//! Heartbeats between controllers, and the acknowledgements of cancellations that they carry.
 
 use std::collections::BTreeSet;
 
@@ -8,11 +8,11 @@
 
 use super::{Controller, Notice, PeerObservation, StoreHealth, PEER_TIMEOUT};
 
-/// How recent a peer's answer must be for its zone to count as reachable.
+/// The maximum age of a peer's last answered request for the peer's zone to count as reachable.
 const ZONE_TIMEOUT: Micros = Micros::from_millis(1_500);
 
 impl Controller {
-    /// What this controller says about itself.
+    /// Returns the status that this controller reports to its peers.
     pub fn status(&self, store: StoreHealth, now: Micros) -> PeerStatus {
         let term = &self.records.term.value;
         PeerStatus {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A heartbeat to `peer`; a leader asks it to acknowledge cancellations.
+    /// Builds a heartbeat to `peer`. A leader also requests an acknowledgement of cancellations.
     pub fn peer_heartbeat(&self, peer: &str, store: StoreHealth, now: Micros) -> PeerStatus {
         let ack_request = self.leadership.as_ref().map(|leadership| AckRequest {
             revision: self.records.revision,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes in a peer's heartbeat and answers it.
+    /// Processes a peer's heartbeat and returns the answer.
     pub fn peer_heartbeat_received(
         &mut self,
         peer_heartbeat: PeerStatus,
@@ -50,18 +50,20 @@
     ) -> PeerStatus {
         let ack_request = peer_heartbeat.ack_request;
         let peer_version = peer_heartbeat.protocol_version;
-        self.peer_heard(peer_heartbeat, None, now);
+        self.peer_status_received(peer_heartbeat, None, now);
         let mut answer = self.status(store, now);
         if peer_version == 0
             && !answer.store_reachable
             && self.has_fresh_cancellation(store.last_success_at)
         {
-            // A leader of protocol version 0 answers agents beyond its bound while every peer says
-            // that it cannot reach the state service. A controller that may know of a cancellation
-            // which that leader, having lost the state service a little sooner, missed must not say so.
+            // A leader of protocol version 0 answers agents beyond its bound while every peer reports that
+            // it cannot reach the state service. If that leader lost the state service a little earlier, it
+            // may have missed a cancellation that this controller knows, so this controller must not report
+            // the state service as unreachable.
             answer.store_reachable = true;
         }
-        // Only what was read since this process started relates to a leader's records.
+        // An acknowledgement is relative to the leader's records, so it requires that this process has read
+        // the records since its start.
         answer.ack = ack_request.filter(|_| self.synced).and_then(|request| {
             self.records
                 .cancellations
@@ -70,50 +72,57 @@
         answer
     }
 
-    /// Takes in the answer to a heartbeat that was sent at `asked_at` in `epoch`. True if the peer has
-    /// more to acknowledge and should be asked again at once.
+    /// Processes the answer to a heartbeat that was sent at `requested_at` in `epoch`. Returns true if the
+    /// peer has more cancellations to acknowledge and should be asked again immediately.
     pub fn peer_heartbeat_answered(
         &mut self,
         mut answer: PeerStatus,
-        asked_at: Micros,
+        requested_at: Micros,
         epoch: u64,
         now: Micros,
     ) -> bool {
-        // What was asked for in an earlier leadership says nothing to this one.
+        // An acknowledgement that an earlier leadership requested does not apply to this one.
         if self.epoch != epoch {
             answer.ack = None;
         }
-        let more = answer.ack.as_ref().is_some_and(|ack| ack.more);
-        self.peer_heard(answer, Some(asked_at), now);
-        more
+        let has_more = answer.ack.as_ref().is_some_and(|ack| ack.more);
+        self.peer_status_received(answer, Some(requested_at), now);
+        has_more
     }
 
-    /// A peer said this; `asked_at` is the time of the request that it answers.
-    fn peer_heard(&mut self, mut status: PeerStatus, asked_at: Option<Micros>, now: Micros) {
+    /// Processes a status received from a peer. `requested_at` is when this controller sent the request that
+    /// the status answers, if it is an answer.
+    fn peer_status_received(
+        &mut self,
+        mut status: PeerStatus,
+        requested_at: Option<Micros>,
+        now: Micros,
+    ) {
         let ack = status.ack.take();
-        let own_term =
+        let is_own_term =
             status.term_owner == self.config.name && status.term_incarnation == self.incarnation;
-        if !own_term {
+        if !is_own_term {
             self.term_seen(status.term);
         }
         if !self.config.peers.iter().any(|p| p.name == status.node) {
             return;
         }
-        if let (Some(ack), Some(asked_at)) = (ack, asked_at) {
-            self.acknowledged(&status.node, &ack, asked_at, now);
+        if let (Some(ack), Some(requested_at)) = (ack, requested_at) {
+            self.apply_ack(&status.node, &ack, requested_at, now);
         }
-        let previous = self.peers.get(&status.node).map(|p| p.asked_at);
+        let previous = self.peers.get(&status.node).map(|p| p.requested_at);
         let observation = PeerObservation {
-            heard_at: now,
-            asked_at: asked_at.or(previous).unwrap_or(Micros::ZERO),
+            received_at: now,
+            requested_at: requested_at.or(previous).unwrap_or(Micros::ZERO),
             status,
         };
         self.peers
             .insert(observation.status.node.clone(), observation);
     }
 
-    /// A peer's acknowledgement: acted on first, then counted.
-    fn acknowledged(&mut self, peer: &str, ack: &CancellationAck, asked_at: Micros, now: Micros) {
+    /// Applies a peer's acknowledgement: passes the cancellations to the scheduler before the
+    /// acknowledgement may extend the time for answering agents.
+    fn apply_ack(&mut self, peer: &str, ack: &CancellationAck, requested_at: Micros, now: Micros) {
         let bound = self.answer_bound();
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -125,19 +134,19 @@
                 peer: peer.to_owned(),
             });
         }
-        leadership.acks.record(peer, ack, asked_at);
+        leadership.acks.record(peer, ack, requested_at);
         let peers = self.config.peers.iter().map(|p| p.name.as_str());
         if let Some(until) = leadership.acks.valid_until(peers, bound) {
             leadership.answers_until = leadership.answers_until.max(until);
         }
     }
 
-    /// How many peers were heard lately.
+    /// Returns the number of peers from which a status was received within [`PEER_TIMEOUT`].
     pub fn live_peers(&self, now: Micros) -> usize {
         self.peers.values().filter(|p| p.is_alive(now)).count()
     }
 
-    /// The peers that were heard lately and can reach the state service.
+    /// Returns the live peers that report that they can reach the state service.
     pub fn peers_with_store(&self, now: Micros) -> impl Iterator<Item = &str> {
         self.peers
             .values()
@@ -145,8 +154,9 @@
             .map(|p| p.status.node.as_str())
     }
 
-    /// The controller that answers agents, if another one is known to and can be reached from here.
-    pub fn leader_elsewhere(&self, now: Micros) -> Option<&str> {
+    /// Returns the name of the leader if it is another controller, known and live: a peer that reports that
+    /// it answers agents, or else the leader on record.
+    pub fn reachable_other_leader(&self, now: Micros) -> Option<&str> {
         let claims = self
             .peers
             .values()
@@ -159,14 +169,15 @@
         peer.is_alive(now).then_some(peer.status.node.as_str())
     }
 
-    /// The zones from which a controller answered just now, and this one's own.
+    /// Returns the zones of the peers that answered a request within [`ZONE_TIMEOUT`], and this controller's
+    /// own zone.
     pub(super) fn reachable_zones(&self, now: Micros) -> BTreeSet<String> {
         let mut zones = BTreeSet::from([self.config.zone.clone()]);
         for peer in &self.config.peers {
             let answered = self
                 .peers
                 .get(&peer.name)
-                .is_some_and(|p| now.since(p.asked_at) < ZONE_TIMEOUT);
+                .is_some_and(|p| now.since(p.requested_at) < ZONE_TIMEOUT);
             if answered {
                 zones.insert(peer.zone.clone());
             }
@@ -174,7 +185,7 @@
         zones
     }
 
-    /// The most agents that a live peer had to redirect lately.
+    /// Returns the highest number of agents that a single live peer reports to have recently redirected.
     pub(super) fn most_redirected(&self, now: Micros) -> usize {
         self.peers
             .values()
@@ -187,6 +198,6 @@
 
 impl PeerObservation {
     fn is_alive(&self, now: Micros) -> bool {
-        now.since(self.heard_at) < PEER_TIMEOUT
+        now.since(self.received_at) < PEER_TIMEOUT
     }
 }
--- a/crates/saltpitch-core/src/controller/record_sync.rs
+++ b/crates/saltpitch-core/src/controller/record_sync.rs
@@ -1,4 +1,5 @@
-//! Following the state service: changes, listings and this process's own writes.
+//! Keeps the copy of the records up to date from the state service's changes and listings and from this
+//! process's own writes.
 
 use crate::job::JobState;
 use crate::leadership::{ProcessIdentity, LEADERSHIP_LEASE};
@@ -9,25 +10,25 @@
 use super::notice::EndedJob;
 use super::{Controller, Notice};
 
-/// The state service holds records of a layout that this version cannot lead on.
+/// The error for records of an older layout, with which this version must not serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the state service holds an earlier version's records: not serving")]
 pub struct OutdatedLayout;
 
-/// A write of this process's incarnation.
+/// A write that puts this process's incarnation on record.
 #[derive(Clone, Debug)]
 pub struct Announcement {
-    /// The incarnation that is written.
+    /// The incarnation to write.
     pub incarnation: u64,
-    /// The revision that the record must have.
+    /// The revision that the record must have, as the precondition of the write.
     pub expected_revision: u64,
-    /// The write.
+    /// The write of the node's record.
     pub write: Write,
 }
 
 impl Controller {
-    /// Applies changes that are complete from revision `from` to `upto`. True if a job changed, so that
-    /// a leader's loops should run.
+    /// Applies the changes from revision `from` to `upto`, which must be complete. Returns true if a job has
+    /// changed, so that a leader's loops should run.
     pub fn apply_changes(
         &mut self,
         from: u64,
@@ -51,13 +52,13 @@
         job_changed
     }
 
-    /// Applies a write of this process that the state service confirmed. It is known from then on,
-    /// whether or not the state service goes on to tell of it.
+    /// Applies a write of this process that the state service confirmed, without waiting until the state
+    /// service reports the change.
     pub fn apply_own_write(&mut self, change: &RecordChange, now: Micros, wall: Micros) {
         self.apply_change(change, now, wall);
     }
 
-    /// True if a job changed.
+    /// Applies one change. Returns true if a job has changed.
     fn apply_change(&mut self, change: &RecordChange, now: Micros, wall: Micros) -> bool {
         self.note_job_end(change, wall);
         let term_holder = self.term_holder();
@@ -82,7 +83,7 @@
             Change::Catalog => self.adopt_recorded_catalog(),
             Change::Node(name) => self.incarnation_changed(&name, now),
             Change::Term => {
-                // A leader that raises its own token silences nobody before it.
+                // A leader that raises its own term does not fence any earlier leader by that.
                 if term_holder != self.term_holder() {
                     self.term_seen_at = now;
                 }
@@ -93,8 +94,8 @@
         false
     }
 
-    /// Replaces the copy of the records by one that was read anew. `records.revision` must be the revision of
-    /// the first page: whatever changed during the listing follows from there.
+    /// Replaces the copy of the records by a new listing. `records.revision` must be the revision of the first
+    /// page, so that the changes made during the listing are applied from there.
     pub fn replace_records(
         &mut self,
         records: RecordCache,
@@ -123,7 +124,7 @@
         Ok(())
     }
 
-    /// What this process says of itself on record.
+    /// Returns the record that announces this process.
     pub(super) fn node_record(&self) -> NodeRecord {
         NodeRecord {
             incarnation: self.incarnation,
@@ -131,9 +132,9 @@
         }
     }
 
-    /// The revisions of all controllers' announcements, if each of them knows delegations. A
-    /// delegation is committed on condition of them, so that no controller of an earlier version can
-    /// have started in between.
+    /// Returns preconditions on the revisions of all controllers' announcements, or `None` if one of them does
+    /// not support delegations. A delegation is committed under these preconditions, so that no controller of
+    /// an earlier version can have started in between.
     pub fn announcement_preconditions(&self) -> Option<Vec<Precondition>> {
         let peers = self.config.peers.iter().map(|peer| peer.name.as_str());
         let names = peers.chain([self.config.name.as_str()]);
@@ -146,7 +147,7 @@
             .collect()
     }
 
-    /// The write that puts this process's incarnation on record, if it is not there yet.
+    /// Returns the write that puts this process's incarnation on record, or `None` if it is already confirmed.
     pub fn announcement(&mut self) -> Option<Announcement> {
         if self.announced {
             return None;
@@ -168,26 +169,28 @@
         })
     }
 
-    /// Whether this process's incarnation is on record: the answer to the write may have been lost.
+    /// Records the outcome of an announcement and returns whether this process's incarnation is on record.
+    /// That may be so even if `written` is false, because the answer to the write may have been lost.
     pub fn confirm_announcement(&mut self, incarnation: u64, written: bool) -> bool {
         let on_record = self.records.incarnation_of(&self.config.name) == incarnation;
         self.announced = self.incarnation == incarnation && (written || on_record);
         self.announced
     }
 
-    /// Whether a cancellation was learnt so shortly before the state service was last reached that a
-    /// leader may have missed it: had that leader lost the state service sooner, its lease would have
-    /// ended.
+    /// Returns whether this controller received a cancellation so shortly before its last success with the
+    /// state service that a leader may have missed it. A leader that lost the state service earlier than
+    /// that would have lost its leadership lease by the last success.
     pub(super) fn has_fresh_cancellation(&self, last_success_at: Option<Micros>) -> bool {
         let margin = LEADERSHIP_LEASE.times(2.0);
         match (self.last_cancellation_at, last_success_at) {
-            (Some(cancelled), Some(reached)) => cancelled.plus(margin) > reached,
-            // Restarted since, it cannot tell what it confirmed.
+            (Some(cancelled_at), Some(success_at)) => cancelled_at.plus(margin) > success_at,
+            // A process that has not read the records since its start does not know which cancellations its
+            // predecessor confirmed.
             _ => !self.synced,
         }
     }
 
-    /// Who holds the recorded term, and in which incarnation.
+    /// Returns the controller that holds the recorded term, and its incarnation.
     fn term_holder(&self) -> (String, u64) {
         let term = &self.records.term.value;
         (term.node.clone(), term.incarnation)
@@ -210,7 +213,8 @@
         }
     }
 
-    /// A newer incarnation of the previous leader proves that its process answers nobody.
+    /// Handles a new incarnation on record. If it is newer than the previous leader's, it proves that the
+    /// previous leader's process answers no agents.
     fn incarnation_changed(&mut self, name: &str, now: Micros) {
         let incarnation = self.records.incarnation_of(name);
         let Some(leadership) = &mut self.leadership else {
@@ -227,7 +231,8 @@
         self.notices.push(Notice::PreviousLeaderGone { node });
     }
 
-    /// The leader's log tells how long each job took and where its time went.
+    /// Adds a notice with the duration and timeline of a job if this change ends the job and this controller
+    /// leads.
     fn note_job_end(&mut self, change: &RecordChange, wall: Micros) {
         let Some(leadership) = &self.leadership else {
             return;
@@ -238,8 +243,8 @@
         let Some(old) = self.records.jobs.get(id) else {
             return;
         };
-        // A change may come twice, by a watch and by a fresh read; and a cancelled job's record changes
-        // once more when the last of its tasks is gone.
+        // A change may arrive twice, from a watch and from a listing, and the record of a cancelled job
+        // changes once more when the last of its tasks is gone.
         if old.record.state != JobState::Active || change.revision <= old.revision {
             return;
         }
@@ -256,7 +261,7 @@
             estimate: spec.estimate,
             deadline: spec.deadline,
             dependencies: spec.dependencies.clone(),
-            took: wall.since(old.record.submitted),
+            duration: wall.since(old.record.submitted),
             timeline: leadership.scheduler.timeline(id).unwrap_or_default(),
             cancelled: new.state == JobState::Cancelled,
         };
--- a/crates/saltpitch-core/src/leadership/election.rs
+++ b/crates/saltpitch-core/src/leadership/election.rs
@@ -1,4 +1,5 @@
-//! How a leader is elected and resigns, and from when on earlier leaders are fenced.
+//! Builds the transactions by which a controller becomes leader or resigns, and computes when the earlier
+//! leaders are fenced, that is, when they can no longer answer any agent.
 
 use crate::records::{
     node_key, LeaderRecord, NodeRecord, RecordCache, TermRecord, LEADER_KEY, TERM_KEY,
@@ -6,56 +7,56 @@
 use crate::scheduler::{Precondition, Transaction, Write};
 use crate::time::Micros;
 
-/// How long after an election attempt was made its maker may yet become leader by it.
+/// How long after its start an election attempt may still succeed.
 const ATTEMPT_TIMEOUT: Micros = Micros::from_secs(4);
-/// Candidates wait for up to this time, at random, so that one of them comes first.
+/// The upper limit of a candidate's random delay, which makes it likely that one candidate comes first.
 const MAX_ELECTION_JITTER_US: u64 = 200_000;
-/// How much longer a candidate waits that defers to the others.
-const DEFERENCE: Micros = Micros::from_secs(6);
+/// The additional delay of a candidate that lets the others come first.
+const DEFERRAL_DELAY: Micros = Micros::from_secs(6);
 
-/// One process of a controller.
+/// Identifies one process of a controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProcessIdentity {
     /// The controller's name.
     pub node: String,
-    /// The process's incarnation: a newer one proves that this one answers nobody.
+    /// The process's incarnation. A newer incarnation on record proves that this process answers no agent.
     pub incarnation: u64,
 }
 
 impl ProcessIdentity {
-    /// Whether a newer process of this controller is on record.
+    /// Returns whether the records show a newer process of this controller.
     fn is_superseded(&self, records: &RecordCache) -> bool {
         records.incarnation_of(&self.node) > self.incarnation
     }
 }
 
-/// One attempt at the leadership: what to write and on what conditions, and who led before.
+/// One attempt to become leader: the transaction to commit and what is known about the earlier leaders.
 #[derive(Clone, Debug)]
 pub struct ElectionAttempt {
-    /// The term that it takes.
+    /// The term that the attempt takes.
     pub term: u64,
-    /// What to write, and on what conditions. The write of [`LEADER_KEY`] is to be attached to the
+    /// The transaction that takes the term. The caller must attach the write of [`LEADER_KEY`] to the
     /// leadership lease.
     pub transaction: Transaction,
-    /// The previous leader, if it is not proven gone.
+    /// The previous leader, unless it is proven gone.
     previous: Option<ProcessIdentity>,
-    /// On the steady clock: from then on the leaders before that one answer nobody.
+    /// The time on the steady clock from which the leaders before the previous one answer no agent.
     earlier_fenced_at: Micros,
 }
 
-/// From when on no earlier leader can answer an agent.
+/// The times from which earlier leaders can no longer answer agents.
 #[derive(Clone, Debug)]
 pub struct EarlierLeaders {
-    /// The previous leader, if it is not proven gone.
+    /// The previous leader, unless it is proven gone.
     pub previous: Option<ProcessIdentity>,
-    /// When the leaders before that one are fenced.
+    /// When all leaders before the previous one are fenced.
     pub earlier_fenced_at: Micros,
-    /// When all of them are.
+    /// When all earlier leaders, including the previous one, are fenced.
     pub all_fenced_at: Micros,
 }
 
-/// Whether this process can take the leadership as far as its records say: nobody holds it, or an earlier
-/// incarnation of this same controller does, which is proven over by this one.
+/// Returns whether the records allow this process to take the leadership: either there is no leader, or the
+/// leader is an earlier incarnation of the same controller, whose end this process proves.
 pub fn is_leaderless(records: &RecordCache, node: &str, incarnation: u64) -> bool {
     match &records.leader {
         None => true,
@@ -63,15 +64,17 @@
     }
 }
 
-/// An election attempt on the records as this controller has them; `None` if there is a leader. `bound`:
-/// how long a leader may answer agents after it was last confirmed. `term_seen_at`: when this controller
-/// first saw the term that its records show.
+/// Builds an election attempt from this controller's copy of the records, or returns `None` if there is a
+/// leader. `bound` is how long a leader may answer agents after its last confirmation, and `term_seen_at` is
+/// when this controller first saw the term that its records show.
 ///
-/// All leaders before the one of that term are fenced `bound` after it was seen. They answer for so long
-/// after the store renewed their lease, which it did before it took the next term, or after each other
-/// controller acknowledged, and this controller's acknowledgement would have named the term that it had
-/// seen. So this holds however late that term's transaction was carried out, and through any number of
-/// successions. `earlier_leaders_fenced_at` on record says the same for versions that go by it.
+/// All leaders before the leader of that term are fenced `bound` after `term_seen_at`. Such a leader answers
+/// agents for at most `bound` after one of two events. Either the store renewed its lease, which it can only
+/// have done before it accepted the next term; or all other controllers acknowledged, and the
+/// acknowledgement of this controller would have named the next term if it had seen it by then. The rule
+/// therefore holds regardless of how late the term's transaction was carried out, and over any number of
+/// successive leaders. The recorded field `earlier_leaders_fenced_at` carries the same information for
+/// versions that rely on it.
 pub fn campaign(
     records: &RecordCache,
     node: &str,
@@ -135,8 +138,8 @@
 }
 
 impl ElectionAttempt {
-    /// The attempt was carried out at this revision. `None` if the records have gone on since: then the
-    /// leadership is another's already.
+    /// Returns when the earlier leaders are fenced, given that the attempt's transaction was committed at
+    /// `revision`. Returns `None` if the term has changed since: then another controller already leads.
     pub fn earlier_leaders(
         self,
         records: &RecordCache,
@@ -163,8 +166,8 @@
     }
 }
 
-/// What a leader writes that resigns: there is no leader, and a new incarnation of this controller proves
-/// that the one that led answers nobody any more.
+/// Builds the transaction by which a leader resigns. It deletes the leader's record and writes a new
+/// incarnation of this controller, which proves that the incarnation that led no longer answers agents.
 pub fn resignation(
     records: &RecordCache,
     node: &str,
@@ -192,12 +195,12 @@
     }
 }
 
-/// How long a candidate waits before it campaigns while there is no leader. One that `defers` lets others
-/// come first.
+/// Returns how long a candidate waits before it campaigns while there is no leader. A candidate that
+/// `defers` waits longer, to let others come first.
 pub fn election_delay(random: u64, defers: bool) -> Micros {
     let jitter = Micros(random % MAX_ELECTION_JITTER_US);
     if defers {
-        jitter.plus(DEFERENCE)
+        jitter.plus(DEFERRAL_DELAY)
     } else {
         jitter
     }
--- a/crates/saltpitch-core/src/leadership/mod.rs
+++ b/crates/saltpitch-core/src/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! The rules of leadership, as pure functions and values: how a leader is elected, until when it may answer
-//! agents, and when it is isolated. [`crate::controller`] applies them.
+//! The rules of leadership as pure functions and values: how a leader is elected, until when it may answer
+//! agents, and when it counts as isolated from them. [`crate::controller`] applies these rules.
 
 mod answer_bound;
 mod election;
@@ -14,5 +14,5 @@
 };
 pub use reachability::AgentReachability;
 
-/// How long the leadership lease in the state service lasts without renewal.
+/// The time after which the leadership lease in the state service expires unless the leader renews it.
 pub const LEADERSHIP_LEASE: Micros = Micros::from_secs(3);
--- a/crates/saltpitch-core/src/leadership/reachability.rs
+++ b/crates/saltpitch-core/src/leadership/reachability.rs
@@ -1,24 +1,24 @@
-//! Whether the agents still reach the leader.
+//! Decides whether the agents still reach the leader.
 
-/// What a leader knows of how well its agents reach it.
+/// Counts from which a leader judges whether its agents reach it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AgentReachability {
-    /// Agents that are up as far as the leader knows.
+    /// The number of agents that the leader considers up.
     pub known_agents: usize,
-    /// Of these, heard from lately.
+    /// How many of these have recently sent a heartbeat to the leader.
     pub recently_heard: usize,
-    /// The most agents that any one peer redirected to the leader lately.
+    /// The highest number of agents that a single peer has recently redirected.
     pub redirected_agents: usize,
-    /// Peers that answer this controller.
+    /// The number of peers from which this controller recently received a message.
     pub live_peers: usize,
-    /// All other controllers.
+    /// The number of all other controllers in the settings.
     pub other_controllers: usize,
 }
 
 impl AgentReachability {
-    /// The agents do not reach this leader although others would hear them. Held for a while, this is the
-    /// reason to resign before the agents' leases expire. When nobody else hears more, resigning would
-    /// only make the leadership flap.
+    /// Returns whether the agents do not reach this leader although they reach another controller. If this
+    /// persists, the leader resigns before the agents' leases expire. When no other controller receives
+    /// more heartbeats, resigning would only make the leadership flap.
     pub fn is_isolated(&self) -> bool {
         if self.known_agents == 0 || self.recently_heard * 2 >= self.known_agents {
             return false;
