--- a/crates/saltpitch-core/src/scheduler/interface.rs
+++ b/crates/saltpitch-core/src/scheduler/interface.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told by the settings, and what it wants done.
+//! The scheduler's configuration, and the effects that it requests from the code around the core.
 
 use std::sync::Arc;
 
@@ -7,78 +7,81 @@
 use crate::quota::TeamLimits;
 use crate::time::Micros;
 
-/// What the settings say, as far as the core needs it.
+/// The configuration of the scheduler, as derived from the settings.
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
     /// The interval between an agent's heartbeats.
     pub heartbeat_interval: Micros,
-    /// An agent's lease.
+    /// The duration of an agent's lease.
     pub agent_lease: Micros,
-    /// How long a gang's task runs on after another one is gone.
+    /// How long a gang's task continues to run after another task of the gang is gone.
     pub gang_peer_timeout: Micros,
     /// The time within which the tasks of a cancelled job must be gone.
     pub cancel_timeout: Micros,
-    /// Controllers in all.
+    /// The number of controllers, including this one.
     pub controller_count: usize,
-    /// Direct commands, and probes, that may be under way at a time: they must not crowd out heartbeats
-    /// and users, and yet reach the many machines that may be lost at once.
+    /// The highest number of concurrent direct calls with commands, and likewise of concurrent probes. It
+    /// must be low enough to leave connections for heartbeats and users, yet high enough to reach the many
+    /// machines that may be lost at once.
     pub max_concurrent_calls: usize,
-    /// The most changes in one transaction.
+    /// The highest number of writes in one transaction.
     pub max_transaction_writes: usize,
-    /// Changes a second that a leader may write.
+    /// The number of writes per second that a leader may make.
     pub write_rate: f64,
-    /// The same once the store's next limits are in force.
+    /// The same number once the state service's announced next limits are in force.
     pub next_write_rate: f64,
-    /// The smaller of the store's present and next limits: nothing larger is written.
+    /// The size limit of a value: the smaller of the state service's present and next limits.
     pub max_value_bytes: usize,
-    /// Rentals a second that a leader may ask the cloud for; twice as many at once.
+    /// The number of machines per second that a leader may request from the cloud. Bursts may have twice as
+    /// many.
     pub scale_out_rate: f64,
-    /// Keys that the log's segments go round in: at ten segments a second, most batch jobs should
-    /// be over before what was said of them has to be said again in a checkpoint.
+    /// The number of keys that the placement log's segments reuse in turn. At ten segments per second, most
+    /// batch jobs should have ended before their entries are overwritten and have to be written again in a
+    /// checkpoint.
     pub log_segments: u64,
-    /// Bytes that one transaction may hold, with room to spare.
+    /// The size limit of one transaction, below the state service's own limit.
     pub max_transaction_bytes: usize,
-    /// Guarantees and limits of the teams.
+    /// The guarantees and limits of the teams.
     pub teams: Vec<TeamLimits>,
-    /// What is expected of classes of jobs.
+    /// The service-level objectives of classes of jobs.
     pub objectives: Vec<Objective>,
-    /// Work within a team's guarantee is to be started within this time.
+    /// The time within which work within a team's guarantee should start.
     pub guarantee_start_target: Micros,
-    /// The operators' rules.
+    /// The operators' policy.
     pub policy: Policy,
 }
 
-/// What is expected of a class of jobs.
+/// A service-level objective of a class of jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
-    /// The class.
+    /// The name of the class.
     pub class: String,
-    /// When its jobs should start or be done.
+    /// When the jobs of the class should start or be done.
     pub target: ObjectiveTarget,
 }
 
-/// When a job should start or be done.
+/// The target of a service-level objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ObjectiveTarget {
-    /// Started within this time.
+    /// The job starts within this time.
     Started(Micros),
-    /// Done within this time.
+    /// The job is done within this time.
     Finished(Micros),
-    /// Done by this many times the job's own deadline.
+    /// The job is done within its own deadline, multiplied by this factor.
     Deadline(f64),
 }
 
-/// The revision that a key must have for a transaction to be carried out; 0: the key must not exist.
+/// A precondition of a transaction: the revision that a key must have, or 0 if the key must not exist.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Precondition {
     /// The key.
     pub key: String,
-    /// Its expected revision.
+    /// The revision that the key must have.
     pub revision: u64,
 }
 
 impl Precondition {
-    /// The key must have this revision.
+    /// Creates the precondition that `key` has this revision.
     pub fn new(key: impl Into<String>, revision: u64) -> Precondition {
         Precondition {
             key: key.into(),
@@ -90,66 +93,66 @@
 /// A compare-and-swap: all writes are carried out if all preconditions hold, and none otherwise.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Transaction {
-    /// What must hold.
+    /// The conditions under which the writes are carried out.
     pub preconditions: Vec<Precondition>,
-    /// What is written then.
+    /// The writes.
     pub writes: Vec<Write>,
 }
 
-/// One write of a transaction; no value deletes the key.
+/// One write of a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
     /// The key.
     pub key: String,
-    /// The new value, as JSON.
+    /// The new value as JSON, or `None` to delete the key.
     pub value: Option<String>,
 }
 
-/// What the shell round the core is to do.
+/// An effect that the code around the core executes for the scheduler.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Answer with [`super::Scheduler::transaction_ended`].
+    /// Commit a transaction. [`super::Scheduler::transaction_ended`] receives the outcome.
     Commit(Transaction),
-    /// Read the records anew and answer with [`super::Scheduler::records_reloaded`].
+    /// Read the records again. [`super::Scheduler::records_reloaded`] receives the result.
     ReloadRecords,
-    /// Answer with [`super::Scheduler::command_ended`].
+    /// Send commands to an agent. [`super::Scheduler::command_ended`] receives the outcome.
     SendCommands {
-        /// The machine.
+        /// The name of the machine.
         machine: Arc<str>,
-        /// Its address.
+        /// The address of the machine's agent.
         addr: String,
-        /// The epoch that the commands are for.
+        /// The epoch of the agent for which the commands are meant.
         agent_epoch: u64,
-        /// The fencing token.
+        /// The fencing token of the leader.
         fencing_token: u64,
-        /// The commands, to be executed in this sequence.
+        /// The commands, in the order of their execution.
         commands: Vec<Command>,
     },
-    /// Ask a machine for its heartbeat; what it says goes to [`super::Scheduler::probe_answered`].
+    /// Request a heartbeat from an agent. [`super::Scheduler::probe_answered`] receives it.
     Probe {
-        /// The machine.
+        /// The name of the machine.
         machine: Arc<str>,
-        /// Its address.
+        /// The address of the machine's agent.
         addr: String,
     },
-    /// Answer with [`super::Scheduler::scale_out_ended`].
+    /// Rent machines. [`super::Scheduler::scale_out_ended`] receives the outcome.
     ScaleOut {
-        /// The id of the request; a repetition rents nothing more.
+        /// The id of the request. A request that is repeated with the same id rents no further machines.
         request: String,
-        /// The type.
+        /// The name of the machine type.
         type_name: String,
         /// The zone.
         zone: String,
-        /// Whether spot machines are meant.
+        /// Whether to rent spot machines.
         spot: bool,
-        /// How many.
+        /// The number of machines.
         count: u32,
     },
-    /// Answer with [`super::Scheduler::scale_in_confirmed`].
+    /// Return machines. [`super::Scheduler::scale_in_confirmed`] receives the confirmation.
     ScaleIn {
-        /// The machines.
+        /// The names of the machines.
         names: Vec<Arc<str>>,
     },
-    /// Take the next term, to end doubts about starts that may still be under way.
+    /// Take the next term, so that agents ignore starts sent earlier that may still be in flight.
     RaiseTerm,
 }
--- a/crates/saltpitch-core/src/scheduler/leader_term.rs
+++ b/crates/saltpitch-core/src/scheduler/leader_term.rs
@@ -1,10 +1,10 @@
-//! The term that this leader holds, and when earlier leaders stopped answering agents.
+//! The term that this leader holds, and the time from which earlier leaders answer no agents.
 
 use crate::records::RecordCache;
 use crate::time::Micros;
 
-/// The leader's term. Its number is the fencing token of every command; its revision conditions every
-/// write.
+/// The leader's term. Its number is the fencing token of every command, and its revision is a precondition
+/// of every write.
 pub(super) struct LeaderTerm {
     term: u64,
     revision: u64,
@@ -15,7 +15,7 @@
 }
 
 impl LeaderTerm {
-    /// The term that the records show, just taken by this leader.
+    /// Creates the state for the term that the records show, which this leader has just taken.
     pub(super) fn new(
         records: &RecordCache,
         previous_leader_fenced_at: Micros,
@@ -32,44 +32,45 @@
         }
     }
 
-    /// The fencing token that is sent with every command.
+    /// Returns the number of the term, which is the fencing token of every command.
     pub(super) fn term(&self) -> u64 {
         self.term
     }
 
-    /// The revision of the term's record.
+    /// Returns the revision of the term's record.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The term in which this leader was elected: an agent that has seen it, or a later one of this
-    /// leader, drops whatever an earlier leader says.
+    /// Returns the term in which this leader was elected. An agent that has seen this term or a later one
+    /// ignores the commands of all earlier leaders.
     pub(super) fn first_term(&self) -> u64 {
         self.first_term
     }
 
-    /// From then on no earlier leader can answer an agent.
+    /// Returns the time from which no earlier leader can answer an agent.
     pub(super) fn previous_leader_fenced_at(&self) -> Micros {
         self.previous_leader_fenced_at
     }
 
-    /// When this leader was elected.
+    /// Returns when this leader was elected.
     pub(super) fn elected_at(&self) -> Micros {
         self.elected_at
     }
 
-    /// The previous leader is proven gone: no earlier leader answers anybody from then on.
+    /// Takes over an earlier fencing time, after the previous leader was proven gone: from `fenced_at` on, no
+    /// earlier leader answers any agent.
     pub(super) fn previous_leader_gone(&mut self, fenced_at: Micros) {
         self.previous_leader_fenced_at = self.previous_leader_fenced_at.min(fenced_at);
     }
 
-    /// Begins to raise the term; false if that is under way already.
+    /// Begins to raise the term. Returns false if a raise is already in flight.
     pub(super) fn begin_raise(&mut self) -> bool {
         !std::mem::replace(&mut self.raise_in_flight, true)
     }
 
-    /// The term was raised without a change of leader. Returns whether it is a new one.
-    pub(super) fn raised(&mut self, term: u64, revision: u64) -> bool {
+    /// Takes over the raised term. Returns false if it is not newer than the present one.
+    pub(super) fn raise_completed(&mut self, term: u64, revision: u64) -> bool {
         self.raise_in_flight = false;
         if term <= self.term {
             return false;
@@ -79,7 +80,7 @@
         true
     }
 
-    /// The transaction that raises the term was not carried out.
+    /// Records that the transaction that raises the term has failed.
     pub(super) fn raise_failed(&mut self) {
         self.raise_in_flight = false;
     }
--- a/crates/saltpitch-core/src/scheduler/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/mod.rs
@@ -1,12 +1,12 @@
-//! The scheduler: which task runs on which machine, and how many machines there are.
+//! The scheduler decides which task runs on which machine, and how many machines are rented.
 //!
 //! [`Scheduler`] holds the components and passes events, answers and effects between them. Each component
-//! owns its state: `job_table` jobs and queues, `inventory` machines, `persistence` what is not yet on
-//! record, `autoscaler` what is asked of the cloud, `dispatch` direct calls to agents. The loops compare
-//! what is wanted with what is, so that repeating one is harmless: tasks against machines
-//! (`placement_pass`, `preemption`, `gang_barrier`), heartbeats against allocations
-//! (`agent_reconciliation`, `agent_health`), capacity against need (`capacity_planning`, `scale_in`),
-//! records against memory (`record_commits`).
+//! owns its state: `job_table` owns the jobs and queues, `inventory` the machines, `persistence` the changes
+//! that are not yet on record, `autoscaler` the requests to the cloud, and `dispatch` the direct calls to
+//! agents. The control loops compare the desired state with the observed state, so that repeating one is
+//! harmless: tasks with machines (`placement_pass`, `preemption`, `gang_barrier`), heartbeats with
+//! allocations (`agent_reconciliation`, `agent_health`), capacity with demand (`capacity_planning`,
+//! `scale_in`), and memory with records (`record_commits`).
 
 mod accelerator_sharing;
 mod agent_health;
@@ -80,20 +80,25 @@
 pub(crate) use job_table::job::{Job, JobBackoff, JobTimes};
 pub(crate) use job_table::task_set::{Task, TaskSet};
 
-/// The agents of machines that are up as far as known.
+/// The interval between two runs of the health checks.
+const TICK_INTERVAL: Micros = Micros::from_millis(500);
+/// The interval between two runs of capacity planning and consolidation.
+const PLANNING_INTERVAL: Micros = Micros::from_millis(500);
+
+/// The numbers of agents whose machines are considered up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AgentCounts {
-    /// Those that receive this leader's answers as far as known.
+    /// Agents that receive this leader's answers as far as the leader can tell.
     pub reachable: usize,
-    /// Of these, heard from lately.
+    /// How many of the reachable agents have recently sent a heartbeat.
     pub recently_heard: usize,
-    /// Those that don't seem to receive answers. They try every controller in turn, which says nothing
-    /// about this one.
+    /// Agents that seem to receive no answers. They try every controller in turn, so their heartbeats to
+    /// other controllers do not show that this leader is isolated.
     pub inbound_partitioned: usize,
 }
 
-/// The scheduler: owned by the controller while it leads. It holds the components and passes events,
-/// answers and effects between them.
+/// The scheduler, which a controller owns while it leads. It holds the components and passes events, answers
+/// and effects between them.
 pub struct Scheduler {
     config: SchedulerConfig,
     catalog: Arc<Catalog>,
@@ -112,64 +117,66 @@
     next_tick: Micros,
     next_plan: Micros,
     effects: Vec<Effect>,
-    /// Machines and jobs looked at: what a pass costs, for tests.
+    /// The number of machines and jobs examined so far: the cost of passes, for tests.
     steps: u64,
 }
 
 impl Scheduler {
-    /// The term, which is the fencing token of every command.
+    /// Returns this leader's term, which is the fencing token of every command.
     pub fn term(&self) -> u64 {
         self.leader_term.term()
     }
 
-    /// The revision of the term's record, the precondition of every write.
+    /// Returns the revision of the term's record, which is a precondition of every write.
     pub fn term_revision(&self) -> u64 {
         self.leader_term.revision()
     }
 
-    /// Zones in which a controller can be reached from here.
+    /// Returns the zones in which this controller can reach a controller, including its own zone.
     pub fn reachable_zones(&self) -> &BTreeSet<String> {
         self.inventory.reachable_zones()
     }
 
-    /// Sets the zones in which a controller can be reached from here.
+    /// Sets the zones in which this controller can reach a controller, including its own zone.
     pub fn set_reachable_zones(&mut self, zones: BTreeSet<String>) {
         self.inventory.set_reachable_zones(zones);
     }
 
-    /// Prices or types changed.
+    /// Replaces the machine types after types or prices have changed.
     pub fn set_catalog(&mut self, catalog: Arc<Catalog>) {
         self.catalog = catalog;
         self.placement_pass.request();
     }
 
-    /// The term was raised without a change of leader.
+    /// Takes over a term that this leader has raised without a change of leader.
     pub fn term_raised(&mut self, term: u64, revision: u64) {
-        if !self.leader_term.raised(term, revision) {
+        if !self.leader_term.raise_completed(term, revision) {
             return;
         }
-        // The others hear of it by the answers to their heartbeats.
-        let in_doubt = self.dispatch.awaiting_effect().filter(|name| {
+        // Only agents with unacknowledged starts get the new term by a direct call. All others receive it
+        // with the answers to their heartbeats.
+        let uncertain = self.dispatch.awaiting_effect().filter(|name| {
             let machine = self.inventory.get(name);
             machine.is_some_and(|machine| machine.commands.has_unacknowledged_start())
         });
-        let in_doubt: Vec<Arc<str>> = in_doubt.cloned().collect();
-        for name in &in_doubt {
+        let uncertain: Vec<Arc<str>> = uncertain.cloned().collect();
+        for name in &uncertain {
             self.dispatch.request(name);
         }
     }
 
-    /// The transaction that raises the term was not carried out.
+    /// Handles the failure of the transaction that raises the term.
     pub fn term_raise_failed(&mut self) {
         self.leader_term.raise_failed();
     }
 
-    /// The old leader is proven gone: none before us answers anybody from then on.
+    /// Handles the proof that the previous leader is gone: from `fenced_at` on, no earlier leader answers any
+    /// agent.
     pub fn previous_leader_gone(&mut self, fenced_at: Micros) {
         self.leader_term.previous_leader_gone(fenced_at);
     }
 
-    /// The machine is proven gone; nothing is on it any more.
+    /// Removes a machine that is proven gone, so that nothing runs on it any more.
     fn remove_machine(&mut self, name: &Arc<str>, now: Micros) {
         if let Some(machine) = self.inventory.remove(name) {
             self.dispatch.machine_removed(name);
@@ -177,18 +184,18 @@
         }
     }
 
-    /// The estimate of a task's run time, corrected by what was seen of its class.
+    /// Returns the estimate of a task's run time, corrected by the observed run times of the job's class.
     fn estimate(&self, job: &Job) -> Micros {
         let class = self.job_table.classes.get(job.class);
         let ratio = class.map_or(1.0, Class::run_time_ratio);
         job.spec.estimate.times(ratio).max(Micros::from_secs(1))
     }
 
-    /// Runs whatever is due and hands out the effects.
+    /// Runs the loops that are due and returns the effects to execute.
     pub fn poll(&mut self, now: Micros) -> Vec<Effect> {
         self.clock.record_poll(now);
         if now >= self.next_tick {
-            self.next_tick = now.plus(Micros::from_millis(500));
+            self.next_tick = now.plus(TICK_INTERVAL);
             self.tick(now);
         }
         if self.placement_pass.due().is_some_and(|due| now >= due) {
@@ -199,7 +206,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// When `poll` has something to do at the latest.
+    /// Returns the latest time at which [`Scheduler::poll`] must be called again.
     pub fn next_poll(&self) -> Micros {
         let mut at = self.next_tick;
         if let Some(due) = self.placement_pass.due() {
@@ -218,7 +225,7 @@
         self.run_health_checks(now);
         self.retry_deferred(now);
         if now >= self.next_plan {
-            self.next_plan = now.plus(Micros::from_millis(500));
+            self.next_plan = now.plus(PLANNING_INTERVAL);
             self.apply_policy();
             self.plan_capacity(now);
             self.consolidate(now);
@@ -227,16 +234,17 @@
         }
     }
 
-    /// Machines and jobs looked at so far.
+    /// Returns how many machines and jobs the scheduler has examined so far.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// How many agents there are, and how many of them were heard from lately.
+    /// Returns how many agents there are, and from how many of them a heartbeat was recently received.
     pub fn agent_counts(&self, now: Micros) -> AgentCounts {
-        // Heartbeats are a quarter early or late at the most. Whoever waits longer to notice that nobody
-        // is heard leaves too little of the leases for the agents to find another leader.
-        let quiet = self.config.heartbeat_interval.times(1.5);
+        // A heartbeat is early or late by a quarter of the interval at most. A longer limit would delay the
+        // leader's resignation, and too little of the leases would be left for the agents to find another
+        // leader.
+        let max_silence = self.config.heartbeat_interval.times(1.5);
         let mut counts = AgentCounts::default();
         for machine in self.inventory.iter() {
             if !machine.is_up() {
@@ -249,12 +257,12 @@
             counts.reachable += 1;
             let last_heard = machine.connectivity.last_heard();
             let silence = now.since(last_heard.max(self.clock.resumed_at()));
-            counts.recently_heard += usize::from(silence < quiet);
+            counts.recently_heard += usize::from(silence < max_silence);
         }
         counts
     }
 
-    /// What the team's placed tasks take, for tests.
+    /// Returns the resources that the team's placed tasks use, for tests.
     pub fn used_by(&self, team: &str) -> Resources {
         self.quota.used(self.quota.number(team))
     }
--- a/crates/saltpitch-core/src/scheduler/record_commits.rs
+++ b/crates/saltpitch-core/src/scheduler/record_commits.rs
@@ -1,4 +1,4 @@
-//! Transactions between the scheduler and its records: when one is sent, and what follows from its outcome.
+//! Commits the scheduler's changes to the records: sends transactions and applies their outcomes.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::time::Micros;
 
 impl Scheduler {
-    /// Sends the next transaction if there is something to write and none is in flight.
+    /// Requests the next transaction if there are changes to write and no transaction is in flight.
     pub(super) fn commit(&mut self, now: Micros) {
         let mut sources = RecordSources {
             config: &self.config,
@@ -23,7 +23,7 @@
         self.effects.extend(effect);
     }
 
-    /// The answer to [`super::Effect::Commit`].
+    /// Handles the outcome of [`super::Effect::Commit`].
     pub fn transaction_ended(&mut self, outcome: TransactionOutcome, now: Micros) {
         let jobs = &mut self.job_table;
         let committed = self
@@ -47,7 +47,7 @@
         self.placement_pass.request();
     }
 
-    /// The machine's record is written: tasks may be placed on it, or it may be returned.
+    /// Handles a machine whose record is now written: tasks may be placed on it, or it may be returned.
     fn machine_committed(&mut self, committed: &CommittedMachine, now: Micros) {
         let name = &committed.name;
         let Some(machine) = self.inventory.get_mut(name) else {
@@ -61,7 +61,8 @@
         }
     }
 
-    /// The answer to [`super::Effect::ReloadRecords`]: `None` when the store could not be read.
+    /// Handles the answer to [`super::Effect::ReloadRecords`]. `records` is `None` if the state service could
+    /// not be read.
     pub fn records_reloaded(&mut self, records: Option<&RecordCache>, now: Micros, wall: Micros) {
         let Some(records) = records else {
             self.persistence.reload_failed(now);
@@ -75,7 +76,7 @@
         self.placement_pass.request();
     }
 
-    /// Takes in a job's records after a transaction with unknown outcome.
+    /// Updates a job from its records after a transaction with unknown outcome.
     fn reload_job(&mut self, number: JobNumber, records: &RecordCache, now: Micros, wall: Micros) {
         let Some(job) = self.job_table.get_mut(number) else {
             return;
@@ -98,20 +99,21 @@
         }
     }
 
-    /// The final record is written: the job leaves memory.
+    /// Removes a job from memory after its final record is written.
     pub(super) fn finish_job(&mut self, number: JobNumber, now: Micros) {
         let Some(job) = self.job_table.remove(number) else {
             return;
         };
         if job.state == JobState::Active {
-            // Done is on record, so nobody can cancel it any more: what depends on it may start.
+            // The record says that the job is done, so it cannot be cancelled any more, and its dependents may
+            // start.
             self.dependency_completed(&job.id, job.times.done_at.unwrap_or(now), now);
         }
         self.gang_barrier.leave(number);
         self.persistence.job_removed(number, &job);
     }
 
-    /// Faults that have not been reported yet, or not lately.
+    /// Takes the alerts that have not been reported yet, or not recently.
     pub fn take_alerts(&mut self, now: Micros) -> Vec<Alert> {
         let policy_faults = self.config.policy.take_faults();
         let mut alerts: Vec<Alert> = policy_faults.into_iter().map(Alert::Policy).collect();
--- a/crates/saltpitch-core/src/scheduler/recovery.rs
+++ b/crates/saltpitch-core/src/scheduler/recovery.rs
@@ -1,4 +1,4 @@
-//! How a leader begins: with what the records say.
+//! Restores the scheduler's state from the records when a leader takes over.
 
 use std::sync::Arc;
 
@@ -20,12 +20,13 @@
 use crate::records::{checkpoint_key, MachineRecord, RecordCache};
 use crate::time::Micros;
 
-/// How long the record of a block waits for other changes after a machine in two blocks was taken out of it.
-const DUPLICATE_RECORD_DELAY: Micros = Micros::from_secs(1);
+/// How long the rewrite of a block's record is delayed after a machine that was listed in two blocks was
+/// removed from it, so that it can include other changes.
+const DUPLICATE_REMOVAL_DELAY: Micros = Micros::from_secs(1);
 
 impl Scheduler {
-    /// Takes over with what the records say. `previous_leader_fenced_at`: from then on no earlier leader can
-    /// answer an agent.
+    /// Creates the scheduler of a new leader from the records. `previous_leader_fenced_at` is the time from
+    /// which no earlier leader can answer an agent.
     pub fn new(
         config: SchedulerConfig,
         records: &RecordCache,
@@ -59,20 +60,28 @@
         scheduler
     }
 
-    /// The machines on record, with what the records prove of their caches.
+    /// Restores the machines on record and the known contents of their image caches.
     fn restore_machines(&mut self, records: &RecordCache, now: Micros, wall: Micros) {
         for (number, block) in &records.machine_blocks {
             let block = &block.value;
-            // A type that is no longer offered still holds what it holds: no room, but evidence.
-            let kind = self.catalog.get(&block.type_name).cloned();
-            let kind = Arc::new(kind.unwrap_or_else(|| MachineType::unknown(&block.type_name)));
+            // A machine of a type that the catalog no longer lists has no free capacity, but it stays in the
+            // inventory as evidence of the tasks on it.
+            let machine_type = self.catalog.get(&block.type_name).cloned();
+            let machine_type =
+                Arc::new(machine_type.unwrap_or_else(|| MachineType::unknown(&block.type_name)));
             let zone: Arc<str> = block.zone.as_str().into();
             for MachineRecord(name, addr, is_returning, created_at) in &block.machines {
                 if self.merge_duplicate(name, *number, now) {
                     continue;
                 }
-                let mut machine =
-                    Machine::new(name, kind.clone(), zone.clone(), block.spot, addr, now);
+                let mut machine = Machine::new(
+                    name,
+                    machine_type.clone(),
+                    zone.clone(),
+                    block.spot,
+                    addr,
+                    now,
+                );
                 machine.block = Some(*number);
                 machine.lifecycle.set_recorded();
                 let age = wall.since(*created_at);
@@ -88,23 +97,23 @@
         }
     }
 
-    /// Whether the machine is known from an earlier block: a leader ended while it split that one. The later
-    /// block has the machine.
+    /// Handles a machine that an earlier block also lists, which happens if a leader stopped while it split
+    /// that block. The machine then belongs to the later block. Returns whether the machine was known.
     fn merge_duplicate(&mut self, name: &str, block: u32, now: Micros) -> bool {
         let Some(machine) = self.inventory.get_mut(name) else {
             return false;
         };
-        let earlier = machine.block.replace(block);
+        let earlier_block = machine.block.replace(block);
         let name = machine.name.clone();
-        if let Some(earlier) = earlier.filter(|earlier| *earlier != block) {
-            let due = now.plus(DUPLICATE_RECORD_DELAY);
+        if let Some(earlier_block) = earlier_block.filter(|earlier| *earlier != block) {
+            let due = now.plus(DUPLICATE_REMOVAL_DELAY);
             self.persistence
-                .remove_duplicate_machine(&name, earlier, due);
+                .remove_duplicate_machine(&name, earlier_block, due);
         }
         true
     }
 
-    /// The jobs on record, and what is left of those that are over.
+    /// Restores the jobs on record, and deletes the checkpoints that are left of ended jobs.
     fn restore_jobs(&mut self, records: &RecordCache, now: Micros, wall: Micros) {
         let mut ids: Vec<&String> = records.jobs.keys().collect();
         ids.sort();
@@ -112,19 +121,21 @@
             self.job_changed(records, id, now, wall);
         }
         self.persistence.restore_log(records, &mut self.job_table);
-        let over = records.checkpoints.iter();
-        let mut over: Vec<_> = over
+        let mut of_ended_jobs: Vec<_> = records
+            .checkpoints
+            .iter()
             .filter(|(id, _)| self.job_table.number_of(id).is_none())
             .collect();
-        // A hash map's order differs from process to process: the same history must give the same writes.
-        over.sort_unstable_by_key(|(id, _)| *id);
-        for (id, checkpoints) in over {
+        // The order of a hash map differs between processes, but the same history must cause the same writes.
+        of_ended_jobs.sort_unstable_by_key(|(id, _)| *id);
+        for (id, checkpoints) in of_ended_jobs {
             let keys = checkpoints.keys().map(|index| checkpoint_key(id, *index));
             self.persistence.delete_keys(keys);
         }
     }
 
-    /// What the records prove of a machine's cache, for a leader that has never heard of the machine.
+    /// Restores the images that the records prove to be in a machine's cache, since this leader has not yet
+    /// received a heartbeat from the machine.
     fn restore_images(&mut self, name: &str, records: &RecordCache, now: Micros) {
         let (Some(cache), Some(machine)) = (records.images.of(name), self.inventory.get_mut(name))
         else {
@@ -133,7 +144,7 @@
         machine.images.restored(cache.agent_epoch);
         let count = cache.images.len() as u64;
         for (i, image) in cache.images.iter().enumerate() {
-            // In the order of their use, and all before this leader's own time.
+            // Keeps the order of use, with all times before this leader's election.
             let used_at = now.since(Micros(count - i as u64));
             self.inventory
                 .image_used(name, &image.name, image.size_mb, used_at);
--- a/crates/saltpitch-core/src/scheduler/summary.rs
+++ b/crates/saltpitch-core/src/scheduler/summary.rs
@@ -1,45 +1,47 @@
-//! The leader's line in the log.
+//! The summary line that the leader writes to the log.
 
 use std::collections::BTreeMap;
 
 use super::Scheduler;
 use crate::catalog::Resources;
 
-/// Processors and accelerators are counted in thousandths.
-const UNIT: u64 = 1_000;
+/// One processor or accelerator in the unit of [`Resources`], which counts thousandths.
+const MILLIS_PER_UNIT: u64 = 1_000;
 
-/// The machines of one type, for the log.
+/// The number of machines of one type, and the use of their resources.
 #[derive(Default)]
 struct TypeUsage<'a> {
     name: &'a str,
     machines: u64,
     used: Resources,
-    all: Resources,
+    total: Resources,
 }
 
 impl std::fmt::Display for TypeUsage<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (used, all) = (self.used.cpu / UNIT, self.all.cpu / UNIT);
-        write!(f, "{} {}: {used}/{all}", self.name, self.machines)?;
-        if self.all.gpu > 0 {
-            let (used, all) = (self.used.gpu / UNIT, self.all.gpu / UNIT);
-            write!(f, " and {used}/{all} accelerators")?;
+        let used = self.used.cpu / MILLIS_PER_UNIT;
+        let total = self.total.cpu / MILLIS_PER_UNIT;
+        write!(f, "{} {}: {used}/{total}", self.name, self.machines)?;
+        if self.total.gpu > 0 {
+            let used = self.used.gpu / MILLIS_PER_UNIT;
+            let total = self.total.gpu / MILLIS_PER_UNIT;
+            write!(f, " and {used}/{total} accelerators")?;
         }
         Ok(())
     }
 }
 
-/// The machines that are up, for the log.
+/// The number of machines that are up, and the use of their resources by type.
 #[derive(Default)]
 struct MachineUsage<'a> {
     up: usize,
-    /// Those on which nothing new is placed.
+    /// The number of machines that are up but take no new tasks.
     unschedulable: usize,
     by_type: BTreeMap<&'a str, TypeUsage<'a>>,
 }
 
 impl Scheduler {
-    /// How many machines are up, what they give and how much of it is in use.
+    /// Counts the machines that are up, their resources and how much of these is in use.
     fn machine_usage(&self) -> MachineUsage<'_> {
         let mut usage = MachineUsage::default();
         for machine in self.inventory.iter().filter(|machine| machine.is_up()) {
@@ -50,12 +52,12 @@
             of_type.name = name;
             of_type.machines += 1;
             of_type.used = of_type.used.plus(&machine.allocations.used());
-            of_type.all = of_type.all.plus(&machine.machine_type.size);
+            of_type.total = of_type.total.plus(&machine.machine_type.size);
         }
         usage
     }
 
-    /// One line for the log.
+    /// Returns a one-line summary of jobs, machines and records for the log.
     pub fn summary(&self) -> String {
         let active = self.job_table.values().filter(|job| job.is_active());
         let waiting: usize = active.map(|job| job.tasks.idle().len()).sum();
--- a/crates/saltpitch-core/src/token_bucket.rs
+++ b/crates/saltpitch-core/src/token_bucket.rs
@@ -1,21 +1,21 @@
-//! A token bucket: keeps requests to a rate that several clients share.
+//! A token bucket that limits the rate of requests where several clients share a rate limit.
 //!
-//! Tokens come in at a steady rate up to the bucket's capacity; each request spends some.
+//! Tokens are added at a steady rate up to the bucket's capacity, and each request spends some.
 
 use crate::time::Micros;
 
-/// A leader's buckets hold this many seconds' worth of their rate, and are as full at first: others may have
-/// used up the rest.
+/// The capacity and the initial tokens of a leader's bucket, in seconds of its rate. It is less than a second
+/// because other clients may have used the rest.
 const LEADER_CAPACITY_SECONDS: f64 = 0.5;
-/// Buckets of single requests hold at least one token, or else they would never let anything pass.
-const MIN_CAPACITY: f64 = 1.0;
+/// The smallest capacity of a bucket for single requests. With less than one token it would never grant one.
+const MIN_CAPACITY_TOKENS: f64 = 1.0;
 
-/// How much of a shared rate one client may use now.
+/// One client's share of a rate limit.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// Tokens a second.
+    /// The number of tokens added per second.
     rate: f64,
-    /// The capacity in seconds' worth of the rate, unless `min_capacity` is more.
+    /// The capacity in seconds of the rate, unless `min_capacity` is larger.
     capacity_seconds: f64,
     min_capacity: f64,
     tokens: f64,
@@ -23,20 +23,20 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds one second's worth of its rate, and is full.
+    /// Creates a full bucket that holds the tokens of one second.
     pub fn per_second(rate: f64) -> TokenBucket {
         TokenBucket {
             rate,
             capacity_seconds: 1.0,
-            min_capacity: MIN_CAPACITY,
-            tokens: rate.max(MIN_CAPACITY),
+            min_capacity: MIN_CAPACITY_TOKENS,
+            tokens: rate.max(MIN_CAPACITY_TOKENS),
             updated_at: Micros::ZERO,
         }
     }
 
-    /// A bucket that holds `burst` tokens, and is full.
+    /// Creates a full bucket that holds `burst` tokens.
     pub fn with_burst(rate: f64, burst: f64) -> TokenBucket {
-        let capacity = burst.max(MIN_CAPACITY);
+        let capacity = burst.max(MIN_CAPACITY_TOKENS);
         TokenBucket {
             rate,
             capacity_seconds: 0.0,
@@ -46,8 +46,8 @@
         }
     }
 
-    /// A leader's bucket: it holds half a second's worth of its rate, or `burst` if that is more, and
-    /// begins with the former.
+    /// Creates a leader's bucket. It holds the tokens of half a second, or `burst` if that is more, and starts
+    /// with the tokens of half a second.
     pub fn for_leader(rate: f64, burst: f64, now: Micros) -> TokenBucket {
         TokenBucket {
             rate,
@@ -58,19 +58,20 @@
         }
     }
 
-    /// How many tokens may be spent now.
+    /// Returns the number of tokens that may be spent now. It can be negative if [`TokenBucket::spend`] took
+    /// more tokens than there were.
     pub fn available(&mut self, now: Micros) -> f64 {
         self.refill(self.capacity(), now);
         self.tokens
     }
 
-    /// Spends tokens, whether they are there or not.
+    /// Spends tokens even if there are not enough.
     pub fn spend(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
 
-    /// Spends tokens if as many are there. A request of more than the bucket holds is granted once that
-    /// many would have come in.
+    /// Spends tokens if there are enough, and returns whether it did. A request for more tokens than the
+    /// capacity is granted once that many have been added.
     pub fn try_spend(&mut self, tokens: f64, now: Micros) -> bool {
         self.refill(self.capacity().max(tokens), now);
         let granted = self.tokens >= tokens;
@@ -80,18 +81,18 @@
         granted
     }
 
-    /// When this many tokens are there, as of the last refill.
+    /// Returns the time at which this many tokens will be available, as of the last refill.
     pub fn ready_at(&self, tokens: f64) -> Micros {
         let wait = ((tokens - self.tokens) / self.rate).max(0.0);
         self.updated_at.plus(Micros::from_secs_f64(wait))
     }
 
-    /// Changes the rate.
+    /// Sets the number of tokens added per second.
     pub fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
     }
 
-    /// Lowers the rate to this one, unless it is lower already.
+    /// Lowers the rate to `rate`, unless it is lower already.
     pub fn lower_rate(&mut self, rate: f64) {
         self.rate = self.rate.min(rate);
     }
