--- a/crates/saltpitch-core/src/controller/leader_election.rs
+++ b/crates/saltpitch-core/src/controller/leader_election.rs
@@ -53,10 +53,10 @@
 impl Controller {
     /// Returns whether and when to campaign. `random` spreads the candidates' delays.
     pub fn candidacy(&self, now: Micros, random: u64) -> Candidacy {
-        let ready = self.synced && self.announced && self.catalog.is_some();
+        let is_ready = self.synced && self.announced && self.catalog.is_some();
         let is_leaderless =
             leadership::is_leaderless(&self.records, &self.config.name, self.incarnation);
-        if self.is_leader() || !ready || !is_leaderless {
+        if self.is_leader() || !is_ready || !is_leaderless {
             return Candidacy::No;
         }
         if self.records.leader.is_some() {
--- a/crates/saltpitch-core/src/controller/mod.rs
+++ b/crates/saltpitch-core/src/controller/mod.rs
@@ -122,7 +122,7 @@
     /// When this controller last received a cancellation.
     last_cancellation_at: Option<Micros>,
     leadership: Option<Leadership>,
-    /// Incremented at each begin and end of a leadership, so that late answers do not reach a later one.
+    /// Incremented at each beginning and end of a leadership, so that late answers do not reach a later one.
     epoch: u64,
     /// Until when this controller lets others become leader first, after it has resigned.
     deferring_until: Micros,
--- a/crates/saltpitch-core/src/controller/record_sync.rs
+++ b/crates/saltpitch-core/src/controller/record_sync.rs
@@ -178,8 +178,8 @@
     }
 
     /// Returns whether this controller received a cancellation so shortly before its last success with the
-    /// state service that a leader may have missed it. A leader that lost the state service earlier than
-    /// that would have lost its leadership lease by the last success.
+    /// state service that a leader may have missed it. If the cancellation is older, a leader that missed it
+    /// had lost the state service so early that its leadership lease had expired by that success.
     pub(super) fn has_fresh_cancellation(&self, last_success_at: Option<Micros>) -> bool {
         let margin = LEADERSHIP_LEASE.times(2.0);
         match (self.last_cancellation_at, last_success_at) {
--- a/crates/saltpitch-core/src/scheduler/job_table/allocation.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/allocation.rs
@@ -1,56 +1,56 @@
-//! Where a task is, or is assumed to be.
+//! The allocation of a task to a machine.
 
 use std::sync::Arc;
 
 use crate::time::Micros;
 
-/// A task's place on a machine.
+/// The allocation of a task to a machine, assumed or on record.
 #[derive(Clone, Debug)]
 pub(crate) struct Allocation {
-    /// The machine.
+    /// The name of the machine.
     pub machine: Arc<str>,
     /// The epoch of the machine's agent for which the task is placed.
     pub agent_epoch: u64,
-    /// The attempt that is, or is to be, started there.
+    /// The number of the attempt to start on the machine.
     pub attempt: u32,
-    /// It is on record: from then on the start may be sent.
+    /// Whether the allocation is on record. The start may only be sent afterwards.
     pub committed: bool,
-    /// It is part of the transaction in flight.
+    /// Whether the allocation is part of the transaction in flight.
     pub in_transaction: bool,
-    /// What the agent's heartbeats say of the task.
+    /// The state of the task according to the agent's heartbeats.
     pub observed: ObservedState,
-    /// The sequence number of the heartbeat whose answer last carried the start.
+    /// The sequence number of the heartbeat whose answer last contained the start.
     pub start_sequence: u64,
-    /// The start was sent at least once: it may be executed any time later.
+    /// Whether the start was sent at least once. The agent may then execute it at any later time.
     pub start_sent: bool,
     /// When the task was placed.
     pub placed_at: Micros,
-    /// When the task was first seen running.
+    /// When a heartbeat first showed the task running.
     pub running_since: Option<Micros>,
-    /// The task is to be stopped.
+    /// The request to stop the task, if there is one.
     pub stop: Option<StopRequest>,
 }
 
-/// What an agent's heartbeats say of a task.
+/// The state of a task according to its agent's heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ObservedState {
-    /// Nothing yet.
+    /// No heartbeat has shown the task yet.
     Unseen,
-    /// It waits for its image.
+    /// The task waits for its image to be fetched.
     Fetching,
-    /// It waits for the other tasks of its gang.
+    /// The task waits for the other tasks of its gang.
     Waiting,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It was stopped and saves its progress.
+    /// The task was told to stop and saves its progress.
     Saving,
 }
 
-/// The task is to be stopped.
+/// A request to stop a task.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StopRequest {
-    /// The time that it gets to save its progress.
+    /// The time that the task has to save its progress.
     pub grace: Micros,
-    /// When it was first asked to stop.
+    /// When the stop was first requested.
     pub requested_at: Micros,
 }
--- a/crates/saltpitch-core/src/scheduler/job_table/classes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/classes.rs
@@ -1,13 +1,13 @@
-//! What is known of each class of jobs.
+//! The classes of jobs, with their service-level objectives and their averages of run time and task count.
 
 use crate::scheduler::{Objective, ObjectiveTarget};
 
-/// How much a job's task count moves the mean of its class, once there is one.
+/// The weight of a new job in the moving average of its class's task counts. The first job sets the average.
 const MEAN_TASKS_WEIGHT: f64 = 0.03;
-/// How much one task's run time moves the ratio of its class.
+/// The weight of one task in the moving average of its class's run time ratio.
 const RUN_TIME_WEIGHT: f64 = 0.05;
 
-/// One class of jobs.
+/// A class of jobs.
 pub(in crate::scheduler) struct Class {
     name: String,
     objectives: Vec<ObjectiveTarget>,
@@ -16,30 +16,30 @@
 }
 
 impl Class {
-    /// The service-level objectives of its jobs.
+    /// Returns the service-level objectives of the class's jobs.
     pub(in crate::scheduler) fn objectives(&self) -> &[ObjectiveTarget] {
         &self.objectives
     }
 
-    /// Run times seen, divided by the owners' estimates.
+    /// Returns the moving average of the tasks' run times, each divided by the owner's estimate.
     pub(in crate::scheduler) fn run_time_ratio(&self) -> f64 {
         self.run_time_ratio
     }
 
-    /// The mean task count of its jobs, the later ones counting more.
+    /// Returns the moving average of the jobs' task counts.
     pub(in crate::scheduler) fn mean_tasks(&self) -> f64 {
         self.mean_tasks
     }
 }
 
-/// All classes, by the number that their jobs carry.
+/// All classes, indexed by the number that is stored in their jobs.
 #[derive(Default)]
 pub(in crate::scheduler) struct ClassTable {
     classes: Vec<Class>,
 }
 
 impl ClassTable {
-    /// The number of a class, which is added if it is new.
+    /// Returns the number of the class with this name. Adds the class if it is new.
     pub(in crate::scheduler) fn number_of(
         &mut self,
         name: &str,
@@ -49,27 +49,29 @@
         if let Some(number) = known {
             return number;
         }
-        let own = objectives.iter().filter(|own| own.class == name);
+        let of_class = objectives
+            .iter()
+            .filter(|objective| objective.class == name);
         self.classes.push(Class {
             name: name.to_owned(),
-            objectives: own.map(|objective| objective.target).collect(),
+            objectives: of_class.map(|objective| objective.target).collect(),
             run_time_ratio: 1.0,
             mean_tasks: 0.0,
         });
         self.classes.len() - 1
     }
 
-    /// The class with this number.
+    /// Returns the class with this number.
     pub(in crate::scheduler) fn get(&self, number: usize) -> Option<&Class> {
         self.classes.get(number)
     }
 
-    /// The service-level objectives of a class.
+    /// Returns the service-level objectives of the class with this number.
     pub(in crate::scheduler) fn objectives(&self, number: usize) -> &[ObjectiveTarget] {
         self.get(number).map_or(&[][..], Class::objectives)
     }
 
-    /// A job with so many tasks was submitted.
+    /// Records that a job with this number of tasks was submitted.
     pub(in crate::scheduler) fn note_job(&mut self, number: usize, tasks: u32) {
         let Some(class) = self.classes.get_mut(number) else {
             return;
@@ -81,7 +83,7 @@
         class.mean_tasks += (f64::from(tasks) - class.mean_tasks) * weight;
     }
 
-    /// A task ran for this many times its owner's estimate.
+    /// Records a task's run time, given as a ratio to its owner's estimate.
     pub(in crate::scheduler) fn note_run_time(&mut self, number: usize, ratio: f64) {
         if let Some(class) = self.classes.get_mut(number) {
             class.run_time_ratio += (ratio - class.run_time_ratio) * RUN_TIME_WEIGHT;
--- a/crates/saltpitch-core/src/scheduler/job_table/job.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/job.rs
@@ -1,4 +1,4 @@
-//! A job as the scheduler keeps it in memory.
+//! The in-memory state of a job.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,25 +12,25 @@
 use crate::scheduler::failure_history::FailureHistory;
 use crate::time::Micros;
 
-/// When what happened to a job, on this controller's steady clock.
+/// The times of events in a job's life, on this controller's steady clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct JobTimes {
-    /// When it was submitted.
+    /// When the job was submitted.
     pub submitted_at: Micros,
-    /// When its waits began: submitted, or released by its last dependency.
+    /// When the job started to wait for placement: its submission, or the end of its last dependency.
     pub queued_at: Micros,
-    /// When a task of it was placed last.
+    /// When a task of the job was last placed.
     pub last_placed_at: Micros,
-    /// When it became idle as a whole again.
+    /// When the last placed task of a gang was removed from its machine, so that the whole gang was idle.
     pub last_idle_at: Micros,
-    /// When it last came back from another cell.
+    /// When the job last returned from another cell.
     pub last_returned_at: Micros,
-    /// When its last task was found done.
+    /// When the last of its tasks was found done.
     pub done_at: Option<Micros>,
 }
 
 impl JobTimes {
-    /// Of a job that was submitted at this time.
+    /// Creates the times of a job that was submitted at this time.
     pub(in crate::scheduler) fn new(submitted_at: Micros) -> JobTimes {
         JobTimes {
             submitted_at,
@@ -39,28 +39,28 @@
         }
     }
 
-    /// Since when the job has waited to be served.
+    /// Returns since when the job has waited for a placement.
     pub(in crate::scheduler) fn waiting_since(&self) -> Micros {
         self.last_placed_at.max(self.queued_at)
     }
 }
 
-/// Until when what is not tried for a job.
+/// The times before which the scheduler does not retry certain actions for a job.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct JobBackoff {
-    /// Nothing of it is placed before then.
+    /// When the job's tasks may be placed again.
     pub place_after: Micros,
-    /// No tasks are preempted for it before then.
+    /// When tasks may be preempted for the job again.
     pub preempt_after: Micros,
-    /// Capacity is being made where its image is, and awaited until then.
+    /// Until when the job waits for capacity that is being freed on machines that have its image.
     pub near_image_until: Option<Micros>,
 }
 
-/// A job that is not over.
+/// A job that has not ended.
 pub(crate) struct Job {
-    /// Its id.
+    /// The job's id.
     pub id: Arc<str>,
-    /// Its description.
+    /// The specification that its user submitted.
     pub spec: Arc<JobSpec>,
     /// The number of its class.
     pub class: usize,
@@ -68,47 +68,48 @@
     pub team: usize,
     /// The revision of its record.
     pub revision: u64,
-    /// Whether it was cancelled.
+    /// Whether the job is active or was cancelled.
     pub state: JobState,
-    /// Which cell it is with.
+    /// Which cell the job currently belongs to.
     pub owner: JobOwner,
-    /// The cell that it is run for, if that is another one.
+    /// The origin cell and its terms, if another cell delegated the job to this one.
     pub guest: Option<Box<Guest>>,
-    /// Dependencies that are not done yet. As long as there are any, it is in no queue and holds nothing of
+    /// The dependencies that are not done yet. While there are any, the job is in no queue and uses nothing of
     /// its team's limit or quota.
     pub unmet_dependencies: BTreeSet<Arc<str>>,
-    /// The highest priority of this job and of those that depend on it.
+    /// The highest priority of this job and of the jobs that depend on it.
     pub priority: Priority,
-    /// Until when it must be done for the deadlines of those that depend on it.
+    /// When the job must be done so that the jobs that depend on it can meet their deadlines.
     pub dependents_deadline: Option<Micros>,
-    /// Its rank in the queue, as of the last pass; the last as long as there was none.
+    /// The job's rank in the queue as of the last pass, or the lowest rank before the first pass.
     pub rank: u8,
-    /// Its tasks.
+    /// The job's tasks.
     pub tasks: TaskSet,
-    /// The checkpoint of each range of tasks; of revision 0 if it is not on record.
+    /// The checkpoint of each range of tasks. Its revision is 0 if it is not on record.
     pub checkpoints: Vec<Checkpoint>,
-    /// Where it stands between submission and start, if it is a gang.
+    /// The state of a gang between submission and start.
     pub gang: Gang,
-    /// What failed, and what that says.
+    /// The failures of the job's tasks, and what they show about the job and its machines.
     pub failures: FailureHistory,
-    /// When what happened to it.
+    /// The times of events in the job's life.
     pub times: JobTimes,
-    /// Until when what is not tried for it.
+    /// The times before which certain actions are not retried.
     pub backoff: JobBackoff,
 }
 
 impl Job {
-    /// Its user has cancelled it, or something that it depends on is cancelled.
+    /// Returns whether the job was cancelled, either by its user or with a job that it depends on.
     pub(in crate::scheduler) fn is_cancelled(&self) -> bool {
         self.state == JobState::Cancelled
     }
 
-    /// Every task has completed.
+    /// Returns whether every task has completed. A service never completes.
     pub(in crate::scheduler) fn is_complete(&self) -> bool {
         self.spec.kind != JobKind::Service && self.tasks.done() == self.spec.tasks
     }
 
-    /// Its tasks may be placed: it is neither over nor delegated, and its dependencies are done.
+    /// Returns whether the job's tasks may be placed: it has neither ended nor been delegated, and its
+    /// dependencies are done.
     pub(in crate::scheduler) fn is_active(&self) -> bool {
         self.owner == JobOwner::Here
             && self.state == JobState::Active
@@ -116,17 +117,17 @@
             && self.unmet_dependencies.is_empty()
     }
 
-    /// The task's allocation, if it is placed.
+    /// Returns the task's allocation, if it is placed.
     pub(in crate::scheduler) fn allocation(&self, task: u32) -> Option<&Allocation> {
         self.tasks.allocation(task)
     }
 
-    /// The task's allocation, if it is placed.
+    /// Returns the task's allocation for modification, if it is placed.
     pub(in crate::scheduler) fn allocation_mut(&mut self, task: u32) -> Option<&mut Allocation> {
         self.tasks.allocation_mut(task)
     }
 
-    /// The attempt number of the task's next start. The tasks of a gang share theirs.
+    /// Returns the attempt number of the task's next start. All tasks of a gang have the same attempt number.
     pub(in crate::scheduler) fn next_attempt(&self, task: u32) -> u32 {
         let last = match self.spec.kind {
             JobKind::Gang => self.tasks.highest_attempt(),
@@ -137,7 +138,7 @@
         last + 1
     }
 
-    /// The task is placed in this zone.
+    /// Records that the task is placed in this zone.
     pub(in crate::scheduler) fn place(
         &mut self,
         task: u32,
@@ -145,14 +146,16 @@
         zone: &Arc<str>,
         now: Micros,
     ) {
-        // What is assumed at the gang barrier may have to be given back.
+        // An allocation that is only assumed at the gang barrier may be released again, so it does not count
+        // as placed yet.
         if allocation.committed || self.spec.kind != JobKind::Gang {
             self.times.last_placed_at = now;
         }
         self.tasks.place(task, allocation, zone);
     }
 
-    /// The task has completed. Returns whether that is news; services have no outcome.
+    /// Records that the task has completed. Returns whether that is new. The tasks of services have no
+    /// outcome, so the result is false for them.
     pub(in crate::scheduler) fn complete_task(&mut self, task: u32, now: Micros) -> bool {
         if self.spec.kind == JobKind::Service || !self.tasks.complete(task) {
             return false;
--- a/crates/saltpitch-core/src/scheduler/job_table/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/mod.rs
@@ -1,8 +1,8 @@
-//! The jobs that are not over, and the indexes by which the scheduler finds them.
+//! The jobs that have not ended, and the indexes by which the scheduler finds them.
 //!
-//! Owns each [`Job`] and which of them are active, by age, and which have tasks to place. Invariant: a job
-//! is in `active_by_age` from [`JobTable::enqueue`] to [`JobTable::dequeue`], and in `unplaced` only
-//! while it has idle tasks.
+//! The table owns each [`Job`], the index of active jobs by age, and the index of jobs with tasks to place.
+//! Invariant: a job is in `active_by_age` from [`JobTable::enqueue`] to [`JobTable::dequeue`], and in
+//! `unplaced` only while it has idle tasks.
 
 pub(super) mod allocation;
 pub(super) mod classes;
@@ -20,7 +20,7 @@
 use job::Job;
 use timelines::EndedJobs;
 
-/// The rank of a job that no pass has ranked yet, or that is in no queue.
+/// The rank of a job that no placement pass has ranked yet, or that is in no queue.
 const UNRANKED: u8 = u8::MAX;
 
 /// The jobs in memory.
@@ -31,51 +31,51 @@
     last_number: JobNumber,
     active_by_age: BTreeSet<(Micros, JobNumber)>,
     unplaced: BTreeSet<JobNumber>,
-    /// Jobs whose cancellation a peer has acknowledged and that this controller's copy of the records
-    /// does not have yet.
+    /// The ids of jobs whose cancellation a peer has acknowledged before this controller's copy of the records
+    /// has the jobs.
     early_cancellations: HashSet<String>,
     pub(super) classes: ClassTable,
     pub(super) ended: EndedJobs,
 }
 
 impl JobTable {
-    /// The job with this number.
+    /// Returns the job with this number.
     pub(super) fn get(&self, number: JobNumber) -> Option<&Job> {
         self.jobs.get(&number)
     }
 
-    /// The job with this number.
+    /// Returns the job with this number for modification.
     pub(super) fn get_mut(&mut self, number: JobNumber) -> Option<&mut Job> {
         self.jobs.get_mut(&number)
     }
 
-    /// The number of the job with this id.
+    /// Returns the number of the job with this id.
     pub(super) fn number_of(&self, id: &str) -> Option<JobNumber> {
         self.by_id.get(id).copied()
     }
 
-    /// The job with this id.
+    /// Returns the job with this id.
     pub(super) fn find(&self, id: &str) -> Option<&Job> {
         self.get(self.number_of(id)?)
     }
 
-    /// All jobs that are not over.
+    /// Returns all jobs that have not ended.
     pub(super) fn values(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// How many jobs are not over.
+    /// Returns the number of jobs that have not ended.
     pub(super) fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// A number that no job has had.
+    /// Returns a new number that no job has had.
     pub(super) fn next_number(&mut self) -> JobNumber {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Adds a job. It is in no queue yet.
+    /// Adds a job without queueing it.
     pub(super) fn insert(&mut self, number: JobNumber, job: Job) {
         self.by_id.insert(job.id.clone(), number);
         self.jobs.insert(number, job);
@@ -86,11 +86,11 @@
         self.dequeue(number);
         let job = self.jobs.remove(&number)?;
         self.by_id.remove(&job.id);
-        self.ended.remember(&job);
+        self.ended.push(&job);
         Some(job)
     }
 
-    /// The job's tasks may be placed from now on.
+    /// Queues a job, so that its tasks may be placed from now on.
     pub(super) fn enqueue(&mut self, number: JobNumber) {
         if let Some(job) = self.jobs.get(&number) {
             self.active_by_age.insert((job.times.queued_at, number));
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Nothing more of this job is to be placed.
+    /// Takes a job out of the queue, so that no more of its tasks are placed.
     pub(super) fn dequeue(&mut self, number: JobNumber) {
         self.unplaced.remove(&number);
         if let Some(job) = self.jobs.get_mut(&number) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The job's idle tasks have changed.
+    /// Updates the index of jobs with idle tasks after the job's idle tasks have changed.
     pub(super) fn update_unplaced(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -119,22 +119,24 @@
         }
     }
 
-    /// Active jobs, the oldest first.
+    /// Returns the active jobs, starting with the oldest.
     pub(super) fn active_by_age(&self) -> impl ExactSizeIterator<Item = JobNumber> + '_ {
         self.active_by_age.iter().map(|(_, number)| *number)
     }
 
-    /// Active jobs with tasks that are neither done nor placed.
+    /// Returns the active jobs with idle tasks.
     pub(super) fn unplaced(&self) -> &BTreeSet<JobNumber> {
         &self.unplaced
     }
 
-    /// A peer acknowledged the cancellation of a job that is not known here yet.
+    /// Records that a peer acknowledged the cancellation of a job that this controller's copy of the records
+    /// does not have yet.
     pub(super) fn record_early_cancellation(&mut self, id: &str) {
         self.early_cancellations.insert(id.to_owned());
     }
 
-    /// Whether a peer acknowledged the cancellation of this job, which becomes known now.
+    /// Returns whether a peer acknowledged the cancellation of this job before the job was known here, and
+    /// removes the entry.
     pub(super) fn take_early_cancellation(&mut self, id: &str) -> bool {
         self.early_cancellations.remove(id)
     }
--- a/crates/saltpitch-core/src/scheduler/job_table/task_set.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/task_set.rs
@@ -1,7 +1,7 @@
 //! The tasks of one job, and which of them are idle, placed, deferred or done.
 //!
-//! Invariant: a task is in exactly one of these states. Only a done task may be placed as well, until its
-//! agent's heartbeat is reconciled.
+//! Invariant: a task is in exactly one of these states, except that a done task may still be placed until
+//! its agent's heartbeat is reconciled.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -9,14 +9,14 @@
 
 use super::allocation::Allocation;
 
-/// One task.
+/// The state of one task.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Task {
-    /// The highest attempt so far.
+    /// The highest attempt number so far.
     pub attempt: u32,
-    /// It has completed.
+    /// Whether the task has completed.
     pub done: bool,
-    /// Where it is placed.
+    /// The task's allocation, if it is placed.
     pub allocation: Option<Box<Allocation>>,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl TaskSet {
-    /// So many tasks, all idle.
+    /// Creates a set of `count` idle tasks.
     pub(in crate::scheduler) fn new(count: u32) -> TaskSet {
         TaskSet {
             tasks: vec![Task::default(); count as usize],
@@ -45,79 +45,79 @@
         }
     }
 
-    /// How many tasks there are.
+    /// Returns the number of tasks.
     pub(in crate::scheduler) fn len(&self) -> usize {
         self.tasks.len()
     }
 
-    /// The task with this index.
+    /// Returns the task with this index.
     pub(in crate::scheduler) fn get(&self, task: u32) -> Option<&Task> {
         self.tasks.get(task as usize)
     }
 
-    /// The task with this index.
+    /// Returns the task with this index for modification.
     pub(in crate::scheduler) fn get_mut(&mut self, task: u32) -> Option<&mut Task> {
         self.tasks.get_mut(task as usize)
     }
 
-    /// A range of tasks.
+    /// Returns the tasks with these indexes, or none if the range exceeds the set.
     pub(in crate::scheduler) fn range(&self, tasks: Range<u32>) -> &[Task] {
         let tasks = tasks.start as usize..tasks.end as usize;
         self.tasks.get(tasks).unwrap_or_default()
     }
 
-    /// All tasks.
+    /// Returns all tasks.
     pub(in crate::scheduler) fn iter(&self) -> impl Iterator<Item = &Task> {
         self.tasks.iter()
     }
 
-    /// The task's allocation, if it is placed.
+    /// Returns the task's allocation, if it is placed.
     pub(in crate::scheduler) fn allocation(&self, task: u32) -> Option<&Allocation> {
         self.get(task)?.allocation.as_deref()
     }
 
-    /// The task's allocation, if it is placed.
+    /// Returns the task's allocation for modification, if it is placed.
     pub(in crate::scheduler) fn allocation_mut(&mut self, task: u32) -> Option<&mut Allocation> {
         self.get_mut(task)?.allocation.as_deref_mut()
     }
 
-    /// Tasks that may be placed: neither placed nor done nor deferred.
+    /// Returns the tasks that may be placed: those that are neither placed nor done nor deferred.
     pub(in crate::scheduler) fn idle(&self) -> &BTreeSet<u32> {
         &self.idle
     }
 
-    /// How many tasks are placed.
+    /// Returns the number of placed tasks.
     pub(in crate::scheduler) fn placed(&self) -> u32 {
         self.placed
     }
 
-    /// How many tasks have completed.
+    /// Returns the number of completed tasks.
     pub(in crate::scheduler) fn done(&self) -> u32 {
         self.done
     }
 
-    /// How many tasks are placed in each zone.
+    /// Returns the number of placed tasks in each zone.
     pub(in crate::scheduler) fn zones(&self) -> &BTreeMap<Arc<str>, u32> {
         &self.zones
     }
 
-    /// All tasks were placed at one time.
+    /// Returns whether all tasks were placed or done at one time.
     pub(in crate::scheduler) fn was_fully_placed(&self) -> bool {
         self.was_fully_placed
     }
 
-    /// Nothing is placed, done or deferred.
+    /// Returns whether no task is placed, done or deferred.
     pub(in crate::scheduler) fn is_all_idle(&self) -> bool {
         self.placed == 0 && self.done == 0 && self.deferred.is_empty()
     }
 
-    /// The highest attempt of any task.
+    /// Returns the highest attempt number of any task.
     pub(in crate::scheduler) fn highest_attempt(&self) -> u32 {
         let attempts = self.tasks.iter().map(|task| task.attempt);
         attempts.max().unwrap_or(0)
     }
 
-    /// Takes over what the records say of a task.
+    /// Restores a task's state from the records.
     pub(in crate::scheduler) fn restore(&mut self, task: u32, attempt: u32, done: bool) {
         let Some(state) = self.tasks.get_mut(task as usize) else {
             return;
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The task is placed in this zone.
+    /// Records that the task is placed in this zone.
     pub(super) fn place(&mut self, task: u32, allocation: Allocation, zone: &Arc<str>) {
         let Some(state) = self.tasks.get_mut(task as usize) else {
             return;
@@ -143,7 +143,8 @@
         *self.zones.entry(zone.clone()).or_default() += 1;
     }
 
-    /// The task is not placed any more. `zone` is where it was, if its machine is still known.
+    /// Removes and returns the task's allocation. `zone` is the zone of its machine, if the machine is still
+    /// known.
     pub(in crate::scheduler) fn unplace(
         &mut self,
         task: u32,
@@ -151,9 +152,9 @@
     ) -> Option<Box<Allocation>> {
         let state = self.tasks.get_mut(task as usize)?;
         let allocation = state.allocation.take()?;
-        let unused = !allocation.committed && !allocation.start_sent;
-        if unused && state.attempt == allocation.attempt {
-            // Its start was never sent: the attempt number was not used.
+        let was_never_started = !allocation.committed && !allocation.start_sent;
+        if was_never_started && state.attempt == allocation.attempt {
+            // The start was never sent, so the attempt number is still unused.
             state.attempt -= 1;
         }
         if !state.done {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The task has completed. Returns whether that is news.
+    /// Records that the task has completed. Returns whether that is new.
     pub(super) fn complete(&mut self, task: u32) -> bool {
         let state = self.tasks.get_mut(task as usize);
         let Some(state) = state.filter(|state| !state.done) else {
@@ -187,7 +188,7 @@
         true
     }
 
-    /// Takes an idle task out until [`TaskSet::end_deferral`]. Returns whether it was idle.
+    /// Defers an idle task until [`TaskSet::end_deferral`]. Returns whether it was idle.
     pub(in crate::scheduler) fn defer(&mut self, task: u32) -> bool {
         let was_idle = self.idle.remove(&task);
         if was_idle {
--- a/crates/saltpitch-core/src/scheduler/job_table/timelines.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/timelines.rs
@@ -1,4 +1,4 @@
-//! Where the time of jobs went, for the operators' log.
+//! Timelines of jobs, for the operators' log.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,22 +6,22 @@
 use super::Job;
 use crate::time::Micros;
 
-/// How many jobs are remembered after their end.
-const MAX_ENDED: usize = 64;
+/// The number of ended jobs whose timelines are kept.
+const MAX_ENDED_JOBS: usize = 64;
 
-/// Where a job's time went, as far as this leader saw it; all times count from the submission.
+/// The timeline of a job as far as this leader observed it. All times are relative to the submission.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct JobTimeline {
-    /// When its last dependency was done; zero if it has none.
+    /// When the last dependency was done, or zero if the job has none.
     pub released: Micros,
-    /// When its last task was placed, zero if none was.
+    /// When the job's last task was placed, or zero if none was.
     pub last_placed: Micros,
-    /// The highest attempt of any of its tasks: above 1, tasks were lost or stopped.
+    /// The highest attempt number of any task. A number above 1 shows that tasks were lost or stopped.
     pub attempts: u32,
 }
 
 impl JobTimeline {
-    /// The timeline of a job so far.
+    /// Returns the timeline of a job so far.
     pub(in crate::scheduler) fn of(job: &Job) -> JobTimeline {
         JobTimeline {
             released: job.times.queued_at.since(job.times.submitted_at),
@@ -31,24 +31,24 @@
     }
 }
 
-/// The timelines of jobs that ended last. Their final records are written before this controller's copy
-/// of the records shows it, and the log's line on the end of a job is written only then.
+/// The timelines of the jobs that ended last. A job leaves memory when its final record is written, but the
+/// log line about its end is only written when this controller's copy of the records shows that record.
 #[derive(Default)]
 pub(in crate::scheduler) struct EndedJobs {
     timelines: VecDeque<(Arc<str>, JobTimeline)>,
 }
 
 impl EndedJobs {
-    /// The job has ended.
-    pub(in crate::scheduler) fn remember(&mut self, job: &Job) {
-        if self.timelines.len() >= MAX_ENDED {
+    /// Adds the timeline of a job that has ended, and removes the oldest one if there are too many.
+    pub(in crate::scheduler) fn push(&mut self, job: &Job) {
+        if self.timelines.len() >= MAX_ENDED_JOBS {
             self.timelines.pop_front();
         }
         self.timelines
             .push_back((job.id.clone(), JobTimeline::of(job)));
     }
 
-    /// The timeline of a job that ended a short while ago.
+    /// Returns the timeline of a recently ended job.
     pub(in crate::scheduler) fn get(&self, id: &str) -> Option<JobTimeline> {
         let ended = self.timelines.iter().find(|(ended, _)| **ended == *id);
         ended.map(|(_, timeline)| *timeline)
