--- a/crates/saltpitch-core/src/scheduler/job_table/job.rs
+++ b/crates/saltpitch-core/src/scheduler/job_table/job.rs
@@ -81,7 +81,7 @@
     pub priority: Priority,
     /// When the job must be done so that the jobs that depend on it can meet their deadlines.
     pub dependents_deadline: Option<Micros>,
-    /// The job's rank in the queue as of the last pass, or the lowest rank before the first pass.
+    /// The rank of the job in the queue as of the last pass, or the last rank if there was no pass yet.
     pub rank: u8,
     /// The job's tasks.
     pub tasks: TaskSet,
