--- a/crates/saltpitch-core/src/controller/agent_heartbeats.rs
+++ b/crates/saltpitch-core/src/controller/agent_heartbeats.rs
@@ -41,7 +41,10 @@
         let fencing_token = leadership.scheduler.term();
         let seen_token = heartbeat.fencing_token;
         let machine = heartbeat.machine.clone();
-        match leadership.scheduler.heartbeat_received(heartbeat, is_returned, now) {
+        match leadership
+            .scheduler
+            .heartbeat_received(heartbeat, is_returned, now)
+        {
             Ok(commands) => HeartbeatAnswer::Commands {
                 fencing_token,
                 commands,
--- a/crates/saltpitch-core/src/controller/mod.rs
+++ b/crates/saltpitch-core/src/controller/mod.rs
@@ -270,7 +270,9 @@
         }
         if let Some(leadership) = &mut self.leadership {
             let is_returned = |name: &str| self.records.returned_machines.contains(name);
-            leadership.scheduler.machines_listed(page, &is_returned, now);
+            leadership
+                .scheduler
+                .machines_listed(page, &is_returned, now);
         }
     }
 
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -155,7 +155,9 @@
         let mut jobs = unplaced.filter_map(|number| self.job_table.get(*number));
         let has_waited =
             |job: &Job| now.since(job.waiting_locally_since()) > MAX_WAIT_OF_SHORT_QUEUE;
-        jobs.any(|job| job.is_active() && job.guest.is_none() && !job.is_at_fault() && has_waited(job))
+        jobs.any(|job| {
+            job.is_active() && job.guest.is_none() && !job.is_at_fault() && has_waited(job)
+        })
     }
 
     /// Returns whether the machines found have free resources for all tasks of the job.
