--- a/crates/saltpitch-core/src/images.rs
+++ b/crates/saltpitch-core/src/images.rs
@@ -1,13 +1,13 @@
 //! Which machines hold which images, as far as the records prove it.
 //!
-//! The records name no images, yet they say where each task was placed and that it completed, and a
-//! machine must have had a task's image for that. Every controller follows the records, so whichever of
-//! them leads next knows the caches of machines that it has never heard of before.
+//! The records don't list the images on machines, but they show where each task was placed and that it
+//! completed, and for that the machine must have had the task's image. Every controller follows the
+//! records, so the next leader knows the caches of machines from which it has received nothing yet.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The most images remembered for one machine; the least recently used are forgotten first.
+/// The most images remembered for one machine; the least recently used one is dropped first.
 const MAX_IMAGES_PER_MACHINE: usize = 16;
 
 /// One image in a machine's cache.
@@ -22,20 +22,21 @@
 /// The cache of one machine in one of its epochs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ImageCache {
-    /// The epoch in which the images were used. What a later epoch still has is not known.
+    /// The agent's epoch in which the images were used. Which of them it still has in a later epoch is
+    /// unknown.
     pub agent_epoch: u64,
-    /// The images, the most recently used last.
+    /// The images, with the most recently used one last.
     pub images: Vec<CachedImage>,
 }
 
-/// The images that machines are known to have used, by the machine's name.
+/// The images that machines are known to have used, by machine name.
 #[derive(Clone, Debug, Default)]
 pub struct ImageLocations {
     machines: HashMap<String, ImageCache>,
 }
 
 impl ImageLocations {
-    /// A task with this image ran on the machine.
+    /// Records that a task with this image ran on the machine.
     pub fn record_use(&mut self, machine: &str, agent_epoch: u64, image: &str, size_mb: u64) {
         let cache = match self.machines.get_mut(machine) {
             Some(cache) => cache,
@@ -49,8 +50,8 @@
             cache.images.clear();
         }
         let images = &mut cache.images;
-        let entry = match images.iter().position(|i| &*i.name == image) {
-            Some(at) => images.remove(at),
+        let entry = match images.iter().position(|cached| &*cached.name == image) {
+            Some(index) => images.remove(index),
             None => CachedImage {
                 name: image.into(),
                 size_mb,
@@ -62,12 +63,12 @@
         }
     }
 
-    /// The machine was returned.
+    /// Removes a machine that was returned.
     pub fn remove_machine(&mut self, machine: &str) {
         self.machines.remove(machine);
     }
 
-    /// What is known of a machine's cache.
+    /// Returns what is known of a machine's cache.
     pub fn cache_of(&self, machine: &str) -> Option<&ImageCache> {
         self.machines.get(machine)
     }
--- a/crates/saltpitch-core/src/job.rs
+++ b/crates/saltpitch-core/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as users submit them: the description, whether it can ever run, and the state.
+//! Jobs as users submit them: the description, whether the job can ever run, and its state.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 /// The most tasks one job may have.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// A job's number within the memory of one leader; never stored or sent.
+/// The number of a job in the memory of one leader; it is never stored or sent.
 pub type JobNumber = u32;
 
 /// How the tasks of a job belong together.
@@ -34,14 +34,14 @@
     Normal,
     /// Above normal.
     High,
-    /// Serves customers: before everything else, and capacity is kept warm for it.
+    /// For work that serves customers: it is placed before everything else, and a warm pool is kept for it.
     Production,
 }
 
 /// A job's description. It never changes once the job is accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The class that service-level objectives are set for.
+    /// The job's class; service-level objectives are set for each class.
     pub class: String,
     /// The team whose quota the job counts against.
     pub team: String,
@@ -51,18 +51,18 @@
     pub priority: Priority,
     /// How many tasks the job has.
     pub tasks: u32,
-    /// What each task takes of its machine.
+    /// The resources that each task needs on its machine.
     pub need: Resources,
-    /// The machine types that tasks may run on; `None` for all.
+    /// The machine types that tasks may run on; `None` if they may run on all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The zone that tasks have to run in; `None` for any.
+    /// The zone that tasks have to run in; `None` if they may run in any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Whether all tasks have to run in the same zone.
     #[serde(default)]
     pub one_zone: bool,
-    /// Whether the tasks are to be spread over zones, at most half of them in one.
+    /// Whether the tasks have to be spread over zones, with at most half of them in one.
     #[serde(default)]
     pub spread: bool,
     /// Whether tasks may run on spot machines.
@@ -72,19 +72,19 @@
     pub image: String,
     /// The image's size, in thousandths of a gigabyte.
     pub image_mb: u64,
-    /// How long a task runs, by its owner's estimate.
+    /// How long a task runs, as estimated by its owner.
     pub estimate: Micros,
-    /// The interval between a task's checkpoints; zero if it saves none.
+    /// The interval between a task's checkpoints; zero if it writes none.
     #[serde(rename = "checkpoint")]
     pub checkpoint_interval: Micros,
     /// How long a task takes to save its progress when it is stopped.
     #[serde(rename = "save")]
     pub save_time: Micros,
-    /// When the job should be done, counted from its submission.
+    /// The time from submission within which the job should be done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Micros>,
-    /// Jobs that have to be done before any task of this one starts. Left out where there are none:
-    /// earlier versions don't know the field.
+    /// The ids of jobs that have to be done before any task of this one starts. The field is omitted if
+    /// there are none, since earlier versions don't know it.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
 }
@@ -92,19 +92,19 @@
 /// Why a job can never run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Infeasible {
-    /// The settings name no such team.
+    /// The team is not in the settings.
     #[error("unknown team")]
-    Team,
+    UnknownTeam,
     /// No machine type that the job allows is large enough for a task.
     #[error("no allowed machine type holds a task")]
-    Size,
-    /// What has to run at the same time is more than the team's limit.
+    TaskTooLarge,
+    /// The tasks that have to run at the same time need more than the team's limit.
     #[error("the job needs more than its team's limit")]
-    Limit,
+    ExceedsTeamLimit,
 }
 
 impl JobSpec {
-    /// Whether a task of this job may run on a machine of this type, zone and kind.
+    /// Whether a task of this job may run on a machine of this type in this zone, a spot machine or not.
     pub fn allows(&self, type_name: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot) && self.allows_zone(zone) && self.allows_type(type_name)
     }
@@ -118,31 +118,33 @@
         self.zone.as_deref().is_none_or(|allowed| allowed == zone)
     }
 
-    /// Whether the job could run on an empty site with every machine that is offered.
+    /// Checks whether the job could run on an empty site with every machine that the catalog offers.
     pub fn can_ever_run(&self, catalog: &Catalog, teams: &[TeamLimits]) -> Result<(), Infeasible> {
         let team = teams.iter().find(|team| team.name == self.team);
-        let team = team.ok_or(Infeasible::Team)?;
-        if !catalog.types.iter().any(|kind| self.fits_type(kind)) {
-            return Err(Infeasible::Size);
+        let team = team.ok_or(Infeasible::UnknownTeam)?;
+        let mut types = catalog.types.iter();
+        if !types.any(|machine_type| self.fits_type(machine_type)) {
+            return Err(Infeasible::TaskTooLarge);
         }
-        let at_the_same_time = match self.kind {
+        let concurrent_need = match self.kind {
             JobKind::Array => self.need,
             JobKind::Gang | JobKind::Service => self.need.times(u64::from(self.tasks)),
         };
-        if !team.allows(&at_the_same_time) {
-            return Err(Infeasible::Limit);
+        if !team.allows(&concurrent_need) {
+            return Err(Infeasible::ExceedsTeamLimit);
         }
         Ok(())
     }
 
-    /// Whether a machine type that the job allows holds a task in a zone that the job allows.
-    fn fits_type(&self, kind: &MachineType) -> bool {
-        self.need.fits(&kind.size)
-            && self.allows_type(&kind.name)
-            && kind.zones.iter().any(|zone| self.allows_zone(zone))
+    /// Whether the job allows this machine type in one of its zones and a task fits on it.
+    fn fits_type(&self, machine_type: &MachineType) -> bool {
+        let mut zones = machine_type.zones.iter();
+        self.need.fits(&machine_type.size)
+            && self.allows_type(&machine_type.name)
+            && zones.any(|zone| self.allows_zone(zone))
     }
 
-    /// The most tasks that may be in one zone at a time.
+    /// Returns the most tasks that may be in one zone at a time.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -161,16 +163,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// Waiting or running.
+    /// The job waits or runs.
     Active,
     /// All tasks have completed.
     Done,
-    /// Cancelled by a user, or with a job that it depends on.
+    /// The job was cancelled by a user, or together with a job that it depends on.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether the state never changes any more.
+    /// Whether the state can't change any more.
     pub fn is_final(self) -> bool {
         self != JobState::Active
     }
--- a/crates/saltpitch-core/src/machine_index.rs
+++ b/crates/saltpitch-core/src/machine_index.rs
@@ -1,5 +1,5 @@
-//! The machines' index, kept up by events: which machines have free capacity, by type, zone and kind. A
-//! placement pass asks it instead of looking at every machine.
+//! An index of the machines with free capacity, by type, zone and whether they are spot machines. It is
+//! updated by events, so that a placement pass does not have to examine every machine.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
@@ -15,68 +15,70 @@
 /// The position of a group in [`MachineIndex::groups`].
 pub type GroupNumber = usize;
 
-/// The most needs for which a group remembers how far it was searched: users choose them freely.
+/// The most needs for which a group remembers how far it was searched; bounded, since users choose
+/// needs freely.
 const MAX_SEARCHES: usize = 4_096;
-/// How long an empty machine is kept until the policy says otherwise.
+/// How long an empty machine is kept before the policy is first applied.
 const DEFAULT_IDLE_KEEP: Micros = Micros::from_secs(60);
 /// The number of priorities.
 const PRIORITIES: usize = 4;
 
-/// What the index knows of one machine; lives in the machine.
+/// What the index stores about one machine; it is kept in the machine itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IndexEntry {
     group: GroupNumber,
-    /// What was free when the machine was last indexed as taking tasks.
+    /// The free capacity with which the machine is indexed; `None` if it takes no tasks.
     free: Option<Resources>,
-    /// Processors that it then gave to batch work.
+    /// The processors for batch work that its group counts for it.
     batch_cpu: u64,
 }
 
-/// A place in the order in which a group is searched: the machines with fewest free processors first.
+/// A position in the order in which a group is searched: the machines with the fewest free processors
+/// first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SearchPosition {
     free_cpu: u64,
     machine: Arc<str>,
 }
 
-/// How far the search for one need has come in a group.
+/// How far a group has been searched for one need.
 #[derive(Clone, Debug, Default)]
 struct SearchProgress {
-    /// The group's count of growths when a search of the whole of it found nothing.
+    /// The group's `capacity_increases` when a search of the whole group found nothing.
     exhausted_at: Option<u64>,
-    /// Where a search that was cut short goes on.
+    /// The position after which a search that was cut short continues.
     resume_after: Option<SearchPosition>,
 }
 
-/// What a search of a group's free capacity came to.
+/// The result of a search of a group's free capacity.
 #[derive(Debug)]
 pub struct SearchResult {
-    /// The machines on which the need fits, those with fewest free processors first.
+    /// The machines on which the need fits, those with the fewest free processors first.
     pub machines: Vec<Arc<str>>,
-    /// How many machines were looked at.
+    /// One for the search itself, and one for each machine that was examined.
     pub steps: u64,
 }
 
-/// Machines of one type, zone and kind.
+/// The machines of one type in one zone, either all spot machines or none.
 #[derive(Debug)]
 pub struct MachineGroup {
     /// Their type.
     pub machine_type: Arc<MachineType>,
     /// Their zone.
     pub zone: Arc<str>,
-    /// Whether the cloud may take them back.
+    /// Whether they are spot machines, which the cloud may take back.
     pub spot: bool,
     members: BTreeSet<Arc<str>>,
-    /// What is free on the machines that take tasks and have processors left.
+    /// The free capacity of the machines that take tasks and have free processors.
     free_capacity: BTreeMap<SearchPosition, Resources>,
-    /// Counts whenever a machine's free capacity grows.
-    growths: u64,
+    /// How often the free capacity of a machine has increased.
+    capacity_increases: u64,
     searches: FxHashMap<Resources, SearchProgress>,
-    /// Placed tasks by priority.
+    /// The number of placed tasks, by priority.
     tasks: [u32; PRIORITIES],
     batch_cpu: u64,
     idle_keep: Micros,
-    /// The last of the members that were handed out in turn.
+    /// The last member that [`MachineGroup::next_members`] returned.
     cursor: Option<Arc<str>>,
 }
 
@@ -86,8 +88,8 @@
     type_name: String,
     zone: Arc<str>,
     spot: bool,
-    /// Whether the catalogue knew the type: one that it did not know has no size, and is not the same as
-    /// one of that name which it knows.
+    /// Whether the catalog knew the type when its first machine was added. A type that it did not know
+    /// has no size, and differs from a type of the same name that it knows.
     is_known_type: bool,
 }
 
@@ -96,9 +98,9 @@
 pub struct MachineIndex {
     groups: Vec<MachineGroup>,
     by_key: HashMap<GroupKey, GroupNumber>,
-    /// How many machines there are, by zone.
+    /// The number of machines, by zone.
     machines_by_zone: HashMap<Arc<str>, usize>,
-    /// How many machines have an image, by image and zone.
+    /// The number of machines that have an image, by image and zone.
     image_holders: HashMap<String, HashMap<Arc<str>, usize>>,
 }
 
@@ -119,7 +121,7 @@
             spot,
             members: BTreeSet::new(),
             free_capacity: BTreeMap::new(),
-            growths: 0,
+            capacity_increases: 0,
             searches: FxHashMap::default(),
             tasks: [0; PRIORITIES],
             batch_cpu: 0,
@@ -128,12 +130,12 @@
         }
     }
 
-    /// Processors that its machines give to batch work.
+    /// Returns the processors that its machines provide for batch work.
     pub fn batch_cpu(&self) -> u64 {
         self.batch_cpu
     }
 
-    /// How long an empty machine is kept.
+    /// Returns how long an empty machine is kept.
     pub fn idle_keep(&self) -> Micros {
         self.idle_keep
     }
@@ -143,29 +145,31 @@
         self.idle_keep = idle_keep;
     }
 
-    /// Whether tasks of a lower priority are placed here.
+    /// Whether tasks of a lower priority are placed on machines of the group.
     pub fn has_tasks_below(&self, priority: Priority) -> bool {
         let below = &self.tasks[..priority_index(priority)];
         below.iter().any(|tasks| *tasks > 0)
     }
 
-    /// The next members in turn, at most `count`: a bounded part of the group for each pass.
+    /// Returns the next members in turn, at most `count`, so that each pass examines a bounded part of
+    /// the group.
     pub fn next_members(&mut self, count: usize) -> Vec<Arc<str>> {
         let after = self.cursor.take().unwrap_or_else(|| Arc::from(""));
         let bounds = (Bound::Excluded(&after), Bound::Unbounded);
         let later = self.members.range::<Arc<str>, _>(bounds);
-        let mut part: Vec<Arc<str>> = later.take(count).cloned().collect();
-        if part.len() < count {
-            let rest = count - part.len();
+        let mut members: Vec<Arc<str>> = later.take(count).cloned().collect();
+        if members.len() < count {
+            let missing = count - members.len();
             let from_start = self.members.iter().take_while(|machine| **machine <= after);
-            part.extend(from_start.take(rest).cloned());
+            members.extend(from_start.take(missing).cloned());
         }
-        self.cursor = part.last().cloned();
-        part
+        self.cursor = members.last().cloned();
+        members
     }
 
-    /// Looks for `need` on up to `limit` machines. A search that found nothing and was cut short goes on
-    /// where it ended; one that found nothing on the whole group is not repeated before the group grows.
+    /// Searches up to `limit` machines for free capacity for `need`. A search that found nothing and
+    /// was cut short is continued by the next one; a search of the whole group that found nothing is
+    /// not repeated before the free capacity of one of its machines increases.
     pub fn search(&mut self, need: &Resources, limit: usize) -> SearchResult {
         let mut result = SearchResult {
             machines: Vec::new(),
@@ -175,7 +179,7 @@
             self.searches.clear();
         }
         let progress = self.searches.entry(*need).or_default();
-        if progress.exhausted_at == Some(self.growths) {
+        if progress.exhausted_at == Some(self.capacity_increases) {
             return result;
         }
         let resume_after = progress.resume_after.take();
@@ -186,7 +190,7 @@
                 machine: Arc::from(""),
             }),
         };
-        let is_whole = matches!(start, Bound::Included(_));
+        let starts_at_first = matches!(start, Bound::Included(_));
         let mut cut_short_at = None;
         for (position, free) in self.free_capacity.range((start, Bound::Unbounded)) {
             if result.steps as usize > limit {
@@ -199,15 +203,15 @@
             }
         }
         if result.machines.is_empty() {
-            if cut_short_at.is_none() && is_whole {
-                progress.exhausted_at = Some(self.growths);
+            if cut_short_at.is_none() && starts_at_first {
+                progress.exhausted_at = Some(self.capacity_increases);
             }
             progress.resume_after = cut_short_at;
         }
         result
     }
 
-    /// A machine's free capacity changed; `None`: it takes no tasks.
+    /// Updates a machine's free capacity, which is `None` if it takes no tasks.
     fn set_free_capacity(
         &mut self,
         machine: &Arc<str>,
@@ -229,40 +233,40 @@
             self.free_capacity.insert(new_position, free);
         }
         if new.is_some_and(|new| old.is_none_or(|old| !new.fits(&old))) {
-            self.growths += 1;
+            self.capacity_increases += 1;
         }
     }
 }
 
 impl MachineIndex {
-    /// All groups, in the order in which their first machines came.
+    /// Returns all groups, in the order in which their first machines were added.
     pub fn groups(&self) -> &[MachineGroup] {
         &self.groups
     }
 
-    /// All groups, to search them or hand out their members in turn.
+    /// Returns all groups, to search them, to get their members in turn or to set their idle time.
     pub fn groups_mut(&mut self) -> &mut [MachineGroup] {
         &mut self.groups
     }
 
-    /// The group that a machine is in.
+    /// Returns the group of a machine.
     pub fn group_of(&self, machine: &Machine) -> &MachineGroup {
         &self.groups[machine.index_entry.group]
     }
 
-    /// How many machines there are in a zone.
+    /// Returns the number of machines in a zone.
     pub fn machines_in_zone(&self, zone: &str) -> usize {
         self.machines_by_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// How many machines of the zone that has most of them have this image.
+    /// Returns the number of machines with this image in the zone that has the most of them.
     pub fn image_holders(&self, image: &str) -> usize {
         let zones = self.image_holders.get(image);
         let most = zones.and_then(|zones| zones.values().max().copied());
         most.unwrap_or(0)
     }
 
-    /// A machine became known. It counts as taking no tasks until it is updated.
+    /// Adds a machine. It is indexed as taking no tasks until it is updated.
     pub fn add(&mut self, machine: &mut Machine) {
         let number = self.group_number(&machine.machine_type, &machine.zone, machine.spot);
         machine.index_entry.group = number;
@@ -271,7 +275,7 @@
         *count.or_default() += 1;
     }
 
-    /// The group of such machines, made if need be.
+    /// Returns the number of the group of such machines, which is created if there is none.
     fn group_number(
         &mut self,
         machine_type: &Arc<MachineType>,
@@ -294,7 +298,7 @@
         number
     }
 
-    /// A machine is gone.
+    /// Removes a machine that is gone.
     pub fn remove(&mut self, machine: &mut Machine) {
         self.set_free_capacity(machine, None);
         let images = ImageChanges {
@@ -309,7 +313,7 @@
         }
     }
 
-    /// Anything about the machine that counts for placement may have changed.
+    /// Updates the index after a change of the machine that may matter for placement.
     pub fn update(&mut self, machine: &mut Machine) {
         let free = machine.is_schedulable().then(|| machine.free());
         self.set_free_capacity(machine, free);
@@ -330,7 +334,7 @@
         }
     }
 
-    /// Images came to a machine of this zone or fell out of its cache.
+    /// Updates the number of machines with an image after changes of the cache of a machine in this zone.
     pub fn images_changed(&mut self, zone: &Arc<str>, changes: &ImageChanges) {
         for image in &changes.added {
             let zones = self.image_holders.entry(image.clone()).or_default();
@@ -344,12 +348,12 @@
         }
     }
 
-    /// A task of this priority was placed on the machine.
+    /// Counts a task of this priority that was placed on the machine.
     pub fn task_placed(&mut self, machine: &Machine, priority: Priority) {
         *self.tasks_mut(machine, priority) += 1;
     }
 
-    /// A task of this priority is gone from the machine.
+    /// Removes a task of this priority that is no longer placed on the machine.
     pub fn task_released(&mut self, machine: &Machine, priority: Priority) {
         let tasks = self.tasks_mut(machine, priority);
         *tasks = tasks.saturating_sub(1);
--- a/crates/saltpitch-core/src/placement.rs
+++ b/crates/saltpitch-core/src/placement.rs
@@ -1,22 +1,22 @@
-//! Scoring: which of the machines on which a task fits it is best placed on.
+//! Scoring: rates the machines on which a task fits, so that it is placed on the best one.
 
 use crate::job::JobSpec;
 use crate::machine::Machine;
 
-/// Microseconds in the unit of the score, a millisecond of delay.
+/// Microseconds of delay that add one point to the score.
 const MICROS_PER_POINT: u64 = 1_000;
-/// What it costs to place a task that may run on a spot machine on an ordinary one: those are left to tasks
-/// that can run nowhere else.
-const ORDINARY_FOR_SPOT_PENALTY: u64 = 2_000;
-/// What it costs to place a task on an empty machine rather than on a full one: bin packing empties others,
-/// which can be returned.
+/// The penalty for placing a task that may run on spot machines on an on-demand machine: these are left
+/// to tasks that can't run anywhere else.
+const ON_DEMAND_PENALTY: u64 = 2_000;
+/// The penalty for placing a task on an empty machine rather than on a full one: bin packing empties other
+/// machines, which can then be returned.
 const EMPTY_MACHINE_PENALTY: u64 = 1_000;
-/// What it costs to place a task without accelerators beside some: they are left to those who need them as
-/// long as there is other free capacity.
+/// The penalty for placing a task without accelerators on a machine that has some: these are left to
+/// tasks that need accelerators, as long as there is other free capacity.
 const UNUSED_ACCELERATORS_PENALTY: u64 = 15_000;
 
-/// How well a task of this job is placed on the machine; lower is better. The unit is about a millisecond of
-/// delay, with money counted alongside.
+/// Returns how well a task of this job would be placed on the machine; lower is better. A point is about a
+/// millisecond of delay; costs are counted in the same unit.
 pub fn score(spec: &JobSpec, machine: &Machine) -> u64 {
     fetch_penalty(spec, machine)
         + spot_penalty(spec, machine)
@@ -34,7 +34,7 @@
 
 fn spot_penalty(spec: &JobSpec, machine: &Machine) -> u64 {
     if spec.spot && !machine.spot {
-        ORDINARY_FOR_SPOT_PENALTY
+        ON_DEMAND_PENALTY
     } else {
         0
     }
--- a/crates/saltpitch-core/src/scheduler/allocations.rs
+++ b/crates/saltpitch-core/src/scheduler/allocations.rs
@@ -1,5 +1,6 @@
-//! Allocations: assumed, released, stopped and completed. What an allocation takes is counted in the job,
-//! on the machine, in the machine index, in the team's quota and in the autoscaler's load at once.
+//! Allocations: how they are assumed, released, stopped and completed. Each allocation is counted at
+//! the same time in the job, on the machine, in the machine index, in the team's quota and in the
+//! autoscaler's load.
 
 use std::sync::Arc;
 
@@ -7,20 +8,20 @@
 use crate::job::{JobNumber, JobState};
 use crate::time::Micros;
 
-/// Where a task goes.
+/// A task and the machine on which it is placed.
 pub(super) struct Assignment {
     pub(super) job: JobNumber,
     pub(super) task: u32,
     pub(super) machine: Arc<str>,
-    /// The epoch in which the machine's agent was when the task was placed.
+    /// The epoch of the machine's agent for which the task is placed.
     pub(super) agent_epoch: u64,
     pub(super) attempt: u32,
-    /// Whether it is on record already.
+    /// Whether the allocation is on record already.
     pub(super) committed: bool,
 }
 
 impl Scheduler {
-    /// Counts a task as placed from now on.
+    /// Places a task: it counts as allocated from now on.
     pub(super) fn allocate(&mut self, assignment: Assignment, now: Micros) {
         let Assignment {
             job: number,
@@ -44,7 +45,8 @@
             in_transaction: false,
             observed: ObservedState::Unseen,
             start_sequence: 0,
-            // An earlier leader may have sent the start; its doubts end with this leader's fencing token.
+            // An earlier leader may have sent the start. That is uncertain until the agent has this
+            // leader's fencing token.
             start_sent: committed,
             placed_at: now,
             running_since: None,
@@ -52,7 +54,7 @@
         };
         job.place(task, allocation, &machine.zone, now);
         if committed {
-            // What an earlier epoch says is older than this.
+            // Heartbeats of an earlier epoch are older than this allocation.
             machine.agent.epoch_recorded(agent_epoch);
             self.dispatch.await_effect(&name);
         }
@@ -62,7 +64,8 @@
         self.job_table.update_unplaced(number);
     }
 
-    /// A task is proven to be off its machine, or its start was never sent.
+    /// Releases the allocation of a task that is proven gone from its machine or whose start was never
+    /// sent.
     pub(super) fn release(&mut self, number: JobNumber, task: u32, now: Micros) {
         let Some(job) = self.job_table.get_mut(number) else {
             return;
@@ -81,15 +84,15 @@
         self.inventory
             .task_released(&name, number, task, &job.spec, now);
         self.job_table.update_unplaced(number);
-        // Where the outcome of a transaction is unknown, the record is written again: it must not keep an
-        // allocation that memory has dropped.
+        // If the allocation is in a transaction whose outcome is unknown, the record is written again:
+        // it must not keep an allocation that is gone from memory.
         if allocation.committed || allocation.in_transaction {
             self.persistence.task_ended(number, task, now);
         }
         self.placement_pass.request();
     }
 
-    /// Stops every placed task of a job; those whose start was never sent are released at once.
+    /// Stops every placed task of a job. Tasks whose start was never sent are released at once.
     pub(super) fn stop_all(&mut self, number: JobNumber, grace: Micros, now: Micros) {
         let Some(job) = self.job_table.get(number) else {
             return;
@@ -102,7 +105,8 @@
         }
     }
 
-    /// Stops a task with this time to save its progress; a shorter time replaces a longer one.
+    /// Stops a task, which gets the time `grace` to save its progress; a shorter time replaces a longer
+    /// one.
     pub(super) fn stop(&mut self, number: JobNumber, task: u32, grace: Micros, now: Micros) {
         let job = self.job_table.get_mut(number);
         let Some(allocation) = job.and_then(|job| job.allocation_mut(task)) else {
@@ -112,9 +116,9 @@
             self.release(number, task, now);
             return;
         }
-        let sooner = allocation.stop.is_none_or(|known| grace < known.grace);
-        if sooner {
-            let requested_at = allocation.stop.map_or(now, |known| known.requested_at);
+        let is_sooner = allocation.stop.is_none_or(|earlier| grace < earlier.grace);
+        if is_sooner {
+            let requested_at = allocation.stop.map_or(now, |earlier| earlier.requested_at);
             allocation.stop = Some(StopRequest {
                 grace,
                 requested_at,
@@ -124,22 +128,23 @@
         self.dispatch.request_until_effect(&name);
     }
 
-    /// Marks a job that is over, and of which nothing is left on any machine, for its final record.
+    /// If the job is over and none of its tasks is left on a machine, takes it out of the queue and
+    /// marks it for its final record.
     pub(super) fn finish_if_over(&mut self, number: JobNumber) {
         let Some(job) = self.job_table.get(number) else {
             return;
         };
-        let over = match job.state {
+        let is_over = match job.state {
             JobState::Cancelled => true,
             JobState::Active | JobState::Done => job.is_complete(),
         };
-        if over && job.tasks.placed() == 0 {
+        if is_over && job.tasks.placed() == 0 {
             self.job_table.dequeue(number);
             self.persistence.job_finished(number);
         }
     }
 
-    /// A task ended with its result kept.
+    /// Marks a task as done: it completed, and its result is kept.
     pub(super) fn task_done(&mut self, number: JobNumber, task: u32, now: Micros) {
         let Some(job) = self.job_table.get_mut(number) else {
             return;
