--- a/crates/saltpitch-core/src/scheduler/dependency_gate.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -1,8 +1,8 @@
-//! Jobs that depend on others (DAG dependencies): one more gate before the queue, in the spirit of the
-//! source's PreEnqueue.
+//! Jobs that depend on others (DAG dependencies): a further gate before the queue, modelled on the
+//! PreEnqueue gate of gangs.
 //!
-//! Owns which jobs wait for which. A gated job holds nothing of the queue, of its team's quota or of any
-//! machine; the event that its last dependency is done releases it, nothing is polled.
+//! Owns which jobs wait for which. A gated job takes no place in the queue, no quota of its team and no
+//! capacity of a machine. The event that its last dependency is done releases it; nothing is polled.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,36 +12,37 @@
 use crate::records::RecordCache;
 use crate::time::Micros;
 
-/// How much longer than its estimate a dependency is expected to run.
+/// The run time that is allowed for a job of a chain, as a multiple of its estimate.
 const RUN_TIME_MARGIN: f64 = 1.3;
-/// Between two jobs of a chain: the outcome goes on record, the next is placed and fetches its image.
-const HANDOVER: Micros = Micros::from_secs(5);
+/// The time that is allowed between two jobs of a chain: the outcome of the first is written to the
+/// records, and the second is placed and fetches its image.
+const HANDOVER_TIME: Micros = Micros::from_secs(5);
 
-/// The jobs that wait for others, by the id of what they depend on.
+/// The jobs that wait for others, by the id of the job that they depend on.
 #[derive(Default)]
 pub(super) struct DependencyGate {
     dependents: HashMap<Arc<str>, Vec<JobNumber>>,
 }
 
 impl DependencyGate {
-    /// The job waits for this dependency.
-    fn wait_for(&mut self, dependency: Arc<str>, job: JobNumber) {
+    /// Adds a job that waits for this dependency.
+    fn add_dependent(&mut self, dependency: Arc<str>, job: JobNumber) {
         self.dependents.entry(dependency).or_default().push(job);
     }
 
-    /// The jobs that wait for this one.
+    /// Returns the jobs that wait for this one.
     pub(super) fn dependents_of(&self, id: &str) -> Vec<JobNumber> {
         self.dependents.get(id).cloned().unwrap_or_default()
     }
 
-    /// The jobs that wait for this one, which is over: they are not kept any longer.
+    /// Removes and returns the jobs that wait for this one, which is over.
     fn take_dependents(&mut self, id: &str) -> Vec<JobNumber> {
         self.dependents.remove(id).unwrap_or_default()
     }
 }
 
 impl Scheduler {
-    /// The job is in the queue from now on, or again after a change of leader.
+    /// Puts an active job into the queue, for the first time or again after a change of leader.
     pub(super) fn enqueue(&mut self, number: JobNumber, now: Micros) {
         let job = self.job_table.get(number);
         let Some(job) = job.filter(|job| job.is_active()) else {
@@ -53,8 +54,9 @@
         self.placement_pass.request();
     }
 
-    /// Notes which of the job's dependencies are not done on record. Done is final, so that much may be
-    /// believed of any copy of the records; what is not known there is not done.
+    /// Notes which of the job's dependencies are not done on record. Since that state is final, a job
+    /// that is done in any copy of the records is done, even if the copy is out of date. A job that is
+    /// missing there counts as not done.
     pub(super) fn resolve_dependencies(
         &mut self,
         job: &mut Job,
@@ -73,11 +75,11 @@
             }
             let dependency: Arc<str> = id.as_str().into();
             job.unmet_dependencies.insert(dependency.clone());
-            self.dependencies.wait_for(dependency, number);
+            self.dependencies.add_dependent(dependency, number);
         }
     }
 
-    /// This job is done on record since `at`: those that waited for it alone are released.
+    /// Handles that this job is done on record, since `at`: jobs that waited for nothing else are released.
     pub(super) fn dependency_completed(&mut self, id: &str, at: Micros, now: Micros) {
         for number in self.dependencies.take_dependents(id) {
             let Some(job) = self.job_table.get_mut(number) else {
@@ -93,50 +95,56 @@
         }
     }
 
-    /// This job is cancelled: so is whatever depends on it, directly or through others. None of them has
-    /// started.
+    /// Handles that this job is cancelled: all jobs that depend on it, directly or through others, are
+    /// cancelled as well. None of them has started.
     pub(super) fn dependency_cancelled(&mut self, id: &str, now: Micros) {
         for number in self.dependencies.take_dependents(id) {
             self.cancel_if_active(number, now);
         }
     }
 
-    /// Users set priority and deadline on the last job of a chain. Each of its dependencies, direct or
-    /// through others, counts as urgent as it is, and is due when the rest of the chain still has to
-    /// start.
+    /// Passes the job's priority and deadline on to its dependencies, since users set them on the last
+    /// job of a chain. Each of its direct and indirect dependencies counts as urgent as the job itself,
+    /// and is due by the time at which the rest of the chain has to start.
     pub(super) fn inherit_urgency(&mut self, number: JobNumber) {
-        let mut next = BTreeSet::from([number]);
-        while let Some(number) = next.pop_last() {
+        let mut pending = BTreeSet::from([number]);
+        while let Some(number) = pending.pop_last() {
             let job = self.job_table.get(number);
             let Some(job) = job.filter(|job| job.state == JobState::Active) else {
                 continue;
             };
             let priority = job.priority;
-            let due = self.due_before(job);
+            let due = self.dependencies_due(job);
             let dependencies = job.unmet_dependencies.iter();
             let dependencies: Vec<JobNumber> = dependencies
                 .filter_map(|id| self.job_table.number_of(id))
                 .collect();
             for dependency in dependencies {
                 if self.raise_urgency(dependency, priority, due) {
-                    next.insert(dependency);
+                    pending.insert(dependency);
                 }
             }
         }
     }
 
-    /// When the dependencies of this job must be done for its sake.
-    fn due_before(&self, job: &Job) -> Option<Micros> {
-        let run_time = self.estimate(job).times(RUN_TIME_MARGIN).plus(HANDOVER);
-        let own = job
+    /// Returns when the dependencies of this job must be done so that it can be in time.
+    fn dependencies_due(&self, job: &Job) -> Option<Micros> {
+        let run_time = self
+            .estimate(job)
+            .times(RUN_TIME_MARGIN)
+            .plus(HANDOVER_TIME);
+        let own_deadline = job
             .spec
             .deadline
             .map(|within| job.times.submitted_at.plus(within));
-        let due = own.into_iter().chain(job.dependents_deadline).min();
+        let due = own_deadline
+            .into_iter()
+            .chain(job.dependents_deadline)
+            .min();
         due.map(|due| due.since(run_time))
     }
 
-    /// Returns whether the job has become more urgent.
+    /// Raises a job's priority and brings its due time forward. Returns whether it has become more urgent.
     fn raise_urgency(
         &mut self,
         number: JobNumber,
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of jobs on record: jobs that appear, are cancelled, or are restored by a new leader.
+//! Handles changes of jobs on record: jobs that are submitted, cancelled, or restored by a new leader.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::records::{Checkpoint, JobEntry, RecordCache, TASKS_PER_CHECKPOINT};
 use crate::time::Micros;
 
-/// A place that the records show of a task.
+/// The allocation of a task as the records show it.
 struct RecordedAllocation {
     task: u32,
     machine: String,
@@ -20,23 +20,24 @@
 }
 
 impl Scheduler {
-    /// Where the job's time went, if it runs or has ended a short while ago.
+    /// Returns the timeline of a job that waits, runs or has ended recently.
     pub fn timeline(&self, id: &str) -> Option<JobTimeline> {
-        let running = self.job_table.find(id).map(JobTimeline::of);
-        running.or_else(|| self.job_table.ended.get(id))
+        let current = self.job_table.find(id).map(JobTimeline::of);
+        current.or_else(|| self.job_table.ended.get(id))
     }
 
-    /// A peer acknowledged the cancellation of a job, although the records that this controller has don't
-    /// show it. What runs is stopped and nothing more is placed; the record catches up later.
+    /// Handles that a peer acknowledged the cancellation of a job that this controller's copy of the
+    /// records doesn't show as cancelled. Its tasks are stopped and no more are placed; the record
+    /// follows later.
     pub fn cancelled_by_peer(&mut self, id: &str, now: Micros) {
         match self.job_table.number_of(id) {
             Some(number) => self.cancel_if_active(number, now),
-            // Accepted and cancelled since this controller read the records last.
+            // The job was accepted and cancelled after this controller last read the records.
             None => self.job_table.record_early_cancellation(id),
         }
     }
 
-    /// A job's record appeared or changed.
+    /// Handles a new or changed record of a job.
     pub fn job_changed(&mut self, records: &RecordCache, id: &str, now: Micros, wall: Micros) {
         let Some(entry) = records.jobs.get(id) else {
             return;
@@ -44,7 +45,7 @@
         self.update_dependents(id, entry, now, wall);
         match self.job_table.number_of(id) {
             Some(number) => self.known_job_changed(number, entry, records, now),
-            None => self.job_appeared(id, entry, records, now, wall),
+            None => self.add_job(id, entry, records, now, wall),
         }
     }
 
@@ -81,8 +82,8 @@
         self.completed_by_host(number, records, now);
     }
 
-    /// A job that this scheduler did not know: newly submitted, or restored from the records.
-    fn job_appeared(
+    /// Adds a job that this scheduler did not know: newly submitted, or restored from the records.
+    fn add_job(
         &mut self,
         id: &str,
         entry: &JobEntry,
@@ -93,7 +94,7 @@
         let Some(spec) = entry.record.spec.clone() else {
             return;
         };
-        // The outcome of a job without tasks on machines is final as it stands.
+        // A job that is done has no tasks on machines, so its record is final.
         if entry.record.state == JobState::Done {
             return;
         }
@@ -103,27 +104,27 @@
         if job.state == JobState::Active {
             self.resolve_dependencies(&mut job, number, records, now, wall);
         }
-        let released = job.unmet_dependencies.is_empty();
+        let is_released = job.unmet_dependencies.is_empty();
         self.job_table.insert(number, job);
-        if released {
+        if is_released {
             self.enqueue(number, now);
         }
         self.inherit_urgency(number);
-        // Those that depend on it may have been read before it.
+        // Jobs that depend on this one may have been read before it.
         for dependent in self.dependencies.dependents_of(id) {
             self.inherit_urgency(dependent);
         }
-        let lost_tasks = self.restore_allocations(number, allocations, now);
-        self.restore_gang(number, lost_tasks, now);
+        let has_lost_tasks = self.restore_allocations(number, allocations, now);
+        self.restore_gang(number, has_lost_tasks, now);
         if self.job_table.get(number).is_some_and(Job::is_cancelled) {
-            self.cancel(number, now);
+            self.apply_cancellation(number, now);
         } else {
             self.finish_if_over(number);
         }
         self.placement_pass.request();
     }
 
-    /// The job as its record describes it, without tasks placed or done.
+    /// Returns the job as its record describes it, with no task placed or done.
     fn new_job(
         &mut self,
         id: &str,
@@ -133,7 +134,7 @@
         now: Micros,
         wall: Micros,
     ) -> Job {
-        let cancelled = self.job_table.take_early_cancellation(id)
+        let is_cancelled = self.job_table.take_early_cancellation(id)
             || records.job_state(id) == Some(JobState::Cancelled);
         let classes = &mut self.job_table.classes;
         let class = classes.number_of(&spec.class, &self.config.objectives);
@@ -145,7 +146,7 @@
             team: self.quota.team_index(&spec.team),
             id: id.into(),
             revision: entry.revision,
-            state: match cancelled {
+            state: match is_cancelled {
                 true => JobState::Cancelled,
                 false => entry.record.state,
             },
@@ -168,24 +169,24 @@
         }
     }
 
-    /// Restores where the job's tasks are. Returns whether some of them are lost.
+    /// Restores the allocations of the job's tasks. Returns whether some of the tasks are lost.
     fn restore_allocations(
         &mut self,
         number: JobNumber,
         allocations: Vec<RecordedAllocation>,
         now: Micros,
     ) -> bool {
-        let mut lost_tasks = false;
+        let mut has_lost_tasks = false;
         for recorded in allocations {
-            // A machine's record is written before anything is placed on it and deleted only once
-            // the machine is proven gone: no record, no task.
+            // A machine's record is written before any task is placed on it and deleted only once the
+            // machine is proven gone. So without that record the task is gone, too.
             let machine = self.inventory.get(recorded.machine.as_str());
             let name = machine.map(|machine| machine.name.clone());
             let job = self.job_table.get(number);
             let attempt = job.and_then(|job| job.tasks.get(recorded.task));
             let attempt = attempt.map(|task| task.attempt);
             let Some((name, attempt)) = name.zip(attempt) else {
-                lost_tasks = true;
+                has_lost_tasks = true;
                 self.persistence.task_ended(number, recorded.task, now);
                 continue;
             };
@@ -199,18 +200,19 @@
             };
             self.allocate(assignment, now);
         }
-        lost_tasks
+        has_lost_tasks
     }
 
-    /// A gang of which every member is still placed goes on; of any other the rest is stopped.
-    fn restore_gang(&mut self, number: JobNumber, lost_tasks: bool, now: Micros) {
+    /// Restores the state of a gang: it continues if every member is still placed; otherwise the
+    /// members that are left are stopped.
+    fn restore_gang(&mut self, number: JobNumber, has_lost_tasks: bool, now: Micros) {
         let Some(job) = self.job_table.get_mut(number) else {
             return;
         };
         if job.spec.kind != JobKind::Gang || job.tasks.placed() == 0 {
             return;
         }
-        if lost_tasks || job.tasks.placed() < job.spec.tasks {
+        if has_lost_tasks || job.tasks.placed() < job.spec.tasks {
             job.gang = GangState::Stopping;
             self.stop_all(number, Micros::ZERO, now);
         } else {
@@ -225,12 +227,13 @@
         };
         if job.state == JobState::Active {
             job.state = JobState::Cancelled;
-            self.cancel(number, now);
+            self.apply_cancellation(number, now);
         }
     }
 
-    /// The job was cancelled: allocations whose start was never sent are released, the others stopped.
-    pub(super) fn cancel(&mut self, number: JobNumber, now: Micros) {
+    /// Applies the cancellation of a job: allocations whose start was never sent are released, other
+    /// tasks are stopped, and the jobs that depend on it are cancelled as well.
+    pub(super) fn apply_cancellation(&mut self, number: JobNumber, now: Micros) {
         self.job_table.dequeue(number);
         self.stop_all(number, Micros::ZERO, now);
         self.finish_if_over(number);
@@ -241,7 +244,7 @@
     }
 }
 
-/// Takes over what the records say of a job's tasks. Returns where they were placed.
+/// Restores what the records say about a job's tasks. Returns the allocations of those that were placed.
 fn restore_tasks(job: &mut Job, id: &str, records: &RecordCache) -> Vec<RecordedAllocation> {
     for (&index, on_record) in records.checkpoints.get(id).into_iter().flatten() {
         if let Some(checkpoint) = job.checkpoints.get_mut(index as usize) {
