--- a/crates/saltpitch-core/src/gang.rs
+++ b/crates/saltpitch-core/src/gang.rs
@@ -2,24 +2,25 @@
 
 use crate::time::Micros;
 
-/// Where a gang stands between submission and its start.
+/// The state of a gang between its submission and its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GangState {
-    /// Holds nothing.
+    /// The gang holds no capacity.
     Parked {
-        /// It is not looked at before then.
+        /// It is not considered for placement before this time.
         until: Micros,
     },
     /// Some members are assumed and hold their capacity.
     Holding {
-        /// Since when it has waited at the barrier.
+        /// Since when the gang has waited at the barrier.
         since: Micros,
     },
-    /// Quorum: the members' allocations go on record together.
+    /// All members are assumed, and their allocations are written to the records together.
     Committing,
-    /// The allow loop ran: every start has been released.
+    /// The members' allocations are on record, and all of them are allowed to start.
     Allowed,
-    /// A member was lost, or the gang is stopped: no new attempt before all are gone.
+    /// A member was lost, or the gang is being stopped: there is no new attempt before all members are
+    /// gone.
     Stopping,
 }
 
@@ -31,28 +32,30 @@
     }
 }
 
-/// PreEnqueue: a member stays out of the queue until its group exists and `min_count` are known.
+/// The PreEnqueue gate: a member stays out of the queue until its group exists and at least `min_count`
+/// members are known.
 pub fn pre_enqueue(group_exists: bool, known: u32, min_count: u32) -> bool {
     group_exists && known >= min_count
 }
 
-/// What the Permit barrier says of a gang.
+/// The decision of the Permit barrier on a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
     /// All members are assumed: they may start.
     Allow,
     /// The assumed members keep their capacity and wait for the others.
     Wait,
-    /// The wait is over: release the capacity and park the gang as a whole.
-    Drop,
+    /// The wait has timed out: the capacity is released and the gang is parked as a whole.
+    TimedOut,
 }
 
-/// Permit: assumed members hold their capacity until their count reaches `min_count`.
+/// The Permit barrier: assumed members hold their capacity until their number reaches `min_count` or
+/// the wait has timed out.
 pub fn permit(assumed: u32, min_count: u32, since: Micros, now: Micros, wait: Micros) -> Permit {
     if assumed >= min_count {
         Permit::Allow
     } else if now.since(since) >= wait {
-        Permit::Drop
+        Permit::TimedOut
     } else {
         Permit::Wait
     }
--- a/crates/saltpitch-core/src/preemption.rs
+++ b/crates/saltpitch-core/src/preemption.rs
@@ -1,22 +1,23 @@
-//! Which tasks to stop so that a more urgent one finds capacity: the cheapest loss first.
+//! Selects the tasks to stop so that a more urgent one finds capacity, those with the smallest loss first.
 
 use crate::catalog::Resources;
 use crate::time::Micros;
 
-/// A task that may be stopped, and what stopping it loses.
+/// A task that may be stopped, and the work that is lost by stopping it.
 #[derive(Clone, Debug)]
 pub struct Victim<T> {
     /// The task.
     pub id: T,
-    /// What it takes of its machine.
+    /// The resources that it uses on its machine.
     pub need: Resources,
-    /// Work lost, in thousandths of a processor times milliseconds.
+    /// The lost work, in thousandths of a processor times milliseconds.
     pub loss: u64,
 }
 
-/// The cheapest set of victims on one machine that frees `need`, and their loss; `None` if all of them are
-/// not enough. `free` is what is free there now or will be once the tasks already being stopped are gone.
-pub fn choose<T: Copy>(
+/// Selects a cheap set of victims on one machine that frees `need`, and returns their loss and the
+/// victims; `None` if all of them are not enough. `free` is what is free there now or will be once the
+/// tasks that are already being stopped are gone.
+pub fn cheapest_victims<T: Copy>(
     need: &Resources,
     free: Resources,
     victims: &mut [Victim<T>],
@@ -37,19 +38,19 @@
     if !need.fits(&freed) {
         return None;
     }
-    // Victims that turned out not to be needed are spared, the most expensive first.
-    for at in (0..chosen.len()).rev() {
-        let without = freed.minus(&chosen[at].need);
-        if need.fits(&without) {
-            freed = without;
-            chosen.remove(at);
+    // Removes victims that are not needed after all, those with the largest loss first.
+    for index in (0..chosen.len()).rev() {
+        let freed_without = freed.minus(&chosen[index].need);
+        if need.fits(&freed_without) {
+            freed = freed_without;
+            chosen.remove(index);
         }
     }
     let loss = chosen.iter().map(|victim| victim.loss).sum();
     Some((loss, chosen.into_iter().map(|victim| victim.id).collect()))
 }
 
-/// Work lost when `lost` of a task's run time has to be done again.
-pub fn loss(cpu: u64, lost: Micros) -> u64 {
-    cpu.saturating_mul(lost.0 / 1_000)
+/// Returns the work that is lost when `lost_time` of a task's run time has to be repeated.
+pub fn lost_work(cpu: u64, lost_time: Micros) -> u64 {
+    cpu.saturating_mul(lost_time.0 / 1_000)
 }
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -1,7 +1,8 @@
 //! Work without accelerators on machines that have some.
 //!
-//! Accelerators are expensive. Other work uses the processors beside them only while such a machine is kept
-//! for those who need the accelerators, and makes way when it no longer is.
+//! Accelerators are expensive. Other work uses the processors beside them only while such a machine is
+//! kept for jobs that need the accelerators, and is stopped once the machine is no longer kept for
+//! them.
 
 use std::sync::Arc;
 
@@ -11,45 +12,48 @@
 use crate::machine::Machine;
 use crate::time::Micros;
 
-/// Machines of one group looked at in one pass.
+/// Machines of one group that are examined in one pass.
 const MACHINES_PER_PASS: usize = 48;
-/// Machines emptied in one pass: what is stopped there looks for other free capacity.
-const EVICTIONS_PER_PASS: usize = 4;
-/// Beyond the time that saving takes.
+/// The most machines that are emptied in one pass; the tasks that are stopped there need other free
+/// capacity.
+const MAX_EVICTED_MACHINES: usize = 4;
+/// How much longer than its save time a task gets to stop.
 const SAVE_MARGIN: Micros = Micros::from_secs(2);
 
 impl Scheduler {
-    /// Whether accelerators that other work needs make this machine type a last resort for `spec`.
-    pub(super) fn contested_for(&self, spec: &JobSpec, size: &Resources) -> bool {
+    /// Whether machines of this size are a last resort for the job, because other work needs their
+    /// accelerators.
+    pub(super) fn is_contested_for(&self, spec: &JobSpec, size: &Resources) -> bool {
         self.autoscaler
             .accelerator_demand()
             .is_contested_for(spec, size)
     }
 
-    /// Whether the job may use the machine's processors beside accelerators that others need: only while
-    /// the machine is kept for those others anyway.
+    /// Whether the job may use the machine's processors beside accelerators that other jobs need: only
+    /// while the machine is kept for those jobs anyway.
     pub(super) fn may_share_accelerators(
         &self,
         spec: &JobSpec,
         machine: &Machine,
         now: Micros,
     ) -> bool {
-        !self.contested_for(spec, &machine.machine_type.size)
+        !self.is_contested_for(spec, &machine.machine_type.size)
             || now.since(machine.allocations.last_intended_use())
                 < self.idle_time_limit(machine, now)
     }
 
-    /// Whether machines of this size may take tasks of the job at all. Machines whose accelerators others
-    /// need take only tasks that can save when they have to make way.
-    pub(super) fn ever_suits(&self, spec: &JobSpec, size: &Resources) -> bool {
-        let can_make_way = spec.kind == JobKind::Array && spec.can_save();
-        spec.need.fits(size) && (!self.contested_for(spec, size) || can_make_way)
+    /// Whether machines of this size may take tasks of the job at all. Machines whose accelerators
+    /// other jobs need take only tasks that can save their progress when they are stopped for those
+    /// jobs.
+    pub(super) fn is_suitable_size(&self, spec: &JobSpec, size: &Resources) -> bool {
+        let can_be_stopped = spec.kind == JobKind::Array && spec.can_save();
+        spec.need.fits(size) && (!self.is_contested_for(spec, size) || can_be_stopped)
     }
 
-    /// Stops what shares machines whose accelerators have not been needed for the time for which such a
-    /// machine is kept, so that they can be returned. Found in an incident: simulations of five minutes had
-    /// moved in beside accelerators, and held fifty of the most expensive machines for long after the last
-    /// job that needed them.
+    /// Stops tasks without accelerators on machines whose accelerators have not been needed for as long
+    /// as such a machine is kept, so that the machines can be returned. In an incident, five-minute
+    /// simulations had been placed beside accelerators and occupied fifty of the most expensive
+    /// machines long after the last job that needed them had ended.
     pub(super) fn end_accelerator_sharing(&mut self, now: Micros) {
         let mut candidates = Vec::new();
         for group in self.inventory.groups_mut() {
@@ -60,15 +64,16 @@
         self.steps += candidates.len() as u64;
         candidates.retain(|name| {
             let machine = self.inventory.get(name);
-            machine.is_some_and(|machine| self.sharing_is_over(machine, now))
+            machine.is_some_and(|machine| self.is_sharing_over(machine, now))
         });
-        for name in candidates.into_iter().take(EVICTIONS_PER_PASS) {
+        for name in candidates.into_iter().take(MAX_EVICTED_MACHINES) {
             self.evict_sharing(&name, now);
         }
     }
 
-    /// Whether only work that can be saved is here, and nobody has needed the accelerators for long.
-    fn sharing_is_over(&self, machine: &Machine, now: Micros) -> bool {
+    /// Whether all tasks on the machine run without accelerators and can save, and no job has needed the
+    /// accelerators for as long as the machine is kept.
+    fn is_sharing_over(&self, machine: &Machine, now: Micros) -> bool {
         let allocations = &machine.allocations;
         machine.is_schedulable()
             && !allocations.is_empty()
@@ -79,11 +84,11 @@
             && now.since(allocations.last_intended_use()) > self.idle_time_limit(machine, now)
             && allocations.iter().all(|(number, task)| {
                 let job = self.job_table.get(number);
-                job.is_some_and(|job| shares_and_saves(job, task))
+                job.is_some_and(|job| is_stoppable_without_loss(job, task))
             })
     }
 
-    /// Nothing new is placed there, and what is there is stopped with time to save.
+    /// Cordons a machine and stops the tasks on it, with time to save.
     fn evict_sharing(&mut self, name: &Arc<str>, now: Micros) {
         for (number, task) in self.cordon(name) {
             let job = self.job_table.get(number);
@@ -93,8 +98,8 @@
     }
 }
 
-/// Whether a task without accelerators runs and can be stopped without loss.
-fn shares_and_saves(job: &Job, task: u32) -> bool {
+/// Whether the task uses no accelerators, runs and can be stopped without loss.
+fn is_stoppable_without_loss(job: &Job, task: u32) -> bool {
     let Some(allocation) = job.allocation(task) else {
         return false;
     };
--- a/crates/saltpitch-core/src/scheduler/consolidation.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -1,4 +1,5 @@
-//! After a peak: replicas move off expensive or nearly empty machines, so that these can be returned.
+//! Consolidation: after a peak, moves replicas off expensive or nearly empty machines, so that these can be
+//! returned.
 
 use std::sync::Arc;
 
@@ -8,47 +9,49 @@
 use crate::machine::Machine;
 use crate::time::Micros;
 
-/// Machines of one group looked at in one pass.
+/// Machines of one group that are examined in one pass.
 const MACHINES_PER_PASS: usize = 48;
-/// Machines emptied in one pass.
-const MOVES_PER_PASS: usize = 2;
-/// A replica that was placed this recently is left where it is.
+/// The most machines that are emptied in one pass.
+const MAX_EMPTIED_MACHINES: usize = 2;
+/// A replica is moved only once it has been placed for longer than this.
 const SETTLED_AFTER: Micros = Micros::from_secs(60);
-/// Nothing has waited for this long: the peak is over.
-const CALM: Micros = Micros::from_secs(20);
-/// A place for a replica is looked for on this many machines of a group.
-const TARGETS: usize = 24;
-/// A machine of which a larger part is used, in tenths, is left as it is.
+/// The peak is over once no job has waited for this long.
+const PEAK_OVER_AFTER: Micros = Micros::from_secs(20);
+/// Machines of one group that are searched for capacity for a replica.
+const TARGETS_PER_GROUP: usize = 24;
+/// A machine of which a larger part of the processors is used, in tenths, is not emptied.
 const MAX_USED_TENTHS: u64 = 7;
-/// Scales prices so that the price of a processor keeps its digits.
+/// Factor for prices, so that the integer price of a processor keeps enough digits.
 const PRICE_SCALE: u64 = 1_000_000;
 
-/// A machine from which replicas may move, and what a processor in use costs there.
+/// A machine from which replicas may be moved, and the price of a used processor there.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Source {
-    unit_price: u64,
+    price_per_used_cpu: u64,
     machine: Arc<str>,
 }
 
-/// Where a replica would move to.
+/// The machine that a replica would be moved to, and what the replica needs there.
 struct PlannedMove {
     target: Arc<str>,
     need: Resources,
 }
 
 impl Scheduler {
-    /// Empties the machines whose replicas cost most, a few at a time, if they fit on others that
-    /// have their images. Nothing may be waiting: free capacity is not taken from anybody.
+    /// Empties the machines whose replicas cost the most, a few at a time, if the replicas fit on other
+    /// machines that have their images. This is done only while no job waits, so that no job loses free
+    /// capacity to it.
     pub(super) fn consolidate(&mut self, now: Micros) {
         if !self.job_table.unplaced().is_empty() {
-            self.placement_pass.jobs_wait(now);
+            self.placement_pass.note_waiting_jobs(now);
         }
-        if now.since(self.placement_pass.last_waiting_at()) < CALM || !self.consolidates() {
+        let calm_for = now.since(self.placement_pass.last_waiting_at());
+        if calm_for < PEAK_OVER_AFTER || !self.is_consolidation_enabled() {
             return;
         }
         let sources = self.consolidation_sources(now);
         let mut spare = self.spare_above_warm_pool(now);
-        for source in sources.into_iter().rev().take(MOVES_PER_PASS) {
+        for source in sources.into_iter().rev().take(MAX_EMPTIED_MACHINES) {
             let machine = self.inventory.get(&source.machine);
             let size = machine.map_or(0, |machine| machine.machine_type.size.cpu);
             if spare < size || !self.fits_elsewhere(&source) {
@@ -61,17 +64,18 @@
         }
     }
 
-    /// The next part of the machines from which replicas may move, the most expensive last.
+    /// Examines the next part of each group. Returns the machines from which replicas may be moved, the
+    /// most expensive last.
     fn consolidation_sources(&mut self, now: Micros) -> Vec<Source> {
         let groups = self.inventory.groups_mut().iter_mut();
         let members = groups.flat_map(|group| group.next_members(MACHINES_PER_PASS));
         let names: Vec<Arc<str>> = members.collect();
         self.steps += names.len() as u64;
         let machines = names.iter().filter_map(|name| self.inventory.get(name));
-        let movable = machines.filter(|machine| self.is_movable(machine, now));
-        let mut sources: Vec<Source> = movable
+        let to_empty = machines.filter(|machine| self.can_be_emptied(machine, now));
+        let mut sources: Vec<Source> = to_empty
             .map(|machine| Source {
-                unit_price: unit_price(machine),
+                price_per_used_cpu: price_per_used_cpu(machine),
                 machine: machine.name.clone(),
             })
             .collect();
@@ -79,8 +83,8 @@
         sources
     }
 
-    /// Whether only replicas that have run for a while are on the machine, and leave much of it free.
-    fn is_movable(&self, machine: &Machine, now: Micros) -> bool {
+    /// Whether the machine holds only replicas that may be moved, and much of it is free.
+    fn can_be_emptied(&self, machine: &Machine, now: Micros) -> bool {
         let allocations = &machine.allocations;
         machine.is_schedulable()
             && !allocations.is_empty()
@@ -91,8 +95,8 @@
             })
     }
 
-    /// Whether every replica of this machine fits, with its image, on machines that are in use anyway and are
-    /// better used or cheaper.
+    /// Whether every replica of this machine fits on machines that are in use anyway, have its image,
+    /// and are better used or cheaper.
     fn fits_elsewhere(&mut self, source: &Source) -> bool {
         let Some(machine) = self.inventory.get(&source.machine) else {
             return false;
@@ -115,8 +119,8 @@
         true
     }
 
-    /// A machine for one more replica beside the moves that are planned. In the same zone: what is spread
-    /// stays spread.
+    /// Returns a machine that has room for one more replica in addition to the planned moves. It is in
+    /// the same zone, so that jobs that are spread over zones stay spread.
     fn find_target(
         &mut self,
         spec: &JobSpec,
@@ -129,12 +133,12 @@
             if group.zone != *zone
                 || !spec.need.fits(&group.machine_type.size)
                 || !spec.allows(&group.machine_type.name, &group.zone, group.spot)
-                || self.contested_for(spec, &group.machine_type.size)
+                || self.is_contested_for(spec, &group.machine_type.size)
             {
                 continue;
             }
             let group = &mut self.inventory.groups_mut()[number];
-            let search = group.search(&spec.need, TARGETS);
+            let search = group.search(&spec.need, TARGETS_PER_GROUP);
             self.steps += search.steps;
             let found = search.machines.into_iter().find(|name| {
                 let machine = self.inventory.get(name);
@@ -149,6 +153,7 @@
     }
 }
 
+/// Whether the task is a production replica that runs and was not placed or stopped just now.
 fn is_settled_replica(job: &Job, task: u32, now: Micros) -> bool {
     let Some(allocation) = job.allocation(task) else {
         return false;
@@ -160,8 +165,8 @@
         && now.since(allocation.placed_at) > SETTLED_AFTER
 }
 
-/// Whether the machine is in use, has the image, costs less than the source, and has capacity left
-/// beside the moves that are planned.
+/// Whether the machine is in use, has the image, costs less per used processor than the source, and has
+/// capacity left in addition to the planned moves.
 fn is_target(machine: &Machine, spec: &JobSpec, source: &Source, moves: &[PlannedMove]) -> bool {
     let planned_here = moves
         .iter()
@@ -170,11 +175,11 @@
     !machine.allocations.is_empty()
         && spec.need.fits(&free)
         && machine.images.contains(&spec.image)
-        && unit_price(machine) < source.unit_price
+        && price_per_used_cpu(machine) < source.price_per_used_cpu
 }
 
-/// What a processor in use costs on this machine.
-fn unit_price(machine: &Machine) -> u64 {
+/// Returns the price of a used processor on this machine, scaled by `PRICE_SCALE`.
+fn price_per_used_cpu(machine: &Machine) -> u64 {
     let price = machine.machine_type.price_of(machine.spot) * PRICE_SCALE;
     price / machine.allocations.used().cpu.max(1)
 }
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -1,7 +1,8 @@
-//! Gang scheduling: gangs at the Permit barrier. Their assumed members hold capacity until all have some.
+//! Gang scheduling: the Permit barrier, where the assumed members of a gang hold their capacity until all
+//! members are assumed.
 //!
-//! Owns which gangs wait at the barrier. Invariant: nothing of a gang goes on record, and no start is
-//! sent, before every member is assumed.
+//! Owns which gangs wait at the barrier. Invariant: no allocation of a gang is written to the records, and
+//! no start is sent, before every member is assumed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,9 +17,9 @@
 use crate::time::Micros;
 
 /// How long an aged gang keeps the capacity that it found while jobs of its team are blocked.
-const MAX_KEPT: Micros = Micros::from_secs(25);
-/// How long a gang stays parked after it has waited at the barrier in vain.
-const PARKED_AFTER_DROP: Micros = Micros::from_secs(1);
+const MAX_HOLD_OF_AGED_GANG: Micros = Micros::from_secs(25);
+/// How long a gang stays parked after it has timed out at the barrier.
+const PARK_TIME_AFTER_TIMEOUT: Micros = Micros::from_secs(1);
 
 /// The gangs that wait at the barrier with some members assumed.
 #[derive(Default)]
@@ -27,29 +28,29 @@
 }
 
 impl GangBarrier {
-    /// The gang no longer waits: it was allowed to start, or is over.
+    /// Removes a gang that no longer waits at the barrier, because it may start or is over.
     pub(super) fn leave(&mut self, number: JobNumber) {
         self.waiting.remove(&number);
     }
 }
 
-/// What is left of a team's limit is kept for a starved gang in this pass.
+/// The rest of a team's limit, reserved for a starved gang in the current pass.
 pub(super) struct ReservedQuota {
     team: usize,
-    /// Of the accelerators alone; otherwise of everything.
+    /// Whether only accelerators are reserved; otherwise every resource is.
     accelerators_only: bool,
 }
 
 impl ReservedQuota {
-    /// Whether the job may take nothing of what is kept.
+    /// Whether the reservation keeps this job from being placed.
     pub(super) fn excludes(&self, job: &Job) -> bool {
         self.team == job.team && (!self.accelerators_only || job.spec.need.gpu > 0)
     }
 }
 
 impl Scheduler {
-    /// Releases the capacity of all gangs at the barrier, so that this pass deals it out anew, oldest
-    /// first: two gangs must not each hold what the other lacks.
+    /// Releases the capacity of all gangs at the barrier, so that this pass assigns it again in queue
+    /// order: two gangs must not each hold what the other lacks.
     pub(super) fn release_barriers(&mut self, now: Micros) {
         let holding_since = |number: &JobNumber| match self.job_table.get(*number)?.gang {
             GangState::Holding { since } => Some((*number, since)),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// One pass over a gang: gate, assumption, barrier.
+    /// Runs one pass over a gang: the PreEnqueue gate, the assumption of its members, the Permit barrier.
     pub(super) fn schedule_gang(&mut self, queued: QueuedJob, now: Micros) {
         let Some(job) = self.job_table.get(queued.number) else {
             return;
@@ -72,8 +73,8 @@
         let Some(waiting_since) = barrier_entered_at(job, now) else {
             return;
         };
-        if !self.fits_limit(job) {
-            if let Some(reserved) = self.reserved_quota(job, now) {
+        if !self.fits_team_limit(job) {
+            if let Some(reserved) = self.quota_to_reserve(job, now) {
                 self.placement_pass.reserve(reserved);
             }
             return self.park(queued.number, now);
@@ -82,18 +83,19 @@
         self.pass_barrier(queued, waiting_since, now);
     }
 
-    /// Whether what is left of its team's limit holds all idle members.
-    fn fits_limit(&self, job: &Job) -> bool {
+    /// Whether the rest of its team's limit is enough for all idle members.
+    fn fits_team_limit(&self, job: &Job) -> bool {
         self.quota.tasks_allowed(job.team, &job.spec.need) >= job.tasks.idle().len() as u64
     }
 
-    /// What its team has left is kept for a gang that has waited too long: nothing behind that one takes
-    /// of the same kind until it has started.
-    fn reserved_quota(&self, job: &Job, now: Micros) -> Option<ReservedQuota> {
-        if !self.is_starved(job, now) || job.is_at_fault() || !self.can_become_free(job) {
+    /// Returns the quota to reserve for a gang that has waited too long: what its team has left, which
+    /// no job after it in the queue may use until the gang has started.
+    fn quota_to_reserve(&self, job: &Job, now: Micros) -> Option<ReservedQuota> {
+        if !self.is_starved(job, now) || job.is_at_fault() || !self.fits_beside_services(job) {
             return None;
         }
-        // Every task takes processors, only some take accelerators.
+        // Every task takes processors, only some take accelerators: where only these are scarce, only these
+        // are reserved.
         let without_accelerators = Resources {
             gpu: 0,
             ..job.spec.need
@@ -105,22 +107,22 @@
         })
     }
 
-    /// Whether the team's limit holds the whole gang beside the team's services, which don't end by
-    /// themselves. If it does not, keeping what the team has left would only make the team's other
-    /// jobs wait beside free capacity, for as long as the services run.
-    fn can_become_free(&self, job: &Job) -> bool {
+    /// Whether the team's limit is enough for the whole gang in addition to the team's services, which
+    /// don't end by themselves. If it is not, reserving what the team has left would only make the
+    /// team's other jobs wait while capacity is free, for as long as the services run.
+    fn fits_beside_services(&self, job: &Job) -> bool {
         let is_service =
             |other: &&Job| other.team == job.team && other.spec.kind == JobKind::Service;
         let services = self.job_table.values().filter(is_service);
-        let lasting = services.fold(Resources::default(), |sum, service| {
+        let used_by_services = services.fold(Resources::default(), |sum, service| {
             sum.plus(&service.spec.need.times(u64::from(service.tasks.placed())))
         });
         let team = self.quota.team(job.team);
         let tasks = u64::from(job.spec.tasks);
-        team.is_some_and(|team| team.tasks_allowed(&lasting, &job.spec.need) >= tasks)
+        team.is_some_and(|team| team.tasks_allowed(&used_by_services, &job.spec.need) >= tasks)
     }
 
-    /// Assumes the gang's idle members, one by one, on the present snapshot.
+    /// Assumes the gang's idle members one by one, on the current snapshot of the machines.
     fn assume_members(&mut self, number: JobNumber, now: Micros) {
         let Some(job) = self.job_table.get(number) else {
             return;
@@ -136,19 +138,19 @@
         }
     }
 
-    /// The zone that holds most members of a gang now.
+    /// Returns the zone whose free capacity is enough for the most members of the gang.
     fn best_zone(&mut self, number: JobNumber, now: Micros) -> Option<Arc<str>> {
         let job = self.job_table.get(number)?;
-        let (need, all) = (job.spec.need, u64::from(job.spec.tasks));
+        let (need, members) = (job.spec.need, u64::from(job.spec.tasks));
         let mut capacity: BTreeMap<Arc<str>, u64> = BTreeMap::new();
-        for name in self.candidates(number, None, all, now) {
+        for name in self.candidate_machines(number, None, members, now) {
             if let Some(machine) = self.inventory.get(&name) {
                 let tasks = need.count_in(&machine.free());
                 *capacity.entry(machine.zone.clone()).or_default() += tasks;
             }
         }
         let zones = capacity.into_iter();
-        let best = zones.max_by_key(|(zone, tasks)| ((*tasks).min(all), Reverse(zone.clone())));
+        let best = zones.max_by_key(|(zone, tasks)| ((*tasks).min(members), Reverse(zone.clone())));
         best.map(|(zone, _)| zone)
     }
 
@@ -156,14 +158,14 @@
         let Some(job) = self.job_table.get(number) else {
             return;
         };
-        // Members that are assumed later join the attempt of those before them.
+        // Members that are assumed later have the same attempt number as those before them.
         let attempt = match job.tasks.placed() {
             0 => job.next_attempt(0),
             _ => job.tasks.highest_attempt(),
         };
         let wanted = job.tasks.idle().len() as u64;
-        for name in self.candidates(number, zone, wanted, now) {
-            while let Some((task, agent_epoch)) = self.next_fit(number, &name) {
+        for name in self.candidate_machines(number, zone, wanted, now) {
+            while let Some((task, agent_epoch)) = self.next_task_for(number, &name) {
                 let assignment = Assignment {
                     job: number,
                     task,
@@ -177,8 +179,9 @@
         }
     }
 
-    /// The job's first idle task, if it may go to this machine now, and the machine's agent epoch.
-    fn next_fit(&self, number: JobNumber, machine: &Arc<str>) -> Option<(u32, u64)> {
+    /// Returns the job's first idle task and the epoch of the machine's agent, if the task may be placed on
+    /// this machine now.
+    fn next_task_for(&self, number: JobNumber, machine: &Arc<str>) -> Option<(u32, u64)> {
         let job = self.job_table.get(number)?;
         let machine = self.inventory.get(machine)?;
         let task = *job.tasks.idle().first()?;
@@ -186,15 +189,15 @@
         fits.then_some((task, machine.agent.epoch()))
     }
 
-    /// The Permit barrier: with all members assumed the gang goes on record; otherwise it waits or is
-    /// parked.
+    /// Applies the Permit barrier: once all members are assumed the gang is written to the records;
+    /// until then it waits or is parked.
     fn pass_barrier(&mut self, queued: QueuedJob, waiting_since: Micros, now: Micros) {
         let number = queued.number;
         let Some(job) = self.job_table.get(number) else {
             return;
         };
         let (spec, placed) = (job.spec.clone(), job.tasks.placed());
-        let wait = self.gang_hold(&spec);
+        let wait = self.gang_wait_limit(&spec);
         match permit(placed, spec.tasks, waiting_since, now, wait) {
             Permit::Allow => self.commit_gang(number, now),
             Permit::Wait => {
@@ -203,20 +206,21 @@
                 }
                 self.preempt(queued, u64::from(spec.tasks - placed), now);
             }
-            Permit::Drop if self.keeps_waiting_at_barrier(number, waiting_since, now) => {
+            Permit::TimedOut if self.may_exceed_wait_limit(number, waiting_since, now) => {
                 self.wait_at_barrier(number, waiting_since);
             }
-            Permit::Drop => {
+            Permit::TimedOut => {
                 self.park(number, now);
                 if let Some(job) = self.job_table.get_mut(number) {
-                    let until = now.plus(PARKED_AFTER_DROP);
+                    let until = now.plus(PARK_TIME_AFTER_TIMEOUT);
                     job.gang = GangState::Parked { until };
                 }
             }
         }
     }
 
-    /// Every member is assumed: they go on record together.
+    /// Marks the allocations of all members, which are assumed by now, to be written to the records
+    /// together.
     fn commit_gang(&mut self, number: JobNumber, now: Micros) {
         let Some(job) = self.job_table.get_mut(number) else {
             return;
@@ -229,7 +233,7 @@
         }
     }
 
-    /// The gang's members found so far hold their capacity.
+    /// Lets the gang wait at the barrier. The members that are assumed so far hold their capacity.
     fn wait_at_barrier(&mut self, number: JobNumber, since: Micros) {
         if let Some(job) = self.job_table.get_mut(number) {
             job.gang = GangState::Holding { since };
@@ -237,10 +241,11 @@
         }
     }
 
-    /// Whether a gang keeps the capacity that it found beyond the barrier's wait, because it is aged. Not
-    /// for ever, though: where the machines for the rest are not to be had, jobs of its team would wait
-    /// beside free capacity, since what the gang holds counts against the team's limit.
-    fn keeps_waiting_at_barrier(&self, number: JobNumber, since: Micros, now: Micros) -> bool {
+    /// Whether a gang keeps the capacity that it found after the barrier's wait has ended, because it
+    /// is aged. If jobs of its team are blocked it does so for a limited time only: where no machines
+    /// can be found for the other members, these jobs would wait while capacity is free, since what the
+    /// gang holds counts against the team's limit.
+    fn may_exceed_wait_limit(&self, number: JobNumber, since: Micros, now: Micros) -> bool {
         let job = self.job_table.get(number);
         let Some(job) = job.filter(|job| self.is_aged(job, now)) else {
             return false;
@@ -252,10 +257,10 @@
                 && !other.is_at_fault()
                 && self.is_blocked(other, now)
         };
-        now.since(since) < MAX_KEPT || !self.job_table.values().any(is_blocked)
+        now.since(since) < MAX_HOLD_OF_AGED_GANG || !self.job_table.values().any(is_blocked)
     }
 
-    /// Releases the capacity of a gang that is not complete: nothing of it has gone on record.
+    /// Parks a gang that is not complete and releases its capacity. Nothing of it is on record yet.
     fn park(&mut self, number: JobNumber, now: Micros) {
         let Some(job) = self.job_table.get_mut(number) else {
             return;
@@ -270,10 +275,10 @@
     }
 }
 
-/// Since when the gang has waited at the barrier, which it enters now if it was parked. `None`: it is not
-/// to be looked at in this pass.
+/// Returns since when the gang has waited at the barrier; a parked gang enters the barrier now. `None`
+/// if the gang is not to be placed in this pass.
 fn barrier_entered_at(job: &Job, now: Micros) -> Option<Micros> {
-    // The job's record carries all of its tasks, so the group is known whole or not at all.
+    // A job's record covers all of its tasks, so either all members of a gang are known or none is.
     if !pre_enqueue(true, job.tasks.len() as u32, job.spec.tasks) {
         return None;
     }
--- a/crates/saltpitch-core/src/scheduler/job_failures.rs
+++ b/crates/saltpitch-core/src/scheduler/job_failures.rs
@@ -1,8 +1,7 @@
-//! What the scheduler does about failed tasks: it retries them after a backoff, and cordons machines on
-//! which several jobs fail.
+//! Handles failed tasks: retries them after a backoff, and cordons machines on which several jobs fail.
 //!
-//! Owns which tasks wait for their retry. A job at fault is tried with one task at a time and ever less
-//! often, and makes no claims on machines.
+//! Owns which tasks wait for their retry. A job at fault is tried with one task at a time and at
+//! growing intervals, and no machines are scaled out and no tasks preempted for it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,18 +11,18 @@
 use crate::job::JobNumber;
 use crate::time::Micros;
 
-/// Failures of this many jobs speak against the machine.
-const JOBS_AGAINST_MACHINE: usize = 2;
-/// Tasks of a job at fault that may be placed at a time.
+/// A machine is at fault once tasks of this many jobs have failed on it.
+const FAILED_JOBS_PER_FAULTY_MACHINE: usize = 2;
+/// The most tasks of a job at fault that may be placed at a time.
 const MAX_PLACED_AT_FAULT: u64 = 1;
-/// How long nothing of a job is placed after a machine refused a task of it.
+/// How long no task of a job is placed after a machine refused one of its tasks.
 const PAUSE_AFTER_REFUSAL: Micros = Micros::from_secs(1);
 
-/// Failed tasks that wait for their retry, and failing jobs that the log has not been told of.
+/// Failed tasks that wait for their retry, and jobs newly at fault that are still to be logged.
 #[derive(Default)]
 pub(super) struct RetryQueue {
     due: BTreeSet<(Micros, JobNumber, u32)>,
-    newly_failing: Vec<Arc<str>>,
+    newly_at_fault: Vec<Arc<str>>,
 }
 
 impl RetryQueue {
@@ -31,7 +30,7 @@
         self.due.insert((due, job, task));
     }
 
-    /// The next task whose wait is over.
+    /// Removes and returns the next task whose backoff is over.
     fn pop_due(&mut self, now: Micros) -> Option<(JobNumber, u32)> {
         let (due, job, task) = *self.due.first()?;
         if due > now {
@@ -43,26 +42,26 @@
 }
 
 impl Job {
-    /// Whether the job itself seems to be at fault, and not the machines on which it failed.
+    /// Whether the job itself seems to be at fault, rather than the machines on which it failed.
     pub(super) fn is_at_fault(&self) -> bool {
         self.failures.is_at_fault(self.spec.tasks)
     }
 
-    /// Tasks for which machines may be scaled out or others preempted: those of a job at fault, and those
-    /// that failed on several machines, take what is left over.
+    /// Returns how many idle tasks machines may be scaled out or other tasks preempted for. Jobs at
+    /// fault, and tasks that failed on several machines, only use capacity that is left over.
     pub(super) fn idle_tasks_not_at_fault(&self) -> u64 {
         if self.is_at_fault() {
             return 0;
         }
         let at_fault = self.failures.tasks_at_fault();
-        let suspect = at_fault
+        let idle_at_fault = at_fault
             .filter(|task| self.tasks.idle().contains(task))
             .count();
-        self.tasks.idle().len().saturating_sub(suspect) as u64
+        self.tasks.idle().len().saturating_sub(idle_at_fault) as u64
     }
 
-    /// How many more tasks may be placed as far as earlier failures go.
-    pub(super) fn placeable(&self) -> u64 {
+    /// Returns how many more tasks earlier failures allow to be placed.
+    pub(super) fn max_placeable(&self) -> u64 {
         if self.is_at_fault() {
             MAX_PLACED_AT_FAULT.saturating_sub(u64::from(self.tasks.placed()))
         } else {
@@ -72,7 +71,7 @@
 }
 
 impl Scheduler {
-    /// A task failed on its machine. Returns the wait before the task is retried.
+    /// Handles the failure of a task on its machine. Returns the wait before the task is retried.
     pub(super) fn task_failed(&mut self, number: JobNumber, task: u32, now: Micros) -> Micros {
         let Some(job) = self.job_table.get_mut(number) else {
             return Micros::ZERO;
@@ -87,36 +86,38 @@
             kind: job.spec.kind,
             machine: allocation.machine.clone(),
             placed_at: allocation.placed_at,
-            ran: running_since.map_or(Micros::ZERO, |at| now.since(at)),
+            run_time: running_since.map_or(Micros::ZERO, |at| now.since(at)),
         };
-        let verdict = job.failures.record_failure(&failure, now);
-        if let Some(wait) = verdict.job_backoff {
+        let response = job.failures.record_failure(&failure, now);
+        if let Some(wait) = response.job_backoff {
             job.backoff.place_after = now.plus(wait);
         }
-        if verdict.newly_at_fault {
-            self.retries.newly_failing.push(job.id.clone());
+        if response.newly_at_fault {
+            self.retries.newly_at_fault.push(job.id.clone());
         }
-        if verdict.counts_against_machine {
+        if response.counts_against_machine {
             self.set_failed_job(number, &failure.machine, true);
         }
-        for machine in &verdict.cleared_machines {
+        for machine in &response.cleared_machines {
             self.set_failed_job(number, machine, false);
         }
-        verdict.task_backoff
+        response.task_backoff
     }
 
-    /// A job's failure counts or no longer counts against a machine, which is cordoned for several.
+    /// Sets whether a job's failure counts against a machine. The machine is cordoned while the
+    /// failures of several jobs do.
     fn set_failed_job(&mut self, number: JobNumber, name: &Arc<str>, counts: bool) {
         let Some(machine) = self.inventory.get_mut(name) else {
             return;
         };
         let cordon = &mut machine.cordon;
-        if cordon.set_failed_job(number, counts, JOBS_AGAINST_MACHINE) {
+        if cordon.set_failed_job(number, counts, FAILED_JOBS_PER_FAULTY_MACHINE) {
             self.inventory.update(name);
         }
     }
 
-    /// A machine refused a task of this job: it goes elsewhere for the moment.
+    /// Handles that a machine refused a task of this job: the job avoids the machine for a while, and
+    /// none of its tasks is placed for a moment.
     pub(super) fn task_refused(&mut self, number: JobNumber, machine: &Arc<str>, now: Micros) {
         if let Some(job) = self.job_table.get_mut(number) {
             job.failures.record_refusal(machine, now);
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Takes a task that failed out of the job's idle tasks for this long.
+    /// Removes a task that failed from the job's idle tasks for the time `wait`.
     pub(super) fn defer_task(&mut self, number: JobNumber, task: u32, wait: Micros, now: Micros) {
         let Some(job) = self.job_table.get_mut(number) else {
             return;
@@ -136,7 +137,7 @@
         self.retries.push(now.plus(wait), number, task);
     }
 
-    /// Makes the tasks idle whose backoff is over.
+    /// Makes deferred tasks idle again whose backoff is over.
     pub(super) fn retry_deferred(&mut self, now: Micros) {
         while let Some((number, task)) = self.retries.pop_due(now) {
             self.steps += 1;
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Jobs that were found to be at fault since the last call, for the log.
+    /// Returns the jobs that were found to be at fault since the last call, for the log.
     pub fn take_failing_jobs(&mut self) -> Vec<Arc<str>> {
-        std::mem::take(&mut self.retries.newly_failing)
+        std::mem::take(&mut self.retries.newly_at_fault)
     }
 }
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -1,10 +1,11 @@
-//! Placement: job by job in the order of the queue, task by task on one snapshot.
+//! The placement pass: goes through the waiting jobs in queue order and places their tasks one by one, all
+//! on the same snapshot of the machines.
 
 use std::sync::Arc;
 
 use super::allocations::Assignment;
 use super::gang_barrier::ReservedQuota;
-use super::preemption::SEARCHES_PER_PASS;
+use super::preemption::MAX_SEARCHES_PER_PASS;
 use super::queue_order::QueuedJob;
 use super::{Job, Scheduler};
 use crate::job::JobNumber;
@@ -13,29 +14,29 @@
 use crate::placement;
 use crate::time::Micros;
 
-/// The shortest time between two passes over the jobs that wait.
-const PASS_INTERVAL: Micros = Micros::from_millis(100);
-/// How long a gang waits for machines that have its image, in times of fetching it.
+/// The shortest time between two passes over the waiting jobs.
+const MIN_PASS_INTERVAL: Micros = Micros::from_millis(100);
+/// How long a gang waits for machines that have its image, as a fraction of the time that a fetch takes.
 const IMAGE_WAIT_RATIO: f64 = 0.6;
-/// Machines of one group that a pass looks at for one job, beyond those that it needs.
-const MACHINES_BEYOND_NEED: usize = 48;
-/// The most machines of one group that are looked at for the needs of one job.
-const MAX_MACHINES_NEEDED: u64 = 1_000;
+/// Machines of one group that a pass examines for one job, in addition to one for each task to place.
+const EXTRA_MACHINES: usize = 48;
+/// The most machines of one group that are examined for the tasks to place of one job.
+const MAX_MACHINES_FOR_TASKS: u64 = 1_000;
 
-/// When the next pass is due, and what this one may still do.
+/// When the next pass is due, and what the current one may still do.
 pub(super) struct PlacementPass {
     requested: bool,
     next_at: Micros,
-    /// What is kept for starved gangs in this pass.
+    /// The quota that is reserved for starved gangs in this pass.
     reserved_quota: Vec<ReservedQuota>,
-    /// Searches for tasks to preempt that are left in this pass.
+    /// How many more searches for tasks to preempt this pass may make.
     preemption_searches_left: u32,
-    /// When a job was last found waiting.
+    /// When a job was last seen waiting.
     last_waiting_at: Micros,
 }
 
 impl PlacementPass {
-    /// The first pass is due at once.
+    /// Requests a first pass, which is due at once.
     pub(super) fn new(now: Micros) -> PlacementPass {
         PlacementPass {
             requested: true,
@@ -46,54 +47,55 @@
         }
     }
 
-    /// Something changed that may let waiting jobs be placed.
+    /// Requests a pass because a change may allow waiting jobs to be placed.
     pub(super) fn request(&mut self) {
         self.requested = true;
     }
 
-    /// When the next pass is due, if one was requested.
+    /// Returns when the next pass is due, if one was requested.
     pub(super) fn due(&self) -> Option<Micros> {
         self.requested.then_some(self.next_at)
     }
 
-    /// A pass begins.
+    /// Starts a pass.
     fn begin(&mut self, now: Micros) {
         self.requested = false;
-        self.next_at = now.plus(PASS_INTERVAL);
-        self.preemption_searches_left = SEARCHES_PER_PASS;
+        self.next_at = now.plus(MIN_PASS_INTERVAL);
+        self.preemption_searches_left = MAX_SEARCHES_PER_PASS;
         self.reserved_quota.clear();
     }
 
-    /// Keeps what a team has left for a starved gang.
+    /// Reserves what a team has left for a starved gang during the rest of the pass.
     pub(super) fn reserve(&mut self, quota: ReservedQuota) {
         self.reserved_quota.push(quota);
     }
 
-    /// Takes one of the pass's searches for tasks to preempt; false if none is left.
+    /// Uses one of the pass's searches for tasks to preempt. Returns false if none is left.
     pub(super) fn take_preemption_search(&mut self) -> bool {
         let left = self.preemption_searches_left.checked_sub(1);
         self.preemption_searches_left = left.unwrap_or(0);
         left.is_some()
     }
 
-    /// Jobs wait for capacity.
-    pub(super) fn jobs_wait(&mut self, now: Micros) {
+    /// Notes that jobs are waiting for capacity.
+    pub(super) fn note_waiting_jobs(&mut self, now: Micros) {
         self.last_waiting_at = now;
     }
 
-    /// When a job was last found waiting.
+    /// Returns when a job was last seen waiting.
     pub(super) fn last_waiting_at(&self) -> Micros {
         self.last_waiting_at
     }
 
-    fn is_quota_reserved(&self, job: &Job) -> bool {
+    /// Whether the job must not be placed because its team's quota is reserved for a starved gang.
+    fn is_excluded(&self, job: &Job) -> bool {
         let mut reserved = self.reserved_quota.iter();
         reserved.any(|reserved| reserved.excludes(job))
     }
 }
 
 impl Scheduler {
-    /// One pass over the jobs with tasks to place.
+    /// Runs one pass over the jobs with tasks to place.
     pub(super) fn run_pass(&mut self, now: Micros) {
         self.placement_pass.begin(now);
         self.release_barriers(now);
@@ -101,7 +103,7 @@
             let Some(job) = self.job_table.get(queued.number) else {
                 continue;
             };
-            if job.backoff.place_after > now || self.placement_pass.is_quota_reserved(job) {
+            if job.backoff.place_after > now || self.placement_pass.is_excluded(job) {
                 continue;
             }
             match job.spec.kind {
@@ -111,23 +113,24 @@
         }
     }
 
-    /// One pass over an array or a service.
+    /// Places the tasks of an array or a service, and preempts other tasks for those that don't fit.
     fn schedule_tasks(&mut self, queued: QueuedJob, now: Micros) {
         let Some(job) = self.job_table.get(queued.number) else {
             return;
         };
-        let urgent = job.spec.priority == Priority::Production && !job.is_at_fault();
-        if urgent && self.preempts_near_image(queued, now) {
+        let is_urgent = job.spec.priority == Priority::Production && !job.is_at_fault();
+        if is_urgent && self.preempt_near_image(queued, now) {
             return;
         }
-        let left = self.place_tasks(queued.number, now);
-        if left > 0 {
-            self.preempt(queued, left, now);
+        let unplaced = self.place_tasks(queued.number, now);
+        if unplaced > 0 {
+            self.preempt(queued, unplaced, now);
         }
     }
 
-    /// Machines where this job's tasks could go now, best first, in `zone` if one is given.
-    pub(super) fn candidates(
+    /// Returns the machines where tasks of this job could be placed now, the best first; only those in
+    /// `zone` if one is given.
+    pub(super) fn candidate_machines(
         &mut self,
         number: JobNumber,
         zone: Option<&str>,
@@ -142,22 +145,23 @@
         let Some(job) = self.job_table.get(number) else {
             return Vec::new();
         };
-        let image_free_in = self.image_free_in(job);
+        let image_free_in = self.image_holders_free_in(job);
         let scored = found.into_iter().filter_map(|name| {
             let machine = self.inventory.get(&name)?;
-            let waits = waits_for_image(job, machine, image_free_in, now);
-            let avoided = job.failures.avoids(&name, now) || !self.admits_guest(job, machine);
-            let suits = is_blocked || self.may_share_accelerators(&spec, machine, now);
-            let passes = !waits && !avoided && suits;
-            passes.then(|| (placement::score(&spec, machine), name))
+            let should_wait = should_wait_for_image(job, machine, image_free_in, now);
+            let is_avoided =
+                job.failures.should_avoid(&name, now) || !self.admits_guest(job, machine);
+            let is_suitable = is_blocked || self.may_share_accelerators(&spec, machine, now);
+            let is_candidate = !should_wait && !is_avoided && is_suitable;
+            is_candidate.then(|| (placement::score(&spec, machine), name))
         });
         let mut scored: Vec<(u64, Arc<str>)> = scored.collect();
         scored.sort();
         scored.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// Machines whose free capacity holds a task. Of each group only as many are looked at as may be of
-    /// use, the fullest first.
+    /// Returns machines whose free capacity holds a task. Of each group no more machines are examined than
+    /// can be of use, the fullest first.
     fn machines_with_capacity(
         &mut self,
         spec: &JobSpec,
@@ -165,34 +169,35 @@
         wanted: u64,
         is_blocked: bool,
     ) -> Vec<Arc<str>> {
-        let limit = MACHINES_BEYOND_NEED + wanted.min(MAX_MACHINES_NEEDED) as usize;
+        let limit = EXTRA_MACHINES + wanted.min(MAX_MACHINES_FOR_TASKS) as usize;
         let mut found = Vec::new();
-        for at in 0..self.inventory.groups().len() {
-            let group = &self.inventory.groups()[at];
+        for index in 0..self.inventory.groups().len() {
+            let group = &self.inventory.groups()[index];
             if zone.is_some_and(|zone| zone != &*group.zone)
-                || !(is_blocked || self.ever_suits(spec, &group.machine_type.size))
+                || !(is_blocked || self.is_suitable_size(spec, &group.machine_type.size))
                 || !spec.allows(&group.machine_type.name, &group.zone, group.spot)
             {
                 continue;
             }
-            let search = self.inventory.groups_mut()[at].search(&spec.need, limit);
+            let search = self.inventory.groups_mut()[index].search(&spec.need, limit);
             self.steps += search.steps;
             found.extend(search.machines);
         }
         found
     }
 
-    /// How soon the machines that have a gang's image become free for it, one after the other.
-    fn image_free_in(&self, job: &Job) -> Option<Micros> {
+    /// Estimates how soon the machines that have a gang's image become free for it, one after the other.
+    /// Returns `None` for jobs that are not gangs, and if no machine has the image.
+    fn image_holders_free_in(&self, job: &Job) -> Option<Micros> {
         let holders = self.inventory.image_holders(&job.spec.image) as u64;
         if job.spec.kind != JobKind::Gang || holders == 0 {
             return None;
         }
-        let all_tasks = self.estimate(job).0 * u64::from(job.spec.tasks);
-        Some(Micros(all_tasks / holders))
+        let total_run_time = self.estimate(job).0 * u64::from(job.spec.tasks);
+        Some(Micros(total_run_time / holders))
     }
 
-    /// Whether one more task of the job may go to this zone, given where the others are.
+    /// Whether one more task of the job may be placed in this zone, given the zones of its other tasks.
     pub(super) fn zone_allows(job: &Job, zone: &str) -> bool {
         if job.spec.one_zone && job.tasks.zones().keys().any(|used| &**used != zone) {
             return false;
@@ -201,23 +206,23 @@
             || job.tasks.zones().get(zone).copied().unwrap_or(0) < job.spec.max_tasks_per_zone()
     }
 
-    /// Places as many idle tasks of an array or a service as go. Returns how many are left over that
-    /// the team's limit would allow.
+    /// Places as many idle tasks of an array or a service as possible. Returns how many are left that the
+    /// team's limit would allow.
     fn place_tasks(&mut self, number: JobNumber, now: Micros) -> u64 {
         let Some(job) = self.job_table.get(number) else {
             return 0;
         };
         let spec = job.spec.clone();
         let idle = job.tasks.idle().len() as u64;
-        let mut left = self.quota.tasks_allowed(job.team, &spec.need).min(idle);
-        left = left.min(job.placeable());
-        if left == 0 {
+        let mut unplaced = self.quota.tasks_allowed(job.team, &spec.need).min(idle);
+        unplaced = unplaced.min(job.max_placeable());
+        if unplaced == 0 {
             return 0;
         }
-        // Beside what suits it, a blocked array takes the capacity for a single task of it.
-        let takes_any = spec.kind == JobKind::Array && self.is_blocked(job, now);
-        for name in self.candidates(number, None, left, now) {
-            while left > 0 {
+        // For a blocked array unsuitable machines are candidates too, but only for a single task.
+        let is_blocked_array = spec.kind == JobKind::Array && self.is_blocked(job, now);
+        for name in self.candidate_machines(number, None, unplaced, now) {
+            while unplaced > 0 {
                 let (Some(job), Some(machine)) =
                     (self.job_table.get(number), self.inventory.get(&name))
                 else {
@@ -229,9 +234,9 @@
                 if !spec.need.fits(&machine.free()) || !Self::zone_allows(job, &machine.zone) {
                     break;
                 }
-                let suits = self.ever_suits(&spec, &machine.machine_type.size)
+                let is_suitable = self.is_suitable_size(&spec, &machine.machine_type.size)
                     && self.may_share_accelerators(&spec, machine, now);
-                if takes_any && !suits && job.tasks.placed() > 0 {
+                if is_blocked_array && !is_suitable && job.tasks.placed() > 0 {
                     break;
                 }
                 let assignment = Assignment {
@@ -244,17 +249,17 @@
                 };
                 self.allocate(assignment, now);
                 self.persistence.task_placed(number, task, &spec, now);
-                left -= 1;
+                unplaced -= 1;
             }
         }
-        left
+        unplaced
     }
 }
 
-/// Whether a gang had better wait for a machine that has its image than fetch it to this one. A large
-/// image takes as long to fetch as the gang may soon find a machine that has it; and this machine may
-/// have what another gang needs.
-fn waits_for_image(
+/// Whether a gang should wait for a machine that has its image instead of fetching the image to this one.
+/// While a large image is fetched, a machine that has it may become free; and this machine may have the
+/// image that another gang needs.
+fn should_wait_for_image(
     job: &Job,
     machine: &Machine,
     image_free_in: Option<Micros>,
--- a/crates/saltpitch-core/src/scheduler/policy_bindings.rs
+++ b/crates/saltpitch-core/src/scheduler/policy_bindings.rs
@@ -1,4 +1,5 @@
-//! The operators' policy, applied to jobs, machine types and the site.
+//! Applies the operators' policy to jobs, machine types and the site: supplies the variables of its
+//! rules and evaluates them.
 
 use super::Scheduler;
 use crate::catalog::MachineType;
@@ -6,12 +7,12 @@
 use crate::policy::{rule, Value};
 use crate::time::Micros;
 
-/// A variable in whole units of what is kept in thousandths.
+/// Returns a variable in whole units for an amount that is kept in thousandths.
 fn from_thousandths(amount: u64) -> Value {
     Value::Number(amount as f64 / 1e3)
 }
 
-/// The variables of a machine type.
+/// Returns a variable of a machine type.
 fn type_variable(machine_type: &MachineType, spot: bool, name: &str) -> Option<Value> {
     Some(match name {
         "type.name" => Value::Text(machine_type.name.clone()),
@@ -25,7 +26,7 @@
     })
 }
 
-/// The variables of a job.
+/// Returns a variable of a job.
 fn job_variable(spec: &JobSpec, name: &str) -> Option<Value> {
     Some(match name {
         "job.class" => Value::Text(spec.class.clone()),
@@ -41,7 +42,7 @@
     })
 }
 
-/// What policies call a kind of job.
+/// Returns the name of a job kind in policies.
 fn kind_name(kind: JobKind) -> &'static str {
     match kind {
         JobKind::Array => "array",
@@ -50,7 +51,7 @@
     }
 }
 
-/// What policies call a priority.
+/// Returns the name of a priority in policies.
 fn priority_name(priority: Priority) -> &'static str {
     match priority {
         Priority::Production => "production",
@@ -61,7 +62,7 @@
 }
 
 impl Scheduler {
-    /// The variables of the site.
+    /// Returns a lookup of the site's variables.
     fn cluster_variables(&self) -> impl Fn(&str) -> Option<Value> {
         let machines = self.inventory.len() as f64;
         let jobs = self.job_table.len() as f64;
@@ -88,32 +89,33 @@
         }
     }
 
-    /// The value of a number that may depend on a job.
-    fn job_number(&mut self, rule: &'static str, spec: &JobSpec) -> f64 {
+    /// Evaluates a numeric rule that may depend on a job.
+    fn job_rule(&mut self, rule: &'static str, spec: &JobSpec) -> f64 {
         let cluster = self.cluster_variables();
         let variables = |name: &str| job_variable(spec, name).or_else(|| cluster(name));
         self.config.policy.number(rule, &variables)
     }
 
-    /// How long the members of an incomplete gang keep their capacity.
-    pub(super) fn gang_hold(&mut self, spec: &JobSpec) -> Micros {
-        Micros::from_secs_f64(self.job_number(rule::GANG_WAIT, spec))
+    /// Returns how long the members of an incomplete gang keep their capacity.
+    pub(super) fn gang_wait_limit(&mut self, spec: &JobSpec) -> Micros {
+        Micros::from_secs_f64(self.job_rule(rule::GANG_WAIT, spec))
     }
 
-    /// Whether spot machines are used for a job.
+    /// Whether both the job and the policy allow spot machines for it.
     pub(super) fn may_use_spot(&mut self, spec: &JobSpec) -> bool {
         let cluster = self.cluster_variables();
         let variables = |name: &str| job_variable(spec, name).or_else(|| cluster(name));
         spec.spot && self.config.policy.flag(rule::USE_SPOT, &variables)
     }
 
-    /// Machines that cost more than this many times the cheapest are ordered for urgent work only.
+    /// Returns the price ratio to the cheapest machine above which machines are ordered for urgent work
+    /// only.
     pub(super) fn max_price_ratio(&mut self, spec: &JobSpec) -> f64 {
-        self.job_number(rule::MAX_PRICE_RATIO, spec)
+        self.job_rule(rule::MAX_PRICE_RATIO, spec)
     }
 
     /// Whether replicas are moved off expensive or nearly empty machines.
-    pub(super) fn consolidates(&mut self) -> bool {
+    pub(super) fn is_consolidation_enabled(&mut self) -> bool {
         let cluster = self.cluster_variables();
         self.config.policy.flag(rule::CONSOLIDATE, &cluster)
     }
--- a/crates/saltpitch-core/src/scheduler/preemption/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/mod.rs
@@ -1,4 +1,4 @@
-//! Preemption: which tasks are stopped for which waiting job.
+//! Preemption: stops tasks of less urgent work to make capacity for waiting jobs.
 
 mod near_image;
 mod options;
@@ -9,42 +9,45 @@
 use crate::job::{JobKind, Priority};
 use crate::time::Micros;
 
-/// Searches for tasks to preempt in one pass.
-pub(super) const SEARCHES_PER_PASS: u32 = 3;
-/// What was found is given this time to show its effect.
+/// The most searches for tasks to preempt in one placement pass.
+pub(super) const MAX_SEARCHES_PER_PASS: u32 = 3;
+/// How long a job waits for the capacity that its last search makes before it searches again.
 const WAIT_AFTER_SUCCESS: Micros = Micros::from_millis(2_000);
-/// What was not found may turn up elsewhere: the more jobs wait, the later it is this one's turn again.
-const WAIT_AFTER_FAILURE_MS: u64 = 300;
+/// One turn of the wait after a search that found nothing, in milliseconds. The next search examines
+/// other machines and may succeed there; the more jobs wait, the more turns a job waits for it.
+const FAILED_SEARCH_TURN_MS: u64 = 300;
+/// A job waits one turn for each group of this many waiting jobs, at least one turn.
 const JOBS_PER_TURN: u64 = 8;
 const MAX_TURNS: u64 = 8;
-/// A preempted task gets this much longer than it takes to save.
+/// How much longer than its save time a preempted task gets to stop.
 const SAVE_MARGIN: Micros = Micros::from_secs(2);
 
-/// A task of a job, as one of the tasks to stop.
+/// A task to stop: the number of its job and its index.
 type VictimTask = (JobNumber, u32);
 
 /// Whether preempted tasks get time to save their progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Grace {
-    /// They stop at once.
+    /// The tasks stop at once.
     None,
-    /// Those that save get the time for it.
+    /// Tasks that can save get the time for it.
     ToSave,
 }
 
 impl Scheduler {
-    /// Stops less urgent work for up to `wanted` tasks of this job, the cheapest loss first.
+    /// Stops less urgent tasks to make capacity for up to `wanted` tasks of this job, those with the
+    /// smallest loss first.
     pub(super) fn preempt(&mut self, queued: QueuedJob, wanted: u64, now: Micros) {
         let Some(job) = self.job_table.get(queued.number) else {
             return;
         };
         let spec = job.spec.clone();
-        // Nothing is stopped for what fails wherever it runs.
+        // Nothing is stopped for tasks that fail wherever they run.
         let wanted = wanted.min(job.idle_tasks_not_at_fault());
         if now < job.backoff.preempt_after || wanted == 0 {
             return;
         }
-        // Lesser work is stopped for work that can still be in time, not for what is late anyway.
+        // Other work is stopped for jobs that can still be in time, not for those that are late anyway.
         if spec.priority < Priority::High && !queued.within_quota && queued.slack.is_none() {
             return;
         }
@@ -72,7 +75,7 @@
     fn wait_after_failed_search(&self) -> Micros {
         let waiting = self.job_table.unplaced().len() as u64;
         let turns = (waiting / JOBS_PER_TURN).clamp(1, MAX_TURNS);
-        Micros::from_millis(WAIT_AFTER_FAILURE_MS * turns)
+        Micros::from_millis(FAILED_SEARCH_TURN_MS * turns)
     }
 
     fn preempt_tasks(&mut self, victims: Vec<VictimTask>, grace: Grace, now: Micros) {
--- a/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
@@ -1,4 +1,4 @@
-//! Preemption for services on machines that have their image: a replica starts at once there, and only
+//! Preemption for production jobs on machines that have their image: a task starts at once there, and only
 //! after a fetch elsewhere.
 
 use std::sync::Arc;
@@ -10,22 +10,22 @@
 use crate::scheduler::{Job, ObjectiveTarget, Scheduler};
 use crate::time::Micros;
 
-/// How long after its submission capacity is made for a service where its image is, at most; half of the
-/// time in which it should start, and no longer than a fetch could still be in time.
+/// The longest time after a job was queued during which capacity is made for it on machines with its image.
 const MAX_SEARCH_TIME: Micros = Micros::from_millis(2_500);
-/// How long the service waits for capacity that is being made.
+/// How long the job waits for capacity that is being made.
 const WAIT_FOR_CAPACITY: Micros = Micros::from_millis(700);
-/// How much longer than expected a fetch may take.
-const FETCH_MARGIN: f64 = 1.3;
-/// Between the end of a fetch and the start.
+/// The time that is allowed for a fetch, as a multiple of the expected time.
+const FETCH_TIME_MARGIN: f64 = 1.3;
+/// The time that is allowed between the end of a fetch and the start.
 const START_MARGIN: Micros = Micros::from_secs(1);
-/// The part of the time in which a service should start that is searched for machines with its image.
+/// The fraction of the time within which a job should start that is spent searching machines with its
+/// image, if a fetch elsewhere could not be in time.
 const SEARCH_SHARE: f64 = 0.5;
 
 impl Scheduler {
-    /// Stops lesser work on machines that have the service's image, once for each job. Returns whether
-    /// that capacity is awaited.
-    pub(in crate::scheduler) fn preempts_near_image(
+    /// Stops less urgent tasks on machines that have the job's image, until its search time is over.
+    /// Returns whether the job waits for that capacity.
+    pub(in crate::scheduler) fn preempt_near_image(
         &mut self,
         queued: QueuedJob,
         now: Micros,
@@ -33,7 +33,7 @@
         let Some(job) = self.job_table.get(queued.number) else {
             return false;
         };
-        // Searched again while a start there would be sooner than a fetch elsewhere.
+        // The search is repeated as long as a start there would be sooner than after a fetch elsewhere.
         if let Some(until) = job.backoff.near_image_until {
             if now < until || now.since(job.times.queued_at) > self.search_time(job) {
                 return now < until;
@@ -46,9 +46,9 @@
             0 => Vec::new(),
             _ => self.options_near_image(queued, &spec, missing, now),
         };
-        let awaited = !options.is_empty();
+        let waits_for_capacity = !options.is_empty();
         if let Some(job) = self.job_table.get_mut(queued.number) {
-            let wait = match awaited {
+            let wait = match waits_for_capacity {
                 true => WAIT_FOR_CAPACITY,
                 false => Micros::ZERO,
             };
@@ -59,24 +59,26 @@
             .flat_map(|option| option.victims)
             .collect();
         self.preempt_tasks(victims, Grace::None, now);
-        awaited
+        waits_for_capacity
     }
 
-    /// For how long after its submission capacity is searched where the service's image is.
+    /// Returns how long after the job was queued machines with its image are searched for capacity. If
+    /// a fetch elsewhere could be in time for the job's objective, the search ends early enough for that
+    /// fetch; otherwise it takes half of the time within which the job should start.
     fn search_time(&self, job: &Job) -> Micros {
         let types = self.catalog.types.iter();
         let suitable = types.filter(|machine_type| {
             job.spec.need.fits(&machine_type.size)
-                && !self.contested_for(&job.spec, &machine_type.size)
+                && !self.is_contested_for(&job.spec, &machine_type.size)
         });
         let fetch_times = suitable.map(|machine_type| {
             let expected = machine_type.fetch_time(job.spec.image_mb);
-            expected.times(FETCH_MARGIN)
+            expected.times(FETCH_TIME_MARGIN)
         });
         let fetch = fetch_times.min().unwrap_or_default();
         let objectives = self.job_table.classes.objectives(job.class);
         let limits = objectives.iter().filter_map(|target| match target {
-            // Where a fetch would be in time, there is no more to hope for than that.
+            // A fetch could be in time, so the search must not last longer than that allows.
             ObjectiveTarget::Started(within) if fetch < *within => {
                 Some(within.since(fetch).since(START_MARGIN))
             }
@@ -87,7 +89,7 @@
         limit.min(MAX_SEARCH_TIME)
     }
 
-    /// How many tasks could start at once where the image is.
+    /// Returns how many tasks could start at once on machines with the image.
     fn tasks_ready_near_image(
         &mut self,
         queued: QueuedJob,
@@ -95,7 +97,7 @@
         idle: u64,
         now: Micros,
     ) -> u64 {
-        let candidates = self.candidates(queued.number, None, idle, now);
+        let candidates = self.candidate_machines(queued.number, None, idle, now);
         let with_image = candidates.iter().filter(|name| self.has_image(name, spec));
         let machines = with_image.filter_map(|name| self.inventory.get(name));
         let tasks = machines.map(|machine| spec.need.count_in(&machine.free()));
--- a/crates/saltpitch-core/src/scheduler/preemption/options.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/options.rs
@@ -1,33 +1,34 @@
-//! Where capacity for one task could be made: which tasks would be stopped, and what that loses.
+//! The options of a preemption search: on which machines capacity for one task can be made, which tasks
+//! would be stopped there, and how much work that loses.
 
 use std::sync::Arc;
 
 use super::VictimTask;
 use crate::job::{JobSpec, Priority};
 use crate::machine::Machine;
-use crate::preemption::{choose, loss, Victim};
+use crate::preemption::{cheapest_victims, lost_work, Victim};
 use crate::scheduler::queue_order::QueuedJob;
 use crate::scheduler::{Allocation, Job, ObservedState, Scheduler};
 use crate::time::Micros;
 
-/// Machines of one group that are looked at in one search: what stands behind them waits for the next.
+/// Machines of one group that are examined in one search; the next search continues after them.
 const MACHINES_PER_SEARCH: usize = 32;
-/// A task that was placed for so long counts as settled.
+/// A running task that can save counts as settled once it has been placed for this long.
 const SETTLED_AFTER: Micros = Micros::from_secs(40);
-/// The part of the time since its placement that counts as lost for a task that does not run yet.
+/// The fraction of the time since its placement that counts as lost for a task that does not run yet.
 const PREPARATION_SHARE: f64 = 0.2;
 
-/// How capacity for one task can be made on a machine.
+/// A way to make capacity for one task on a machine.
 pub(super) struct PreemptionOption {
     pub(super) loss: u64,
     pub(super) machine: Arc<str>,
-    /// Empty: capacity is being made here already, which covers one of the tasks.
+    /// The tasks to stop. Empty if capacity for one task is already being made here.
     pub(super) victims: Vec<VictimTask>,
 }
 
 impl Scheduler {
-    /// The options for one task of this job, at most one for each machine. Of each group a bounded part
-    /// is looked at, and the next search goes on from there.
+    /// Returns the options for one task of this job, at most one for each machine. Each search examines a
+    /// bounded part of each group, and the next one continues after it.
     pub(super) fn preemption_options(
         &mut self,
         queued: QueuedJob,
@@ -43,7 +44,7 @@
         let suitable = machines.filter(|machine| {
             machine.is_schedulable()
                 && Self::zone_allows(job, &machine.zone)
-                && !job.failures.avoids(&machine.name, now)
+                && !job.failures.should_avoid(&machine.name, now)
         });
         suitable
             .filter_map(|machine| self.option_on(machine, queued, spec, now))
@@ -52,16 +53,16 @@
 
     fn machines_to_search(&mut self, queued: QueuedJob, spec: &JobSpec) -> Vec<Arc<str>> {
         let mut names = Vec::new();
-        for at in 0..self.inventory.groups().len() {
-            let group = &self.inventory.groups()[at];
+        for index in 0..self.inventory.groups().len() {
+            let group = &self.inventory.groups()[index];
             if !spec.need.fits(&group.machine_type.size)
                 || !spec.allows(&group.machine_type.name, &group.zone, group.spot)
-                || self.contested_for(spec, &group.machine_type.size)
+                || self.is_contested_for(spec, &group.machine_type.size)
                 || !(queued.within_quota || group.has_tasks_below(spec.priority))
             {
                 continue;
             }
-            let group = &mut self.inventory.groups_mut()[at];
+            let group = &mut self.inventory.groups_mut()[index];
             names.extend(group.next_members(MACHINES_PER_SEARCH));
         }
         names
@@ -90,18 +91,18 @@
             if !self.may_preempt(queued, spec, other) {
                 continue;
             }
-            let urgent = spec.priority >= Priority::High || queued.within_quota;
-            if !urgent && !is_settled(other, allocation, now) {
+            let is_urgent = spec.priority >= Priority::High || queued.within_quota;
+            if !is_urgent && !is_settled(other, allocation, now) {
                 continue;
             }
-            let lost = lost_time(spec, other, allocation, now);
+            let lost_time = lost_time(spec, other, allocation, now);
             victims.push(Victim {
                 id: (number, task),
                 need: other.spec.need,
-                loss: loss(other.spec.need.cpu, lost),
+                loss: lost_work(other.spec.need.cpu, lost_time),
             });
         }
-        let (loss, victims) = choose(&spec.need, free, &mut victims)?;
+        let (loss, victims) = cheapest_victims(&spec.need, free, &mut victims)?;
         Some(PreemptionOption {
             loss,
             machine: machine.name.clone(),
@@ -109,17 +110,18 @@
         })
     }
 
-    /// The protocol's terms: higher priority over lower; quota over what another team runs beyond its
-    /// own.
+    /// Whether tasks of the other job may be stopped for this one. By the rules of the protocol, higher
+    /// priority preempts lower, and work within its team's quota preempts what another team runs beyond its
+    /// own quota.
     fn may_preempt(&self, queued: QueuedJob, spec: &JobSpec, other: &Job) -> bool {
-        // Work without accelerators makes way on machines that have some for work that needs them,
-        // wherever it stands in the order: it can't take that capacity back. A job counts as urgent as
-        // the most urgent job that depends on it, here as in the order of the queue: otherwise an early
-        // stage of an urgent chain is stopped again and again by work that is no more urgent.
+        // On machines with accelerators, work that needs none is stopped for work that does, whatever
+        // its rank: it can't take that capacity back. A job counts as urgent as the most urgent job
+        // that depends on it, here as in the queue: otherwise an early stage of an urgent chain is
+        // stopped repeatedly by work that is no more urgent.
         if spec.need.gpu > 0 && other.spec.need.gpu == 0 && other.priority < spec.priority {
             return true;
         }
-        // Only what is served later anyway: otherwise two jobs could stop each other in turn.
+        // Only jobs of a later rank are stopped: otherwise two jobs could stop each other in turn.
         let own = self.job_table.get(queued.number);
         if other.rank <= own.map_or(u8::MAX, |job| job.rank) {
             return false;
@@ -130,7 +132,8 @@
         if !queued.within_quota || other.spec.team == spec.team {
             return false;
         }
-        // Services are never cheap to move: users look at them.
+        // Production work is not stopped for a quota: services are never cheap to move, since users
+        // notice it.
         let exceeds_quota = || {
             let team = self.quota.team(other.team);
             team.is_some_and(|team| !team.guarantees(&self.quota.used(other.team)))
@@ -139,33 +142,34 @@
     }
 }
 
-/// A start that is undone soon counts for nothing, and neither does work that can't be saved: both are
-/// only worth it for urgent work and quotas.
+/// Whether the task has been placed long enough, runs and can save its progress. Stopping a task soon
+/// after its start, or one that can't save, wastes its work, which is justified only for urgent work
+/// and quotas.
 fn is_settled(job: &Job, allocation: &Allocation, now: Micros) -> bool {
     now.since(allocation.placed_at) > SETTLED_AFTER
         && job.spec.can_save()
         && allocation.observed == ObservedState::Running
 }
 
-/// The run time that stopping a task loses. Guests go first, whatever they lose: this cell's own work is
-/// never stopped where stopping them will do.
+/// Returns the run time that stopping a task loses. For guests it is zero, so that they are stopped
+/// first: this cell's own work is never stopped where stopping guests is enough.
 fn lost_time(spec: &JobSpec, victim: &Job, allocation: &Allocation, now: Micros) -> Micros {
     if victim.guest.is_some() {
         return Micros::ZERO;
     }
     let placed_for = now.since(allocation.placed_at);
-    let ran = match allocation.observed {
+    let run_time = match allocation.observed {
         ObservedState::Running => {
             now.since(allocation.running_since.unwrap_or(allocation.placed_at))
         }
         _ => placed_for.times(PREPARATION_SHARE),
     };
     if !victim.spec.can_save() {
-        return ran;
+        return run_time;
     }
     match spec.priority {
-        // Production waits for nobody's save: what is lost is the time since the last checkpoint.
-        Priority::Production => Micros(ran.0 % victim.spec.checkpoint_interval.0),
+        // Production does not wait for tasks to save: the time since their last checkpoint is lost.
+        Priority::Production => Micros(run_time.0 % victim.spec.checkpoint_interval.0),
         Priority::Low | Priority::Normal | Priority::High => victim.spec.save_time,
     }
 }
--- a/crates/saltpitch-core/src/scheduler/queue_order.rs
+++ b/crates/saltpitch-core/src/scheduler/queue_order.rs
@@ -1,8 +1,8 @@
 //! The order in which waiting jobs are served.
 //!
-//! Jobs are ranked first: production, then work within its team's quota, then by priority and by which
-//! service-level objectives can still be kept. Within a rank the smallest remaining work comes first,
-//! and ageing bounds the wait of the largest.
+//! Jobs are ordered by rank first: production, then work within its team's quota, then by priority and by
+//! which service-level objectives can still be met. Within a rank the job with the least remaining work is
+//! served first, and ageing bounds the wait of the largest.
 
 use super::job_table::classes::Class;
 use super::{Job, ObjectiveTarget, Scheduler};
@@ -10,54 +10,58 @@
 use crate::job::{JobKind, JobNumber, Priority};
 use crate::time::Micros;
 
-/// For each of these that a job has waited, it counts as half as large.
-const AGEING: Micros = Micros::from_secs(60);
-/// A large job of which nothing was placed for this long is the next of those not pressing.
-const STARVED: Micros = Micros::from_secs(140);
-/// The same for those that are not large for their class: once late, they are not pressing.
-const STARVED_SMALL: Micros = Micros::from_secs(300);
-/// Gangs take their whole capacity at once, and come before everything of their team but production.
-const STARVED_GANG: Micros = Micros::from_secs(170);
-/// A job is large if it has this many times the mean tasks of its class.
-const LARGE_RATIO: f64 = 1.5;
-/// A job of which nothing runs takes any capacity that fits after this.
-const BLOCKED: Micros = Micros::from_secs(60);
+/// Each time that a job has waited for this long, its remaining work counts half as much.
+const AGEING_HALF_LIFE: Micros = Micros::from_secs(60);
+/// A large array or service counts as starved if nothing of it was placed for this long; it is then served
+/// before all jobs that are not pressing.
+const STARVED_AFTER: Micros = Micros::from_secs(140);
+/// The same for jobs that are not large for their class, since they don't count as pressing once they
+/// are late.
+const SMALL_JOB_STARVED_AFTER: Micros = Micros::from_secs(300);
+/// The same for large gangs. A gang needs its whole capacity at once, so a starved one is served before all
+/// work of its team except production.
+const LARGE_GANG_STARVED_AFTER: Micros = Micros::from_secs(170);
+/// A job is large if it has more tasks than this many times the mean of its class.
+const LARGE_JOB_RATIO: f64 = 1.5;
+/// A job of which nothing runs uses any capacity that fits after this wait.
+const BLOCKED_AFTER: Micros = Micros::from_secs(60);
 /// A gang that has waited for this long keeps the capacity that it finds.
-const GANG_AGED: Micros = Micros::from_secs(20);
-/// Gangs are served in this order of the time left to them.
-const SLOT: Micros = Micros::from_secs(10);
-/// Gangs with the same time left go by their tasks, as far as these differ below this.
+const GANG_AGED_AFTER: Micros = Micros::from_secs(20);
+/// Gangs are ordered by the time left to them, in steps of this length.
+const GANG_SLACK_STEP: Micros = Micros::from_secs(10);
+/// Gangs in the same step are ordered by their number of tasks; all numbers from this one on count the
+/// same.
 const MAX_GANG_SIZE_KEY: u64 = 999;
 /// A job that has to start within this time is pressing.
-const PRESSING: Micros = Micros::from_secs(120);
-/// How much longer than its estimate a task is expected to run.
+const PRESSING_WITHIN: Micros = Micros::from_secs(120);
+/// The run time that is allowed for a task, as a multiple of its estimate.
 const RUN_TIME_MARGIN: f64 = 1.2;
 
-/// Ranks, the first served first.
+/// The ranks of jobs; jobs of a lower rank number are served first.
 mod rank {
     pub(super) const PRODUCTION: u8 = 0;
     pub(super) const WITHIN_QUOTA: u8 = 1;
     pub(super) const HIGH_PRIORITY: u8 = 2;
     pub(super) const PRESSING: u8 = 3;
     pub(super) const WITH_OBJECTIVE: u8 = 4;
-    /// Work without an objective that can still be kept, and jobs at fault.
+    /// Jobs without an objective that can still be met, and jobs at fault.
     pub(super) const REST: u8 = 5;
-    /// Work that is run for another cell: after all of this cell's own.
+    /// Work that is run for another cell, served after all of this cell's own.
     pub(super) const GUEST: u8 = 6;
 }
 
-/// A job with tasks to place, as of one pass.
+/// A job with tasks to place, as ranked in one pass.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QueuedJob {
     /// The job.
     pub number: JobNumber,
-    /// It fits into its team's quota together with the team's earlier jobs.
+    /// Whether it fits into its team's quota together with the team's older jobs.
     pub within_quota: bool,
-    /// Time left until it has to start; none: it is late, or has no objective.
+    /// The time left until it has to start; `None` if it is late or has no objective.
     pub slack: Option<Micros>,
 }
 
-/// What decides the order of two jobs; the smaller is served first.
+/// The sort key of a job in the queue; the job with the smaller key is served first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     rank: u8,
@@ -67,8 +71,8 @@
     number: JobNumber,
 }
 
-/// How a job stands in one pass.
-struct Standing {
+/// How a job ranks in one pass.
+struct JobRanking {
     rank: u8,
     within_quota: bool,
     is_starved: bool,
@@ -76,7 +80,8 @@
 }
 
 impl Scheduler {
-    /// Jobs with tasks to place, those served first in front. Ranks all active jobs anew.
+    /// Returns the jobs with tasks to place in the order in which they are served. Updates the ranks of all
+    /// active jobs.
     pub(super) fn queued_jobs(&mut self, now: Micros) -> Vec<QueuedJob> {
         let active = self.job_table.active_by_age();
         self.steps += active.len() as u64;
@@ -88,18 +93,18 @@
             let Some(job) = job.filter(|job| job.is_active()) else {
                 continue;
             };
-            let Some(standing) = self.standing(job, &mut claimed, now) else {
+            let Some(ranking) = self.ranking(job, &mut claimed, now) else {
                 continue;
             };
-            ranks.push((number, standing.rank));
+            ranks.push((number, ranking.rank));
             if job.tasks.idle().is_empty() {
                 continue;
             }
-            let key = self.queue_key(number, job, &standing, now);
+            let key = self.queue_key(number, job, &ranking, now);
             let queued = QueuedJob {
                 number,
-                within_quota: standing.within_quota,
-                slack: standing.start_by.map(|start_by| start_by.since(now)),
+                within_quota: ranking.within_quota,
+                slack: ranking.start_by.map(|start_by| start_by.since(now)),
             };
             queue.push((key, queued));
         }
@@ -112,10 +117,11 @@
         queue.into_iter().map(|(_, queued)| queued).collect()
     }
 
-    /// How the job stands, the team's claims by older jobs given; `None` for an unknown team.
-    fn standing(&self, job: &Job, claimed: &mut [Resources], now: Micros) -> Option<Standing> {
+    /// Ranks the job, given what older jobs of its team claim, and adds its own claim to theirs. Returns
+    /// `None` for an unknown team.
+    fn ranking(&self, job: &Job, claimed: &mut [Resources], now: Micros) -> Option<JobRanking> {
         let team = self.quota.team(job.team)?;
-        // A job at fault makes no claims: those of its team must not lose their quota to it.
+        // A job at fault claims no more than it has placed, so that its team's other jobs keep their quota.
         let at_fault = job.is_at_fault();
         let remaining = match at_fault {
             true => job.tasks.placed(),
@@ -134,16 +140,16 @@
             _ if at_fault => rank::REST,
             (Priority::Production, _) => rank::PRODUCTION,
             (_, true) if start_by.is_some() || is_young => rank::WITHIN_QUOTA,
-            // A gang that needs most of its team's limit at once never finds it free while others
-            // of the team come first.
+            // A gang that needs most of its team's limit at once never finds it free while other jobs of
+            // the team are served first.
             _ if is_starved && job.spec.kind == JobKind::Gang => rank::WITHIN_QUOTA,
             (Priority::High, _) => rank::HIGH_PRIORITY,
             _ if is_starved => rank::PRESSING,
-            _ if start_by.is_some_and(|at| at.since(now) <= PRESSING) => rank::PRESSING,
+            _ if start_by.is_some_and(|at| at.since(now) <= PRESSING_WITHIN) => rank::PRESSING,
             _ if start_by.is_some() => rank::WITH_OBJECTIVE,
             _ => rank::REST,
         };
-        Some(Standing {
+        Some(JobRanking {
             rank,
             within_quota,
             is_starved,
@@ -151,28 +157,29 @@
         })
     }
 
-    /// When not all can be served in time, the smallest first keeps the most objectives; but the
-    /// largest must not wait for ever behind small ones that keep coming. So the wait since a job was
-    /// served last makes it smaller, and in the end it is the first of its rank.
+    /// Returns the job's key in the queue. When not all jobs can be served in time, serving the smallest
+    /// first meets the most objectives; but the largest must not wait indefinitely behind a stream of small
+    /// ones. So the time since a job was last served reduces the work that it counts with, until it is the
+    /// first of its rank.
     fn queue_key(
         &self,
         number: JobNumber,
         job: &Job,
-        standing: &Standing,
+        ranking: &JobRanking,
         now: Micros,
     ) -> QueueKey {
-        let remaining_work = if standing.is_starved {
+        let remaining_work = if ranking.is_starved {
             0
         } else if job.spec.kind == JobKind::Gang {
-            gang_key(job, standing.start_by, now)
+            gang_key(job, ranking.start_by, now)
         } else {
             let run_time = job.tasks.idle().len() as u64 * self.estimate(job).0;
             let work = run_time / 1_000 * job.spec.need.cpu;
-            let waited = now.since(job.times.waiting_since()).0 / AGEING.0;
-            work >> waited.min(63)
+            let half_lives = now.since(job.times.waiting_since()).0 / AGEING_HALF_LIFE.0;
+            work >> half_lives.min(63)
         };
         QueueKey {
-            rank: standing.rank,
+            rank: ranking.rank,
             below_high_priority: job.priority < Priority::High,
             remaining_work,
             queued: job.times.queued_at,
@@ -180,23 +187,22 @@
         }
     }
 
-    /// Nothing of this job was placed for long, although something is left of it: late or large, its
-    /// turn has come. The wait is the same for all, so that nobody's is without bound.
+    /// Whether the job has idle tasks and none of its tasks was placed for so long that it is served next,
+    /// late or large as it may be. Every job is subject to such a limit, so that none waits without bound.
     pub(super) fn is_starved(&self, job: &Job, now: Micros) -> bool {
         let class = self.job_table.classes.get(job.class);
         let mean = class.map_or(0.0, Class::mean_tasks);
-        let large = f64::from(job.spec.tasks) > mean * LARGE_RATIO;
+        let is_large = f64::from(job.spec.tasks) > mean * LARGE_JOB_RATIO;
         let limit = match job.spec.kind {
-            _ if !large => STARVED_SMALL,
-            JobKind::Gang => STARVED_GANG,
-            JobKind::Array | JobKind::Service => STARVED,
+            _ if !is_large => SMALL_JOB_STARVED_AFTER,
+            JobKind::Gang => LARGE_GANG_STARVED_AFTER,
+            JobKind::Array | JobKind::Service => STARVED_AFTER,
         };
         !job.tasks.idle().is_empty() && now.since(job.times.waiting_since()) > limit
     }
 
-    /// The latest start that keeps the next objective that can still be kept. `None`: every objective
-    /// of this job is missed, or it has none, so that it comes after those that can still be served in
-    /// time.
+    /// Returns the latest start that meets the job's next objective that can still be met. `None` if it has
+    /// missed every objective or has none: it is then served after the jobs that can still be in time.
     pub(super) fn start_by(&self, job: &Job, now: Micros) -> Option<Micros> {
         let run_time = self.estimate(job).times(RUN_TIME_MARGIN);
         let objectives = self.job_table.classes.objectives(job.class);
@@ -204,7 +210,7 @@
             .iter()
             .filter_map(|target| latest_start(job, *target, run_time));
         let of_class = of_class.filter(|start_by| *start_by > now).min();
-        // For the sake of those that depend on it.
+        // Jobs that depend on this one need it done in time for their own deadlines.
         let of_dependents = job.dependents_deadline.map(|due| due.since(run_time));
         let of_dependents = of_dependents.filter(|start_by| *start_by > now);
         if !objectives.is_empty() || of_dependents.is_some() {
@@ -215,32 +221,35 @@
         own.filter(|start_by| *start_by > now)
     }
 
-    /// Nothing of this job runs and nothing was placed for long: it may have whatever fits. No job is
-    /// to wait beside a machine with room, be it one that is kept for others.
+    /// Whether no task of this job is placed and none was for so long that the job may use any capacity
+    /// that fits. No job is to wait while a machine has room for it, even a machine that is kept for
+    /// others.
     pub(super) fn is_blocked(&self, job: &Job, now: Micros) -> bool {
-        job.tasks.placed() == 0 && now.since(job.times.waiting_since()) > BLOCKED
+        job.tasks.placed() == 0 && now.since(job.times.waiting_since()) > BLOCKED_AFTER
     }
 
-    /// The source lets a large gang starve while smaller work fills the gaps. Ours ages: after this
-    /// wait it is served first among its like and keeps the capacity that it finds.
+    /// Whether the gang is incomplete and has waited long enough to keep the capacity that it finds. The
+    /// gang scheduling design that the barrier follows has no ageing: there a large gang starves while
+    /// smaller jobs fill the gaps.
     pub(super) fn is_aged(&self, job: &Job, now: Micros) -> bool {
         job.spec.kind == JobKind::Gang
             && job.tasks.placed() < job.spec.tasks
-            && now.since(job.times.queued_at) > GANG_AGED
+            && now.since(job.times.queued_at) > GANG_AGED_AFTER
     }
 }
 
-/// Gangs go by the time left for their next objective that can still be kept: one that has missed the
-/// first is not served before those that have not.
+/// Returns the key by which gangs are ordered: the time left for the next objective that can still be met,
+/// so that a gang that has missed its first objective is not served before those that have not.
 fn gang_key(job: &Job, start_by: Option<Micros>, now: Micros) -> u64 {
-    let slots = start_by.map_or(u64::MAX >> 1, |at| at.since(now).0 / SLOT.0);
+    let slack_steps = start_by.map_or(u64::MAX >> 1, |at| at.since(now).0 / GANG_SLACK_STEP.0);
     let size = u64::from(job.spec.tasks).min(MAX_GANG_SIZE_KEY);
-    slots
+    slack_steps
         .saturating_mul(MAX_GANG_SIZE_KEY + 1)
         .saturating_add(size)
 }
 
-/// The latest start by which this objective is kept; `None` if it says nothing of this job any more.
+/// Returns the latest start that meets this objective; `None` if the objective does not apply to the
+/// job, or no longer does.
 fn latest_start(job: &Job, target: ObjectiveTarget, run_time: Micros) -> Option<Micros> {
     match target {
         ObjectiveTarget::Started(_) if job.tasks.was_fully_placed() => None,
