--- a/crates/saltpitch-core/src/placement.rs
+++ b/crates/saltpitch-core/src/placement.rs
@@ -16,7 +16,7 @@
 const UNUSED_ACCELERATORS_PENALTY: u64 = 15_000;
 
 /// Returns how well a task of this job would be placed on the machine; lower is better. A point is about a
-/// millisecond of delay; costs are counted in the same unit.
+/// millisecond of delay; money is counted in the same unit.
 pub fn score(spec: &JobSpec, machine: &Machine) -> u64 {
     fetch_penalty(spec, machine)
         + spot_penalty(spec, machine)
--- a/crates/saltpitch-core/src/scheduler/dependency_gate.rs
+++ b/crates/saltpitch-core/src/scheduler/dependency_gate.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Handles that this job is done on record, since `at`: jobs that waited for nothing else are released.
+    /// Handles the completion of a job, which is done on record since `at`: dependents that wait for no
+    /// other job are released.
     pub(super) fn dependency_completed(&mut self, id: &str, at: Micros, now: Micros) {
         for number in self.dependencies.take_dependents(id) {
             let Some(job) = self.job_table.get_mut(number) else {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Handles that this job is cancelled: all jobs that depend on it, directly or through others, are
+    /// Handles the cancellation of a job: all jobs that depend on it, directly or through others, are
     /// cancelled as well. None of them has started.
     pub(super) fn dependency_cancelled(&mut self, id: &str, now: Micros) {
         for number in self.dependencies.take_dependents(id) {
--- a/crates/saltpitch-core/src/scheduler/job_changes.rs
+++ b/crates/saltpitch-core/src/scheduler/job_changes.rs
@@ -26,9 +26,8 @@
         current.or_else(|| self.job_table.ended.get(id))
     }
 
-    /// Handles that a peer acknowledged the cancellation of a job that this controller's copy of the
-    /// records doesn't show as cancelled. Its tasks are stopped and no more are placed; the record
-    /// follows later.
+    /// Handles a cancellation that a peer has acknowledged and that this controller's copy of the records
+    /// doesn't show yet. The job's tasks are stopped and no more are placed; the record follows later.
     pub fn cancelled_by_peer(&mut self, id: &str, now: Micros) {
         match self.job_table.number_of(id) {
             Some(number) => self.cancel_if_active(number, now),
--- a/crates/saltpitch-core/src/scheduler/job_failures.rs
+++ b/crates/saltpitch-core/src/scheduler/job_failures.rs
@@ -47,8 +47,8 @@
         self.failures.is_at_fault(self.spec.tasks)
     }
 
-    /// Returns how many idle tasks machines may be scaled out or other tasks preempted for. Jobs at
-    /// fault, and tasks that failed on several machines, only use capacity that is left over.
+    /// Returns the number of idle tasks for which machines may be scaled out or other tasks preempted.
+    /// Jobs at fault, and tasks that failed on several machines, only use capacity that is left over.
     pub(super) fn idle_tasks_not_at_fault(&self) -> u64 {
         if self.is_at_fault() {
             return 0;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Handles that a machine refused a task of this job: the job avoids the machine for a while, and
+    /// Handles a machine's refusal of a task of this job: the job avoids the machine for a while, and
     /// none of its tasks is placed for a moment.
     pub(super) fn task_refused(&mut self, number: JobNumber, machine: &Arc<str>, now: Micros) {
         if let Some(job) = self.job_table.get_mut(number) {
--- a/crates/saltpitch-core/src/scheduler/preemption/options.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/options.rs
@@ -114,10 +114,10 @@
     /// priority preempts lower, and work within its team's quota preempts what another team runs beyond its
     /// own quota.
     fn may_preempt(&self, queued: QueuedJob, spec: &JobSpec, other: &Job) -> bool {
-        // On machines with accelerators, work that needs none is stopped for work that does, whatever
-        // its rank: it can't take that capacity back. A job counts as urgent as the most urgent job
-        // that depends on it, here as in the queue: otherwise an early stage of an urgent chain is
-        // stopped repeatedly by work that is no more urgent.
+        // On machines with accelerators, work of lower priority that needs none is stopped for work that
+        // does, whatever its rank: it can't take that capacity back. A job counts as urgent as the most
+        // urgent job that depends on it, here as in the queue: otherwise an early stage of an urgent
+        // chain is stopped repeatedly by work that is no more urgent.
         if spec.need.gpu > 0 && other.spec.need.gpu == 0 && other.priority < spec.priority {
             return true;
         }
