--- a/crates/saltpitch-core/src/machine_index.rs
+++ b/crates/saltpitch-core/src/machine_index.rs
@@ -260,7 +260,7 @@
     }
 
     /// Returns the number of machines with this image in the zone that has the most of them.
-    pub fn image_holders(&self, image: &str) -> usize {
+    pub fn max_image_holders_per_zone(&self, image: &str) -> usize {
         let zones = self.image_holders.get(image);
         let most = zones.and_then(|zones| zones.values().max().copied());
         most.unwrap_or(0)
--- a/crates/saltpitch-core/src/scheduler/inventory.rs
+++ b/crates/saltpitch-core/src/scheduler/inventory.rs
@@ -122,8 +122,8 @@
     }
 
     /// Returns how many machines have this image in the zone in which most machines have it.
-    pub(super) fn image_holders(&self, image: &str) -> usize {
-        self.index.image_holders(image)
+    pub(super) fn max_image_holders_per_zone(&self, image: &str) -> usize {
+        self.index.max_image_holders_per_zone(image)
     }
 
     /// Adds a machine without allocations.
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -189,7 +189,7 @@
     /// Estimates how soon the machines that have a gang's image become free for it, one after the other.
     /// Returns `None` for jobs that are not gangs, and if no machine has the image.
     fn image_holders_free_in(&self, job: &Job) -> Option<Micros> {
-        let holders = self.inventory.image_holders(&job.spec.image) as u64;
+        let holders = self.inventory.max_image_holders_per_zone(&job.spec.image) as u64;
         if job.spec.kind != JobKind::Gang || holders == 0 {
             return None;
         }
