--- a/crates/saltpitch-core/src/machine/agent_state.rs
+++ b/crates/saltpitch-core/src/machine/agent_state.rs
@@ -1,75 +1,75 @@
-//! What is known of a machine's agent by the statuses that it sent.
+//! The state of a machine's agent, as its statuses and the records show it.
 
 use crate::agent::Heartbeat;
 use crate::time::Micros;
 
-/// The agent's epoch, the order of its statuses, and the fencing token that it obeys.
+/// The agent's epoch, the order of its statuses, and the highest fencing token that it has seen.
 #[derive(Debug, Default)]
 pub struct AgentState {
     epoch: u64,
-    /// Sequence number of the newest status, in a heartbeat or an answer to a direct call.
+    /// The sequence number of the newest status, in a heartbeat or an answer to a direct call.
     sequence: u64,
-    /// Sequence number of the newest heartbeat: only the next heartbeat proves that a start in the answer
-    /// to this one was lost.
+    /// The sequence number of the newest answered heartbeat. Only the next heartbeat proves that a start in
+    /// the answer to this one was lost.
     heartbeat_sequence: u64,
-    /// The last heartbeat whose answer carried a start.
+    /// The sequence number of the last heartbeat whose answer carried a start.
     start_sequence: u64,
     fencing_token: u64,
     fenced_at: Option<Micros>,
 }
 
 impl AgentState {
-    /// The present epoch, by the agent's statuses or by the allocations on record.
+    /// Returns the present epoch, known from the agent's statuses or from the allocations on record.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Since when the agent ignores every earlier leader, if it is known to.
+    /// Returns since when the agent is known to ignore every earlier leader, or `None` if it is not.
     pub fn fenced_at(&self) -> Option<Micros> {
         self.fenced_at
     }
 
-    /// Whether the agent is known to ignore every earlier leader.
+    /// Returns whether the agent is known to ignore every earlier leader.
     pub fn is_fenced(&self) -> bool {
         self.fenced_at.is_some()
     }
 
-    /// Whether the agent has seen this fencing token or a higher one.
+    /// Returns whether the agent has seen this fencing token or a higher one.
     pub fn has_seen_token(&self, fencing_token: u64) -> bool {
         self.fencing_token >= fencing_token
     }
 
-    /// Whether the status is newer than everything known.
+    /// Returns whether the status is newer than every status received so far.
     pub fn is_newer(&self, status: &Heartbeat) -> bool {
         (status.agent_epoch, status.sequence) > (self.epoch, self.sequence)
     }
 
-    /// Whether the status begins an epoch that was not known.
+    /// Returns whether the status is from an epoch later than the present one.
     pub fn begins_epoch(&self, status: &Heartbeat) -> bool {
         status.agent_epoch > self.epoch
     }
 
-    /// Whether this heartbeat, or a later one of its epoch, was taken in before.
+    /// Returns whether this heartbeat, or a later one of its epoch, was already answered.
     pub fn is_stale_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.agent_epoch == self.epoch && heartbeat.sequence <= self.heartbeat_sequence
     }
 
-    /// Whether this heartbeat is the next that the agent sent to any controller after one that was
-    /// answered here.
+    /// Returns whether this heartbeat is the agent's first message to any controller after the newest status
+    /// received here, and some heartbeat of its epoch was answered here.
     pub fn follows_answer(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.agent_epoch == self.epoch
             && heartbeat.sequence == self.sequence + 1
             && self.heartbeat_sequence > 0
     }
 
-    /// Whether a start that an answer carried may still reach the agent: no later heartbeat proves that it
-    /// was lost.
+    /// Returns whether a start in the answer to a heartbeat may still reach the agent, because no later
+    /// heartbeat proves that it was lost.
     pub fn may_receive_start(&self) -> bool {
         self.start_sequence >= self.heartbeat_sequence
     }
 
-    /// The agent showed this fencing token. Says whether that proves for the first time that it ignores
-    /// every leader before the one that began with `first_term`.
+    /// Records a fencing token that the agent showed. Returns whether that proves for the first time that the
+    /// agent ignores every leader before the one whose first term is `first_term`.
     pub fn token_observed(&mut self, fencing_token: u64, first_term: u64, now: Micros) -> bool {
         self.fencing_token = self.fencing_token.max(fencing_token);
         if self.fenced_at.is_some() || self.fencing_token < first_term {
@@ -79,7 +79,7 @@
         true
     }
 
-    /// Takes in the order of a status that is newer than what is known.
+    /// Records the epoch and the sequence number of a status that is newer than the last one.
     pub fn status_received(&mut self, status: &Heartbeat) {
         if self.begins_epoch(status) {
             self.heartbeat_sequence = 0;
@@ -89,17 +89,18 @@
         self.epoch = status.agent_epoch;
     }
 
-    /// This heartbeat was taken in whole and is answered.
+    /// Records that the heartbeat with this sequence number is answered.
     pub fn heartbeat_answered(&mut self, sequence: u64) {
         self.heartbeat_sequence = self.heartbeat_sequence.max(sequence);
     }
 
-    /// The answer to this heartbeat carries a start.
+    /// Records that the answer to the heartbeat with this sequence number carries a start.
     pub fn start_sent(&mut self, sequence: u64) {
         self.start_sequence = self.start_sequence.max(sequence);
     }
 
-    /// The records name an allocation in this epoch: what an earlier epoch says is older.
+    /// Records that there is an allocation on record for this epoch. Statuses of earlier epochs are stale
+    /// from now on.
     pub fn epoch_recorded(&mut self, epoch: u64) {
         self.epoch = self.epoch.max(epoch);
     }
--- a/crates/saltpitch-core/src/machine/allocation_set.rs
+++ b/crates/saltpitch-core/src/machine/allocation_set.rs
@@ -1,4 +1,4 @@
-//! The tasks on a machine: those that are placed there, and those that the agent lists besides.
+//! The tasks on a machine: those that are allocated to it, and those that its agent lists besides.
 
 use std::collections::BTreeSet;
 
@@ -7,108 +7,110 @@
 use crate::job::{JobKind, JobNumber, JobSpec};
 use crate::time::Micros;
 
-/// The tasks that are or may be on a machine, and the resources that they take.
+/// The tasks that are or may be on a machine, and the resources that the allocated ones use.
 #[derive(Debug)]
 pub struct AllocationSet {
     tasks: BTreeSet<(JobNumber, u32)>,
     used: Resources,
-    /// Processors used by work that is not batch.
-    steady_cpu: u64,
-    /// Listed by the agent without an allocation here: to be stopped or forgotten.
+    /// The processors used by services and gangs, in thousandths.
+    non_batch_cpu: u64,
+    /// The tasks that the agent lists without an allocation here, which are to be stopped or forgotten.
     unowned: Vec<TaskStatus>,
     idle_since: Micros,
-    /// When a task that needs what this machine is kept for was last here.
+    /// When the machine last had a task of the kind that it is intended for.
     last_intended_use: Micros,
 }
 
 impl AllocationSet {
-    /// Of a machine that is empty.
+    /// Creates the set of an empty machine.
     pub fn new(now: Micros) -> AllocationSet {
         AllocationSet {
             tasks: BTreeSet::new(),
             used: Resources::default(),
-            steady_cpu: 0,
+            non_batch_cpu: 0,
             unowned: Vec::new(),
             idle_since: now,
             last_intended_use: now,
         }
     }
 
-    /// Whether no task is placed here.
+    /// Returns whether no task is allocated to the machine.
     pub fn is_empty(&self) -> bool {
         self.tasks.is_empty()
     }
 
-    /// Whether this task is placed here.
+    /// Returns whether this task is allocated to the machine.
     pub fn contains(&self, number: JobNumber, task: u32) -> bool {
         self.tasks.contains(&(number, task))
     }
 
-    /// The tasks that are placed here, in order.
+    /// Returns the allocated tasks, ordered by job number and task index.
     pub fn iter(&self) -> impl Iterator<Item = (JobNumber, u32)> + '_ {
         self.tasks.iter().copied()
     }
 
-    /// A copy of the tasks that are placed here, in order: for callers that release some of them.
+    /// Returns a copy of the allocated tasks in the same order, for callers that release some of them.
     pub fn to_vec(&self) -> Vec<(JobNumber, u32)> {
         self.iter().collect()
     }
 
-    /// What the tasks take.
+    /// Returns the resources that the allocated tasks use.
     pub fn used(&self) -> Resources {
         self.used
     }
 
-    /// Processors used by work that is not batch.
-    pub fn steady_cpu(&self) -> u64 {
-        self.steady_cpu
+    /// Returns the processors used by services and gangs, in thousandths.
+    pub fn non_batch_cpu(&self) -> u64 {
+        self.non_batch_cpu
     }
 
-    /// Since when no task has been placed here, if none is.
+    /// Returns since when the machine has had no allocated task. Meaningless while it has one.
     pub fn idle_since(&self) -> Micros {
         self.idle_since
     }
 
-    /// When a task that needs what this machine is kept for was last here.
+    /// Returns when the machine last had a task of the kind that it is intended for.
     pub fn last_intended_use(&self) -> Micros {
         self.last_intended_use
     }
 
-    /// Tasks that the agent lists without an allocation here.
+    /// Returns the tasks that the agent lists without an allocation here.
     pub fn unowned(&self) -> &[TaskStatus] {
         &self.unowned
     }
 
-    /// Whether a task without an allocation has not exited: its need is unknown, so nothing is added.
+    /// Returns whether a task without an allocation has not exited yet. The resources that it uses are
+    /// unknown, so no new tasks are placed here.
     pub fn has_running_unowned(&self) -> bool {
-        let runs = |task: &TaskStatus| !matches!(task.state, TaskState::Exited { .. });
-        self.unowned.iter().any(runs)
+        let is_running = |task: &TaskStatus| !matches!(task.state, TaskState::Exited { .. });
+        self.unowned.iter().any(is_running)
     }
 
-    /// A task is placed here.
+    /// Adds a task's allocation.
     pub fn add(&mut self, number: JobNumber, task: u32, spec: &JobSpec) {
         self.tasks.insert((number, task));
         self.used = self.used.plus(&spec.need);
         if spec.kind != JobKind::Array {
-            self.steady_cpu += spec.need.cpu;
+            self.non_batch_cpu += spec.need.cpu;
         }
     }
 
-    /// A task is no longer placed here. `wanted`: it needs what the machine is kept for.
+    /// Removes a task's allocation. `is_intended_use` says whether the task is of the kind that the machine is
+    /// intended for.
     pub fn remove(
         &mut self,
         number: JobNumber,
         task: u32,
         spec: &JobSpec,
-        wanted: bool,
+        is_intended_use: bool,
         now: Micros,
     ) {
         self.tasks.remove(&(number, task));
         self.used = self.used.minus(&spec.need);
         if spec.kind != JobKind::Array {
-            self.steady_cpu = self.steady_cpu.saturating_sub(spec.need.cpu);
+            self.non_batch_cpu = self.non_batch_cpu.saturating_sub(spec.need.cpu);
         }
-        if wanted {
+        if is_intended_use {
             self.last_intended_use = now;
         }
         if self.tasks.is_empty() {
@@ -116,13 +118,13 @@
         }
     }
 
-    /// The machine came up: the time that it is idle counts from now.
+    /// Starts the machine's idle time when its agent is first heard.
     pub fn machine_registered(&mut self, now: Micros) {
         self.idle_since = now;
         self.last_intended_use = now;
     }
 
-    /// The agent's newest list of tasks without an allocation here. Returns the one before.
+    /// Replaces the list of tasks without an allocation with that of a newer status. Returns the previous one.
     pub fn replace_unowned(&mut self, unowned: Vec<TaskStatus>) -> Vec<TaskStatus> {
         std::mem::replace(&mut self.unowned, unowned)
     }
--- a/crates/saltpitch-core/src/machine/command_channel.rs
+++ b/crates/saltpitch-core/src/machine/command_channel.rs
@@ -1,11 +1,11 @@
-//! Direct commands to one agent: one call at a time, and none sooner than the one before allows.
+//! Direct calls with commands to one agent: one at a time, at a limited rate.
 
 use crate::time::Micros;
 
-/// A call that carried a start and got no answer: the agent may execute it any time later.
+/// A call that carried a start and got no answer. The agent may execute it at any later time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnacknowledgedStart {
-    /// The fencing token of the call. An agent that has seen a higher one ignores it.
+    /// The fencing token of the call. An agent that has seen a higher token ignores the call.
     pub fencing_token: u64,
     /// When the call ended.
     pub since: Micros,
@@ -20,48 +20,48 @@
 }
 
 impl CommandChannel {
-    /// Whether a call is under way.
+    /// Returns whether a call is in flight.
     pub fn is_in_flight(&self) -> bool {
         self.in_flight
     }
 
-    /// Before when no call is sent.
+    /// Returns the earliest time at which the next call may be sent.
     pub fn next_call_at(&self) -> Micros {
         self.next_call_at
     }
 
-    /// Whether a call may be sent.
+    /// Returns whether a call may be sent now.
     pub fn is_ready(&self, now: Micros) -> bool {
         !self.in_flight && now >= self.next_call_at
     }
 
-    /// The start that the agent may still execute.
+    /// Returns the last call with a start that the agent may still execute.
     pub fn unacknowledged_start(&self) -> Option<UnacknowledgedStart> {
         self.unacknowledged_start
     }
 
-    /// Whether the agent may still execute a start of an earlier call.
+    /// Returns whether the agent may still execute a start of an earlier call.
     pub fn has_unacknowledged_start(&self) -> bool {
         self.unacknowledged_start.is_some()
     }
 
-    /// A call is sent; the next one follows after `interval` at the earliest.
+    /// Records that a call is sent. The next one follows after `interval` at the earliest.
     pub fn call_sent(&mut self, interval: Micros, now: Micros) {
         self.in_flight = true;
         self.next_call_at = now.plus(interval);
     }
 
-    /// The call is over, answered or not.
+    /// Records that the call has ended, with or without an answer.
     pub fn call_ended(&mut self) {
         self.in_flight = false;
     }
 
-    /// The next call is sent after `backoff` at the earliest.
+    /// Delays the next call by at least `backoff`.
     pub fn back_off(&mut self, backoff: Micros, now: Micros) {
         self.next_call_at = now.plus(backoff);
     }
 
-    /// A call with a start got no answer.
+    /// Records that a call with a start got no answer.
     pub fn start_unacknowledged(&mut self, fencing_token: u64, now: Micros) {
         self.unacknowledged_start = Some(UnacknowledgedStart {
             fencing_token,
@@ -69,13 +69,13 @@
         });
     }
 
-    /// The agent showed this fencing token: it ignores calls with a lower one.
+    /// Records a fencing token that the agent showed. The agent ignores calls with a lower token.
     pub fn token_observed(&mut self, fencing_token: u64) {
         self.unacknowledged_start
             .take_if(|start| fencing_token > start.fencing_token);
     }
 
-    /// The agent began a new epoch: it ignores calls to earlier ones.
+    /// Records that the agent began a new epoch. It ignores calls for earlier epochs.
     pub fn epoch_started(&mut self) {
         self.unacknowledged_start = None;
     }
--- a/crates/saltpitch-core/src/machine/cordon.rs
+++ b/crates/saltpitch-core/src/machine/cordon.rs
@@ -1,19 +1,19 @@
-//! Whether a machine is closed to new tasks until it is returned.
+//! Cordons, which close a machine to new tasks until it is returned to the cloud.
 
 use std::collections::BTreeSet;
 
 use crate::job::JobNumber;
 
-/// A machine's cordon, and the jobs whose failures speak for it.
+/// A machine's cordon, and the jobs whose failures are attributed to the machine.
 #[derive(Debug, Default)]
 pub struct Cordon {
     active: bool,
-    /// Jobs that failed here and seem to work elsewhere.
+    /// The jobs that failed on this machine and seem to work on others.
     failed_jobs: BTreeSet<JobNumber>,
 }
 
 impl Cordon {
-    /// Whether nothing new is placed here; the machine is returned once it is empty.
+    /// Returns whether the machine is closed to new tasks. It is returned to the cloud once it is empty.
     pub fn is_active(&self) -> bool {
         self.active
     }
@@ -23,11 +23,11 @@
         self.active = true;
     }
 
-    /// A job's failure here counts, or no longer does; with `limit` such jobs the machine is at fault and
-    /// cordoned. Says whether that changed.
-    pub fn set_failed_job(&mut self, number: JobNumber, counts: bool, limit: usize) -> bool {
+    /// Sets whether a job's failure is attributed to the machine. With `limit` such jobs the machine is at
+    /// fault and cordoned. Returns whether that changed.
+    pub fn set_failed_job(&mut self, number: JobNumber, is_attributed: bool, limit: usize) -> bool {
         let was_at_fault = self.failed_jobs.len() >= limit;
-        if counts {
+        if is_attributed {
             self.failed_jobs.insert(number);
         } else {
             self.failed_jobs.remove(&number);
--- a/crates/saltpitch-core/src/machine/image_cache.rs
+++ b/crates/saltpitch-core/src/machine/image_cache.rs
@@ -1,4 +1,4 @@
-//! The images on a machine, as far as the tasks that ran there prove it.
+//! The images on a machine, as inferred from the tasks that ran there.
 
 use std::collections::BTreeMap;
 
@@ -11,36 +11,37 @@
     used_at: Micros,
 }
 
-/// Images that came to a machine or fell out of its cache.
+/// The images that were added to a machine's cache or evicted from it.
 #[derive(Debug, Default)]
 pub struct ImageChanges {
-    /// Those that came.
+    /// The images that were added.
     pub added: Vec<String>,
-    /// Those that are gone.
+    /// The images that were evicted.
     pub removed: Vec<String>,
 }
 
-/// A machine's images, the least recently used of which are evicted.
+/// A machine's images, with eviction of the least recently used ones.
 #[derive(Debug, Default)]
 pub struct LocalImages {
     images: BTreeMap<String, LocalImage>,
-    /// The epoch for which the images were restored from the records, until the agent is heard.
+    /// The epoch for which the images were restored from the records; `None` once the agent is heard.
     restored_epoch: Option<u64>,
 }
 
 impl LocalImages {
-    /// Whether the image is here.
+    /// Returns whether the machine has the image.
     pub fn contains(&self, image: &str) -> bool {
         self.images.contains_key(image)
     }
 
-    /// The size of the largest image.
+    /// Returns the size of the largest image in megabytes, or zero if there is none.
     pub fn largest_mb(&self) -> u64 {
         let sizes = self.images.values().map(|image| image.size_mb);
         sizes.max().unwrap_or(0)
     }
 
-    /// A task with this image ran. The least recently used ones make way in a cache of `capacity_mb`.
+    /// Records that a task used this image. Evicts the least recently used images while their total size
+    /// exceeds `capacity_mb`.
     pub fn use_image(
         &mut self,
         name: &str,
@@ -63,14 +64,15 @@
         }
     }
 
+    /// Evicts the least recently used images until the total size is at most `capacity_mb`. Returns them.
     fn shrink_to(&mut self, capacity_mb: u64) -> Vec<String> {
         let mut removed = Vec::new();
         while self.total_mb() > capacity_mb {
-            let Some(oldest) = self.least_recently_used() else {
+            let Some(evicted) = self.least_recently_used() else {
                 break;
             };
-            self.images.remove(&oldest);
-            removed.push(oldest);
+            self.images.remove(&evicted);
+            removed.push(evicted);
         }
         removed
     }
@@ -85,12 +87,13 @@
         oldest.map(|(name, _)| name.clone())
     }
 
-    /// The images were restored from the records, which prove them for this epoch of the agent.
+    /// Records that the images were restored from the records, which are valid for this epoch of the agent.
     pub fn mark_restored(&mut self, agent_epoch: u64) {
         self.restored_epoch = Some(agent_epoch);
     }
 
-    /// The agent is heard in this epoch. Restored images of an earlier one are dropped and returned.
+    /// Records that a status of this epoch arrived. If it is the first since the images were restored, drops
+    /// and returns those of an earlier epoch.
     pub fn epoch_observed(&mut self, agent_epoch: u64) -> Vec<String> {
         match self.restored_epoch.take() {
             Some(restored) if agent_epoch > restored => self.clear(),
--- a/crates/saltpitch-core/src/machine/inbound_partition.rs
+++ b/crates/saltpitch-core/src/machine/inbound_partition.rs
@@ -1,23 +1,24 @@
-//! A machine whose heartbeats arrive while answers and commands don't reach it.
+//! Detection of inbound partitions: a machine's heartbeats arrive, but answers and commands don't reach it.
 //!
-//! It looks alive, yet its lease expires and no command has an effect. Only what the agent shows of earlier
-//! answers tells: the fencing token in its heartbeats, whether it stays with this controller, and whether
-//! direct calls are answered.
+//! Such a machine looks alive, but its lease expires and no command has an effect. The only evidence is how
+//! the agent reacts to earlier answers and calls: the fencing token in its heartbeats, whether it stays with
+//! this controller, and whether it answers direct calls.
 
 use crate::time::Micros;
 
-/// So many signs in a row are taken for a partition: any one answer or call may be lost.
-const SIGNS: u32 = 2;
+/// The number of consecutive signs that raise the suspicion of a partition. A single lost answer or call
+/// proves nothing.
+const SUSPICION_THRESHOLD: u32 = 2;
 
-/// What one heartbeat shows of the answers to earlier ones.
+/// The evidence that one heartbeat gives of the answers to earlier ones.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerEvidence {
-    /// The heartbeat's place among the statuses of its epoch.
+    /// The heartbeat's sequence number.
     pub sequence: u64,
     /// The highest fencing token that the agent has seen.
     pub fencing_token: u64,
-    /// It is the next that the agent sent after one that was answered here; without that answer it would
-    /// have tried another controller.
+    /// Whether the agent sent this heartbeat right after one that was answered here. Without that answer it
+    /// would have tried another controller first.
     pub follows_answer: bool,
 }
 
@@ -25,35 +26,37 @@
 #[derive(Clone, Copy, Debug)]
 struct AnsweredToken {
     fencing_token: u64,
-    /// The heartbeat that was answered.
+    /// The sequence number of the heartbeat that was answered.
     sequence: u64,
 }
 
-/// Signs that a machine does not receive this leader's answers and commands.
+/// The signs that a machine does not receive this leader's answers and commands.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InboundPartition {
     /// The first answer with a fencing token that the agent has not shown since.
     unseen_token: Option<AnsweredToken>,
-    /// Heartbeats in a row that show nothing of the answers before them.
+    /// The number of consecutive heartbeats that don't show the fencing token of an earlier answer.
     ignored_answers: u32,
-    /// Direct calls in a row that got no answer.
+    /// The number of consecutive direct calls that got no answer.
     failed_calls: u32,
-    /// When it last showed that an answer reached it.
+    /// When the agent last showed that an answer reached it.
     answer_seen_at: Option<Micros>,
-    /// Since when it is suspected: two signs in a row, since any one answer or call may be lost.
+    /// Since when a partition has been suspected.
     suspected_since: Option<Micros>,
-    /// Heartbeats that came since then, and when the first did. A machine behind a partition in both
-    /// directions sends none, and when that ends, calls get through soon after the delayed heartbeats.
-    heartbeats: u32,
+    /// The number of heartbeats received since the suspicion began. They distinguish an inbound partition
+    /// from one in both directions: during the latter none arrive, and after it calls get through soon after
+    /// the delayed heartbeats.
+    heartbeats_since_suspected: u32,
+    /// When the first of these heartbeats arrived.
     first_heartbeat_at: Option<Micros>,
 }
 
 impl InboundPartition {
-    /// The heartbeat is answered with this fencing token.
+    /// Records that the heartbeat is answered with this fencing token.
     pub fn answer_sent(&mut self, fencing_token: u64, heartbeat: AnswerEvidence) {
         let is_higher = |answered: AnsweredToken| answered.fencing_token < fencing_token;
-        let is_news = heartbeat.fencing_token < fencing_token;
-        if is_news && self.unseen_token.is_none_or(is_higher) {
+        let is_new_to_agent = heartbeat.fencing_token < fencing_token;
+        if is_new_to_agent && self.unseen_token.is_none_or(is_higher) {
             self.unseen_token = Some(AnsweredToken {
                 fencing_token,
                 sequence: heartbeat.sequence,
@@ -61,15 +64,15 @@
         }
     }
 
-    /// A heartbeat arrived.
+    /// Records a heartbeat and its evidence of earlier answers.
     pub fn heartbeat_received(
         &mut self,
         heartbeat: AnswerEvidence,
         heartbeat_freshness: Micros,
         now: Micros,
     ) {
-        let earlier = |answered: &AnsweredToken| answered.sequence < heartbeat.sequence;
-        if let Some(answered) = self.unseen_token.filter(earlier) {
+        let is_earlier = |answered: &AnsweredToken| answered.sequence < heartbeat.sequence;
+        if let Some(answered) = self.unseen_token.filter(is_earlier) {
             if heartbeat.fencing_token >= answered.fencing_token {
                 self.unseen_token = None;
                 self.ignored_answers = 0;
@@ -83,28 +86,36 @@
         }
         self.reassess(heartbeat_freshness, now);
         if self.suspected_since.is_some() {
-            self.heartbeats += 1;
+            self.heartbeats_since_suspected += 1;
             self.first_heartbeat_at.get_or_insert(now);
         }
     }
 
-    /// The agent began a new epoch. `answered`: its lease expired although its heartbeats were answered.
-    pub fn epoch_started(&mut self, answered: bool, heartbeat_freshness: Micros, now: Micros) {
+    /// Records that the agent began a new epoch.
+    ///
+    /// `was_answered` says whether the lease of the previous epoch expired although its heartbeats were
+    /// answered, which is reason enough to suspect a partition.
+    pub fn epoch_started(&mut self, was_answered: bool, heartbeat_freshness: Micros, now: Micros) {
         self.unseen_token = None;
-        if answered {
+        if was_answered {
             self.answer_seen_at = None;
-            self.ignored_answers += SIGNS;
+            self.ignored_answers += SUSPICION_THRESHOLD;
         }
         self.reassess(heartbeat_freshness, now);
-        if answered {
-            self.heartbeats += 1;
+        if was_answered {
+            self.heartbeats_since_suspected += 1;
             self.first_heartbeat_at.get_or_insert(now);
         }
     }
 
-    /// A direct call was answered, or was not.
-    pub fn direct_call_ended(&mut self, reached: bool, heartbeat_freshness: Micros, now: Micros) {
-        if reached {
+    /// Records whether a direct call was answered.
+    pub fn direct_call_ended(
+        &mut self,
+        is_answered: bool,
+        heartbeat_freshness: Micros,
+        now: Micros,
+    ) {
+        if is_answered {
             self.ignored_answers = 0;
             self.failed_calls = 0;
         } else {
@@ -113,33 +124,37 @@
         self.reassess(heartbeat_freshness, now);
     }
 
+    /// Begins or ends the suspicion of a partition, depending on the present signs.
     fn reassess(&mut self, heartbeat_freshness: Micros, now: Micros) {
-        let answer_seen = self
+        let has_recent_answer = self
             .answer_seen_at
             .is_some_and(|at| now.since(at) < heartbeat_freshness);
-        if self.ignored_answers >= SIGNS || (self.failed_calls >= SIGNS && !answer_seen) {
+        if self.ignored_answers >= SUSPICION_THRESHOLD
+            || (self.failed_calls >= SUSPICION_THRESHOLD && !has_recent_answer)
+        {
             self.suspected_since.get_or_insert(now);
         } else {
             self.suspected_since = None;
-            self.heartbeats = 0;
+            self.heartbeats_since_suspected = 0;
             self.first_heartbeat_at = None;
         }
     }
 
-    /// Whether its heartbeats have come without any sign of an answer for longer than `wait`.
+    /// Returns whether heartbeats have continued to arrive for longer than `wait` since the suspicion began,
+    /// which confirms the partition.
     pub fn is_confirmed(&self, wait: Micros, now: Micros) -> bool {
-        self.heartbeats >= SIGNS
+        self.heartbeats_since_suspected >= SUSPICION_THRESHOLD
             && self
                 .first_heartbeat_at
                 .is_some_and(|at| now.since(at) > wait)
     }
 
-    /// Whether there are signs that answers don't reach it.
+    /// Returns whether a partition is suspected.
     pub fn is_suspected(&self) -> bool {
         self.suspected_since.is_some()
     }
 
-    /// Since when there are signs that answers don't reach it.
+    /// Returns since when a partition has been suspected, or `None` if it is not.
     pub fn suspected_since(&self) -> Option<Micros> {
         self.suspected_since
     }
--- a/crates/saltpitch-core/src/machine/lifecycle.rs
+++ b/crates/saltpitch-core/src/machine/lifecycle.rs
@@ -1,58 +1,59 @@
-//! From the order of a machine to its return.
+//! The lifecycle of a machine, from its order to its return.
 
 use crate::time::Micros;
 
-/// Where a machine stands between its order and its return.
+/// The phase of a machine between its order and its return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachinePhase {
-    /// Ordered, listed by the cloud or read from the records; its agent has not been heard by this leader.
+    /// The machine was ordered, listed by the cloud or read from the records, but this leader has not heard
+    /// its agent.
     Unregistered,
-    /// Its agent was heard by this leader.
+    /// This leader has heard the machine's agent.
     Up,
-    /// Its return is intended, which is not on record yet.
+    /// The machine's return is requested, but not on record yet.
     ReturnRequested,
-    /// Its return is intended and on record: the cloud is asked for it until it confirms.
+    /// The machine's return is on record. It is requested from the cloud until the cloud confirms it.
     Returning,
 }
 
-/// A machine's phase, its record and its time of life.
+/// A machine's phase, whether it is on record, and the times of its main events.
 #[derive(Debug)]
 pub struct Lifecycle {
     phase: MachinePhase,
-    recorded: bool,
+    is_recorded: bool,
     created_at: Micros,
     up_since: Option<Micros>,
     spot_notice: Option<Micros>,
 }
 
 impl Lifecycle {
-    /// Of a machine that was created at this time and has not been heard.
+    /// Creates the lifecycle of a machine that was ordered at this time and whose agent has not been heard.
     pub fn new(created_at: Micros) -> Lifecycle {
         Lifecycle {
             phase: MachinePhase::Unregistered,
-            recorded: false,
+            is_recorded: false,
             created_at,
             up_since: None,
             spot_notice: None,
         }
     }
 
-    /// The present phase.
+    /// Returns the present phase.
     pub fn phase(&self) -> MachinePhase {
         self.phase
     }
 
-    /// Whether the agent was heard and no return is intended.
+    /// Returns whether this leader has heard the agent and no return is requested.
     pub fn is_up(&self) -> bool {
         self.phase == MachinePhase::Up
     }
 
-    /// Whether the agent has not been heard by this leader.
+    /// Returns whether this leader has not heard the agent yet.
     pub fn is_unregistered(&self) -> bool {
         self.phase == MachinePhase::Unregistered
     }
 
-    /// Whether the machine's return is intended, on record or not.
+    /// Returns whether the machine's return is requested, whether that is on record or not.
     pub fn is_returning(&self) -> bool {
         matches!(
             self.phase,
@@ -60,32 +61,32 @@
         )
     }
 
-    /// Whether the machine is on record, so that a later leader knows of it.
+    /// Returns whether the machine is on record, so that a later leader knows of it.
     pub fn is_recorded(&self) -> bool {
-        self.recorded
+        self.is_recorded
     }
 
-    /// When the machine was ordered, as far as known.
+    /// Returns when the machine was ordered, or when this leader learned of it if that is unknown.
     pub fn created_at(&self) -> Micros {
         self.created_at
     }
 
-    /// When this leader first heard the agent; zero if it has not.
+    /// Returns when this leader first heard the agent, or zero if it has not.
     pub fn up_since(&self) -> Micros {
         self.up_since.unwrap_or(Micros::ZERO)
     }
 
-    /// When the cloud takes the machine back, if that is announced.
+    /// Returns when the cloud reclaims the machine, if it has announced that.
     pub fn spot_notice(&self) -> Option<Micros> {
         self.spot_notice
     }
 
-    /// The time of the machine's order became known.
+    /// Sets when the machine was ordered.
     pub fn set_created_at(&mut self, created_at: Micros) {
         self.created_at = created_at;
     }
 
-    /// The agent is heard. Says whether it is for the first time.
+    /// Records that the agent was heard. Returns whether it is for the first time.
     pub fn register(&mut self, now: Micros) -> bool {
         if self.phase != MachinePhase::Unregistered {
             return false;
@@ -95,19 +96,20 @@
         true
     }
 
-    /// What the agent says of the cloud's intent. Says whether a notice is new.
+    /// Sets the time that the agent last reported for the cloud to reclaim the machine, if any. Returns whether
+    /// there was no such notice before.
     pub fn set_spot_notice(&mut self, spot_notice: Option<Micros>) -> bool {
         let is_new = self.spot_notice.is_none() && spot_notice.is_some();
         self.spot_notice = spot_notice;
         is_new
     }
 
-    /// The machine is on record. Says whether it was not before.
+    /// Records that the machine is on record. Returns whether it was not before.
     pub fn set_recorded(&mut self) -> bool {
-        !std::mem::replace(&mut self.recorded, true)
+        !std::mem::replace(&mut self.is_recorded, true)
     }
 
-    /// The machine is to be returned. Says whether that is new.
+    /// Requests the machine's return. Returns whether it was not requested before.
     pub fn request_return(&mut self) -> bool {
         if self.is_returning() {
             return false;
@@ -116,7 +118,7 @@
         true
     }
 
-    /// The requested return is on record. Says whether one was waiting for that.
+    /// Confirms that the requested return is on record. Returns whether a request was waiting for that.
     pub fn confirm_return(&mut self) -> bool {
         if self.phase != MachinePhase::ReturnRequested {
             return false;
@@ -125,7 +127,7 @@
         true
     }
 
-    /// The records say that the machine is being returned.
+    /// Restores the phase of a machine whose return is on record.
     pub fn restore_return(&mut self) {
         self.phase = MachinePhase::Returning;
     }
--- a/crates/saltpitch-core/src/machine/mod.rs
+++ b/crates/saltpitch-core/src/machine/mod.rs
@@ -1,7 +1,7 @@
-//! A machine in the scheduler's memory: its life, its agent, and the tasks that are assumed on it.
+//! The scheduler's in-memory model of a machine: its lifecycle, its agent, and the tasks allocated to it.
 //!
-//! Each aspect is a component that keeps its own invariant behind private fields; [`Machine`] holds them and
-//! has what needs more than one.
+//! Each aspect is a component that protects its own invariants with private fields. [`Machine`] holds the
+//! components and implements the operations that involve more than one of them.
 
 mod agent_state;
 mod allocation_set;
@@ -39,42 +39,42 @@
 /// One machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name, which the cloud never gives again.
+    /// The machine's name, which the cloud never reuses.
     pub name: Arc<str>,
-    /// Its type.
+    /// The machine's type.
     pub machine_type: Arc<MachineType>,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: Arc<str>,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the machine.
     pub spot: bool,
-    /// Where its agent takes direct calls; empty while unknown.
+    /// The address at which the agent accepts direct calls; empty while unknown.
     pub addr: String,
-    /// From its order to its return.
+    /// The machine's phase between its order and its return.
     pub lifecycle: Lifecycle,
     /// The agent's epoch, statuses and fencing token.
     pub agent: AgentState,
     /// The agent's lease.
     pub lease: AgentLease,
-    /// Whether the agent and this leader reach each other.
+    /// Whether the agent and this leader can reach each other.
     pub connectivity: Connectivity,
-    /// Direct commands to the agent.
+    /// The state of direct calls with commands to the agent.
     pub commands: CommandChannel,
     /// The tasks on the machine.
     pub allocations: AllocationSet,
     /// The images on the machine.
     pub images: LocalImages,
-    /// Whether it is closed to new tasks.
+    /// Whether the machine is closed to new tasks.
     pub cordon: Cordon,
-    /// What the machine index knows of it; changed by the index only.
+    /// The machine's entry in the machine index; changed by the index only.
     pub index_entry: IndexEntry,
-    /// When its health is checked next; changed by the inventory only.
+    /// When the machine's health is checked next; changed by the inventory only.
     pub next_check_at: Micros,
-    /// The block of machine records that it is in.
+    /// The block of machine records that contains the machine.
     pub block: Option<u32>,
 }
 
 impl Machine {
-    /// A machine that has not been heard by this leader.
+    /// Creates a machine whose agent this leader has not heard yet.
     pub fn new(
         name: &str,
         machine_type: Arc<MachineType>,
@@ -103,17 +103,17 @@
         }
     }
 
-    /// What no task takes.
+    /// Returns the resources that no task uses.
     pub fn free(&self) -> Resources {
         self.machine_type.size.minus(&self.allocations.used())
     }
 
-    /// Whether the agent was heard by this leader and no return is intended.
+    /// Returns whether this leader has heard the agent and no return is requested.
     pub fn is_up(&self) -> bool {
         self.lifecycle.is_up()
     }
 
-    /// Whether new tasks may be placed here now.
+    /// Returns whether new tasks may be placed here now.
     pub fn is_schedulable(&self) -> bool {
         self.is_up()
             && self.lifecycle.is_recorded()
@@ -124,25 +124,26 @@
             && !self.allocations.has_running_unowned()
     }
 
-    /// Processors that batch work takes or may take.
+    /// Returns the processors that batch tasks use or may use, in thousandths.
     pub fn batch_cpu(&self) -> u64 {
-        let steady = self.allocations.steady_cpu();
-        self.machine_type.size.cpu.saturating_sub(steady)
+        let non_batch = self.allocations.non_batch_cpu();
+        self.machine_type.size.cpu.saturating_sub(non_batch)
     }
 
-    /// How long it would take to have the largest of its images elsewhere.
+    /// Returns how long another machine of this type would take to fetch the largest of this machine's images.
     pub fn max_image_fetch_time(&self) -> Micros {
         self.machine_type.fetch_time(self.images.largest_mb())
     }
 
-    /// A task is no longer placed here.
+    /// Removes a task's allocation.
     pub fn release(&mut self, number: JobNumber, task: u32, spec: &JobSpec, now: Micros) {
-        // Accelerators are what a machine that has some is kept for.
-        let wanted = spec.need.gpu > 0 || self.machine_type.size.gpu == 0;
-        self.allocations.remove(number, task, spec, wanted, now);
+        // A machine with accelerators is intended for tasks that use them.
+        let is_intended_use = spec.need.gpu > 0 || self.machine_type.size.gpu == 0;
+        self.allocations
+            .remove(number, task, spec, is_intended_use, now);
     }
 
-    /// A task with this image ran here.
+    /// Records that a task used this image here. Returns the images that were added and evicted.
     pub fn use_image(&mut self, image: &str, size_mb: u64, now: Micros) -> ImageChanges {
         let capacity_mb = self.machine_type.cache_mb;
         self.images.use_image(image, size_mb, capacity_mb, now)
--- a/crates/saltpitch-core/src/machine/outbound_partition.rs
+++ b/crates/saltpitch-core/src/machine/outbound_partition.rs
@@ -1,40 +1,42 @@
-//! A machine whose heartbeats reach no controller although it answers direct calls.
+//! Detection of outbound partitions: a machine's heartbeats reach no controller, but it answers direct calls.
 
 use crate::time::Micros;
 
-/// Signs that a machine's heartbeats don't arrive. Its lease runs out, since only heartbeats renew it.
+/// The state of a machine whose heartbeats don't arrive. Its lease expires, since only heartbeats renew it.
 #[derive(Debug, Default)]
 pub struct OutboundPartition {
-    detected: bool,
-    /// Since when it has answered direct calls without sending heartbeats.
+    is_detected: bool,
+    /// Since when the machine has answered direct calls while none of its heartbeats arrived.
     since: Option<Micros>,
-    evicted: bool,
+    eviction_begun: bool,
 }
 
 impl OutboundPartition {
-    /// Whether the machine is taken for partitioned until its next heartbeat.
+    /// Returns whether a partition is detected, which holds until the machine's next heartbeat.
     pub fn is_detected(&self) -> bool {
-        self.detected
+        self.is_detected
     }
 
-    /// The machine answers direct calls and sends no heartbeats. Says whether that is new.
+    /// Records that the machine answers direct calls while its heartbeats don't arrive. Returns whether the
+    /// partition was not detected before.
     pub fn detect(&mut self, now: Micros) -> bool {
         self.since.get_or_insert(now);
-        !std::mem::replace(&mut self.detected, true)
+        !std::mem::replace(&mut self.is_detected, true)
     }
 
-    /// For how long the machine has answered direct calls without sending heartbeats.
+    /// Returns how long the machine has answered direct calls while its heartbeats didn't arrive.
     pub fn duration(&self, now: Micros) -> Micros {
         self.since.map_or(Micros::ZERO, |since| now.since(since))
     }
 
-    /// The machine can't be judged now; the time counts anew.
+    /// Resets the duration while the machine can't be assessed.
     pub fn reset_timer(&mut self) {
         self.since = None;
     }
 
-    /// Its tasks are to be moved while its lease lasts. Says whether that was not done before.
+    /// Records that the machine's tasks are to be evicted before its lease expires. Returns whether the
+    /// eviction had not begun before.
     pub fn begin_eviction(&mut self) -> bool {
-        !std::mem::replace(&mut self.evicted, true)
+        !std::mem::replace(&mut self.eviction_begun, true)
     }
 }
--- a/crates/saltpitch-core/src/machine/status.rs
+++ b/crates/saltpitch-core/src/machine/status.rs
@@ -1,41 +1,41 @@
-//! What a newer status of an agent changes in what is known of its machine.
+//! Application of an agent's status to the state of its machine.
 
 use super::Machine;
 use crate::agent::Heartbeat;
 use crate::time::Micros;
 
-/// What the scheduler knows when it takes in a status.
+/// The scheduler's state that the processing of a status depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct StatusContext {
-    /// Whether the status came in a heartbeat, not in an answer to a direct call.
+    /// Whether the status came in a heartbeat and not in an answer to a direct call.
     pub is_heartbeat: bool,
-    /// The fencing token with which the present leadership began.
+    /// The first term, and so the first fencing token, of the present leadership.
     pub first_term: u64,
     /// The duration of an agent's lease.
     pub lease: Micros,
-    /// For how long a sign of life still holds.
+    /// How long an agent's last message counts as recent.
     pub heartbeat_freshness: Micros,
     /// The present time.
     pub now: Micros,
 }
 
-/// What a status changed that others have to hear of.
+/// The changes that a status made and that other components need to know of.
 #[derive(Debug, Default)]
 pub struct StatusChanges {
-    /// The agent was heard for the first time.
+    /// Whether this leader heard the agent for the first time.
     pub registered: bool,
-    /// The agent is known to ignore earlier leaders from now on.
+    /// Whether the status proves for the first time that the agent ignores earlier leaders.
     pub fenced: bool,
-    /// The agent's address is a new one.
+    /// Whether the agent's address changed.
     pub address_changed: bool,
-    /// The cloud announced for the first time that it takes the machine back.
+    /// Whether the cloud newly announced that it will reclaim the machine.
     pub spot_notice_received: bool,
-    /// Images that the machine may no longer have.
+    /// The images that the machine may no longer have.
     pub removed_images: Vec<String>,
 }
 
 impl Machine {
-    /// Takes in a status that is newer than what is known, except for the tasks that it lists.
+    /// Applies a status that is newer than the last one, except for the tasks that it lists.
     pub fn status_received(&mut self, status: &Heartbeat, context: StatusContext) -> StatusChanges {
         let now = context.now;
         let mut changes = StatusChanges {
@@ -60,11 +60,11 @@
         changes
     }
 
-    /// Takes in the status's epoch. Returns the images that the machine may no longer have.
+    /// Applies the status's epoch. Returns the images that the machine may no longer have.
     fn epoch_observed(&mut self, status: &Heartbeat, context: StatusContext) -> Vec<String> {
         let is_new = self.agent.begins_epoch(status);
         self.lease.epoch_observed(is_new, context.now);
-        // What the records prove of its images holds for the epoch that they name.
+        // Images that were restored from the records are valid only for the epoch that the records name.
         let mut removed_images = self.images.epoch_observed(status.agent_epoch);
         if !is_new {
             return removed_images;
@@ -72,12 +72,12 @@
         self.commands.epoch_started();
         if self.agent.epoch() > 0 {
             removed_images.extend(self.images.clear());
-            // Its lease expired although its heartbeats were answered: the answers did not reach it.
-            let recent = context.now.since(self.lease.last_answer()) < context.lease;
-            let answered = context.is_heartbeat && self.agent.is_fenced() && recent;
+            // The lease expired although heartbeats were answered, so the answers didn't reach the agent.
+            let is_recent = context.now.since(self.lease.last_renewal()) < context.lease;
+            let was_answered = context.is_heartbeat && self.agent.is_fenced() && is_recent;
             let heartbeat_freshness = context.heartbeat_freshness;
             let inbound = &mut self.connectivity.inbound_partition;
-            inbound.epoch_started(answered, heartbeat_freshness, context.now);
+            inbound.epoch_started(was_answered, heartbeat_freshness, context.now);
         }
         removed_images
     }
--- a/crates/saltpitch-core/src/scheduler/agent_health.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_health.rs
@@ -1,5 +1,7 @@
-//! Health checks: agents that are not heard or can't be reached, leases that have expired, machines whose
-//! return is to be asked for.
+//! Health checks of machines and their agents.
+//!
+//! They find agents that are silent or unreachable, leases that have expired, and machines whose return is
+//! to be requested from the cloud.
 
 use std::sync::Arc;
 
@@ -7,60 +9,63 @@
 use crate::machine::{Machine, MachinePhase};
 use crate::time::Micros;
 
-/// A machine that needs attention is checked again after this time.
+/// The interval between checks of a machine that needs attention.
 const RECHECK_INTERVAL: Micros = Micros::from_millis(500);
-/// No machine is checked again sooner.
+/// The minimum interval between checks of any machine.
 const MIN_CHECK_INTERVAL: Micros = Micros::from_millis(400);
-/// A machine that is not up is checked again after this time.
+/// The interval between checks of a machine that is not up.
 const REGISTRATION_CHECK_INTERVAL: Micros = Micros::from_secs(2);
-/// The return of a machine is asked for again after this time at the earliest.
+/// The minimum interval between requests to return the same machine.
 const RETURN_RETRY_INTERVAL: Micros = Micros::from_secs(3);
-/// A machine that is up is probed again after this time.
+/// The interval between probes of a machine that is up.
 const PROBE_INTERVAL: Micros = Micros::from_secs(1);
-/// A machine that is not up is probed again after this time.
+/// The interval between probes of a machine that is not up.
 const REGISTRATION_PROBE_INTERVAL: Micros = Micros::from_secs(4);
-/// A lease counts as expired this long after its end.
+/// A lease is checked for expiry this long after its end.
 const LEASE_MARGIN: Micros = Micros::from_millis(1);
 
-/// After so many heartbeat intervals a heartbeat is missed: they are a quarter early or late at the most.
-pub(super) const MISSED_HEARTBEAT: f64 = 1.4;
-/// Within so many heartbeat intervals any machine should have sent one.
-const ANY_HEARTBEAT: f64 = 1.5;
-/// After so many heartbeat intervals two heartbeats are missed.
-pub(super) const TWO_MISSED_HEARTBEATS: f64 = 1.8;
-/// After so many heartbeat intervals, and a while, an agent counts as gone without any probe.
-const GONE_INTERVALS: f64 = 2.6;
-/// After so many heartbeat intervals, and a while, an agent should have sent its first heartbeat.
+/// Heartbeat intervals of silence after which a heartbeat counts as missed. Heartbeats are sent up to a
+/// quarter of the interval early or late.
+pub(super) const MISSED_HEARTBEAT_INTERVALS: f64 = 1.4;
+/// Heartbeat intervals within which at least one machine should have sent a heartbeat.
+const ANY_HEARTBEAT_INTERVALS: f64 = 1.5;
+/// Heartbeat intervals of silence after which two heartbeats count as missed.
+pub(super) const TWO_MISSED_HEARTBEATS_INTERVALS: f64 = 1.8;
+/// Heartbeat intervals of silence, in addition to [`SILENCE_MARGIN`], after which an agent counts as lost
+/// even if no probe has failed.
+const LOST_INTERVALS: f64 = 2.6;
+/// Heartbeat intervals, in addition to [`SILENCE_MARGIN`], within which an agent should have sent its first
+/// heartbeat.
 const FIRST_HEARTBEAT_INTERVALS: f64 = 2.5;
-/// Added to the intervals after which an agent counts as gone, or should have sent its first heartbeat.
+/// Added to [`LOST_INTERVALS`] and [`FIRST_HEARTBEAT_INTERVALS`].
 const SILENCE_MARGIN: Micros = Micros::from_secs(1);
-/// After this part of its lease, the tasks of an agent that does not renew it are moved.
-const EVICTION_PART_OF_LEASE: f64 = 0.55;
+/// The fraction of its lease after which the tasks of an agent that does not renew it are evicted.
+const EVICTION_LEASE_FRACTION: f64 = 0.55;
 
-/// What a round of health checks found.
+/// The results of one round of health checks that are acted on after it.
 #[derive(Default)]
 struct HealthFindings {
-    /// Agents whose lease has expired: nothing runs on their machines any more.
+    /// Machines whose agent's lease has expired, so that nothing runs on them any more.
     lease_expired: Vec<Arc<str>>,
-    /// Machines that are up and whose agents seem to be gone.
+    /// Machines that are up and whose agents seem to be lost.
     unresponsive: Vec<Arc<str>>,
-    /// Machines whose return the cloud is to be asked for.
+    /// Machines whose return is to be requested from the cloud.
     returning: Vec<Arc<str>>,
 }
 
-/// What the time since an agent was last heard says of it.
+/// The assessment of an agent by the time since it was last heard and by failed calls to it.
 #[derive(Clone, Copy)]
 struct AgentAssessment {
-    /// The agent is to be asked for its status.
+    /// Whether the agent should be probed for its status.
     needs_probe: bool,
-    /// The agent has not been heard for so long that nothing new is placed on its machine.
+    /// Whether the agent has been silent for so long that no new tasks are placed on its machine.
     is_unresponsive: bool,
-    /// The agent seems to be gone, or not to receive any answers.
+    /// Whether the agent seems to be gone, or to receive no answers.
     seems_lost: bool,
 }
 
 impl Scheduler {
-    /// Checks the machines whose time has come.
+    /// Checks the machines whose health check is due, and acts on the results.
     pub(super) fn run_health_checks(&mut self, now: Micros) {
         let mut findings = HealthFindings::default();
         while let Some(name) = self.inventory.due_health_check(now) {
@@ -81,7 +86,7 @@
         self.retry_unacknowledged(now);
     }
 
-    /// Checks one machine; says when to check it again.
+    /// Checks one machine. Returns when to check it again.
     fn check_health(
         &mut self,
         name: &Arc<str>,
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Checks a machine whose return is intended; says when to check it again.
+    /// Checks a machine whose return is requested. Returns when to check it again.
     fn check_returning(
         &self,
         machine: &Machine,
@@ -131,52 +136,56 @@
         lease_end.min(now.plus(interval))
     }
 
-    /// What the time since an agent was last heard says of it.
+    /// Assesses an agent by the time since it was last heard and by failed calls to it.
     fn assess_agent(&self, machine: &Machine, now: Micros) -> AgentAssessment {
         let interval = self.config.heartbeat_interval;
         let connectivity = &machine.connectivity;
         let silence = now.since(self.heard_or_resumed(machine));
         let is_expected = machine.is_up() || !machine.allocations.is_empty();
-        // Machines that an earlier leader knew; the agents of those that this one ordered send a heartbeat
-        // by themselves.
+        // Only machines that an earlier leader ordered are probed before their first heartbeat. The agents
+        // of machines that this leader ordered send one without being asked.
         let may_be_up = machine.lifecycle.is_unregistered()
             && machine.lifecycle.is_recorded()
             && machine.lifecycle.created_at() < self.leader_term.elected_at();
         let needs_probe = may_be_up
-            || (is_expected && silence > interval.times(MISSED_HEARTBEAT))
+            || (is_expected && silence > interval.times(MISSED_HEARTBEAT_INTERVALS))
             || connectivity.inbound_partition.is_suspected();
-        let probes_failed =
-            connectivity.probes.have_failed() && silence > interval.times(TWO_MISSED_HEARTBEATS);
-        let gone_after = interval.times(GONE_INTERVALS).plus(SILENCE_MARGIN);
-        // An agent that does not receive any answers is as good as gone: no command has an effect.
-        let partition_wait = interval.times(TWO_MISSED_HEARTBEATS);
+        let probes_failed = connectivity.probes.have_failed()
+            && silence > interval.times(TWO_MISSED_HEARTBEATS_INTERVALS);
+        let lost_after = interval.times(LOST_INTERVALS).plus(SILENCE_MARGIN);
+        // An agent that receives no answers counts as lost, since no command has an effect on it.
+        let partition_wait = interval.times(TWO_MISSED_HEARTBEATS_INTERVALS);
         let is_partitioned = connectivity
             .inbound_partition
             .is_confirmed(partition_wait, now);
         AgentAssessment {
             needs_probe,
             is_unresponsive: machine.is_up() && silence > self.heartbeat_freshness(),
-            seems_lost: probes_failed || silence > gone_after || is_partitioned,
+            seems_lost: probes_failed || silence > lost_after || is_partitioned,
         }
     }
 
-    /// When the agent was last heard, or could have been by a controller that was not paused.
+    /// Returns when the agent was last heard, or when this controller resumed from a pause if that is later:
+    /// an agent can't be heard during a pause.
     fn heard_or_resumed(&self, machine: &Machine) -> Micros {
         let last_heard = machine.connectivity.last_heard();
         last_heard.max(self.clock.resumed_at())
     }
 
-    /// When a machine that needs no attention is checked again.
+    /// Returns when to check a machine again that needs no attention.
     fn next_check(&self, machine: &Machine, now: Micros) -> Micros {
         if machine.is_up() {
-            let missed_after = self.config.heartbeat_interval.times(MISSED_HEARTBEAT);
+            let missed_after = self
+                .config
+                .heartbeat_interval
+                .times(MISSED_HEARTBEAT_INTERVALS);
             self.heard_or_resumed(machine).plus(missed_after)
         } else {
             now.plus(REGISTRATION_CHECK_INTERVAL)
         }
     }
 
-    /// Asks an agent for its status, unless too many are being asked or this one just was.
+    /// Probes an agent for its status, unless it was probed recently or too many probes are in flight.
     fn probe(&mut self, name: &Arc<str>, now: Micros) {
         let Some(machine) = self.inventory.get_mut(name) else {
             return;
@@ -200,6 +209,7 @@
         });
     }
 
+    /// Marks a machine as unresponsive or not, and updates the indexes if that changed.
     fn set_unresponsive(&mut self, name: &Arc<str>, is_unresponsive: bool) {
         let Some(machine) = self.inventory.get_mut(name) else {
             return;
@@ -209,62 +219,70 @@
         }
     }
 
-    /// A machine whose heartbeats reach no controller answers direct calls: what it shows is true, but its
-    /// lease is not renewed, and all that is on it ends with that. Nothing new is placed there, and what can
-    /// save or loses nothing is moved while there is time. Only as long as others send heartbeats: otherwise
-    /// it is this controller that is not reached.
+    /// Detects a machine that answers direct calls although its heartbeats reach no controller.
+    ///
+    /// The status in its answers is valid, but its lease is not renewed, so all of its tasks are lost when
+    /// the lease expires. No new tasks are placed there, and tasks that can save their progress or have none
+    /// to lose are evicted in time. Nothing is detected unless other machines send heartbeats: otherwise it
+    /// is this controller that heartbeats don't reach.
     fn detect_outbound_partition(&mut self, name: &Arc<str>, lease_end: Micros, now: Micros) {
         let interval = self.config.heartbeat_interval;
         let since_any_heartbeat = now.since(self.inventory.last_heartbeat());
-        let others_are_heard = since_any_heartbeat < interval.times(ANY_HEARTBEAT);
+        let others_are_heard = since_any_heartbeat < interval.times(ANY_HEARTBEAT_INTERVALS);
         let resumed_at = self.clock.resumed_at();
         let Some(machine) = self.inventory.get_mut(name) else {
             return;
         };
         if !machine.is_up() || machine.connectivity.is_unresponsive() || !others_are_heard {
-            // After a partition in both directions a machine answers calls before it sends a heartbeat.
+            // After a partition in both directions, a machine answers calls before it sends a heartbeat, so
+            // the time of an outbound partition is counted only from then.
             machine.connectivity.outbound_partition.reset_timer();
             return;
         }
-        let wait = if machine.lease.was_answered() {
-            interval.times(TWO_MISSED_HEARTBEATS)
+        let wait = if machine.lease.was_renewed() {
+            interval.times(TWO_MISSED_HEARTBEATS_INTERVALS)
         } else {
             interval
                 .times(FIRST_HEARTBEAT_INTERVALS)
                 .plus(SILENCE_MARGIN)
         };
         let up_since = machine.lifecycle.up_since();
-        let last_answer = machine.lease.last_answer();
-        let silence = now.since(last_answer.max(up_since).max(resumed_at));
+        let last_renewal = machine.lease.last_renewal();
+        let silence = now.since(last_renewal.max(up_since).max(resumed_at));
         if silence <= wait {
             return;
         }
         let connectivity = &mut machine.connectivity;
         let is_new = connectivity.outbound_partition.detect(now);
-        let is_late = silence > self.config.agent_lease.times(EVICTION_PART_OF_LEASE)
+        let is_eviction_due = silence > self.config.agent_lease.times(EVICTION_LEASE_FRACTION)
             && connectivity.outbound_partition.duration(now)
-                > interval.times(TWO_MISSED_HEARTBEATS)
+                > interval.times(TWO_MISSED_HEARTBEATS_INTERVALS)
             && !connectivity.inbound_partition.is_suspected();
-        let is_to_be_evicted = is_late && connectivity.outbound_partition.begin_eviction();
+        let should_evict = is_eviction_due && connectivity.outbound_partition.begin_eviction();
         if is_new {
             self.inventory.update(name);
         }
-        if is_to_be_evicted {
+        if should_evict {
             self.evict_within(name, lease_end.since(now), now);
         }
     }
 
-    /// When the agent's lease has expired at the latest, if tasks depend on it. If it has, all of them are
-    /// gone.
+    /// Adds the machine to the findings if it has tasks and its agent's lease has expired, which proves that
+    /// all of them are gone. Returns when to check the lease again.
     fn check_lease(&self, name: &Arc<str>, findings: &mut HealthFindings, now: Micros) -> Micros {
         let machine = self.inventory.get(name);
         let Some(machine) = machine.filter(|machine| !machine.allocations.is_empty()) else {
             return now.plus(self.config.agent_lease);
         };
-        let earlier_leaders_until = self.leader_term.previous_leader_fenced_at();
-        let others_fenced_at = machine.agent.fenced_at().unwrap_or(earlier_leaders_until);
+        let previous_leader_fenced_at = self.leader_term.previous_leader_fenced_at();
+        let earlier_leaders_fenced_at = machine
+            .agent
+            .fenced_at()
+            .unwrap_or(previous_leader_fenced_at);
         let duration = self.config.agent_lease.with_drift();
-        let lease_end = machine.lease.expires_at(others_fenced_at, duration);
+        let lease_end = machine
+            .lease
+            .expires_at(earlier_leaders_fenced_at, duration);
         if now > lease_end {
             findings.lease_expired.push(name.clone());
         }
--- a/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_reconciliation.rs
@@ -1,5 +1,7 @@
-//! Heartbeats and answers to direct calls: what the status of an agent changes in what is known of its
-//! machine, and whether a heartbeat is answered.
+//! Processing of heartbeats and of answers to direct calls.
+//!
+//! Applies an agent's status to the scheduler's view of its machine, and decides whether a heartbeat is
+//! answered with commands or rejected.
 
 use std::sync::Arc;
 
@@ -8,31 +10,34 @@
 use crate::machine::{AnswerEvidence, Machine, StatusChanges, StatusContext};
 use crate::time::Micros;
 
-/// How long the record of a new address may wait: only a later leader needs it, and the cloud's list has it
-/// too.
+/// How long the write of a new address may be delayed. Only a later leader needs the record, and the cloud's
+/// list has the address too.
 const ADDRESS_RECORD_DELAY: Micros = Micros::from_secs(2);
-/// A sign of life still holds for so many heartbeat intervals, and for a while longer.
-const FRESH_INTERVALS: f64 = 2.5;
-const FRESH_MARGIN: Micros = Micros::from_secs(1);
+/// An agent's last message counts as recent for this many heartbeat intervals plus [`FRESHNESS_MARGIN`].
+const FRESHNESS_INTERVALS: f64 = 2.5;
+/// Added to [`FRESHNESS_INTERVALS`].
+const FRESHNESS_MARGIN: Micros = Micros::from_secs(1);
 
 /// Why a heartbeat is not answered with commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatRejection {
-    /// It is from an epoch of the agent that is over.
-    OldSession,
-    /// Its machine was returned, or its return may be under way.
-    Returned,
-    /// Its agent has seen a fencing token above this leader's.
+    /// The agent has begun a later epoch since.
+    StaleEpoch,
+    /// The machine was returned to the cloud, or its return may be in progress.
+    MachineReturned,
+    /// The agent has seen a fencing token above this leader's.
     NewerToken,
-    /// Its machine is of a type that the catalogue does not list.
-    UnknownType,
-    /// A copy of a heartbeat that was answered, or of one that its agent has long given up.
-    Repeated,
+    /// The catalogue does not list the machine's type.
+    UnknownMachineType,
+    /// The same or a later heartbeat of this epoch was already answered; the agent no longer waits for this
+    /// answer.
+    StaleSequence,
 }
 
 impl Scheduler {
-    /// An agent's heartbeat. The answer is the commands to send back. `is_returned`: the records say that the
-    /// machine was returned.
+    /// Processes an agent's heartbeat. Returns the commands to answer with, or why the heartbeat is rejected.
+    ///
+    /// `is_returned` says whether the machine is on record as returned.
     pub fn heartbeat_received(
         &mut self,
         heartbeat: Heartbeat,
@@ -40,19 +45,19 @@
         now: Micros,
     ) -> Result<Vec<Command>, HeartbeatRejection> {
         if is_returned || self.inventory.was_returned(&heartbeat.machine) {
-            return Err(HeartbeatRejection::Returned);
+            return Err(HeartbeatRejection::MachineReturned);
         }
         if heartbeat.fencing_token > self.leader_term.term() {
             return Err(HeartbeatRejection::NewerToken);
         }
         let name = self.register_agent(&heartbeat, now)?;
         let Some(machine) = self.inventory.get_mut(&name) else {
-            return Err(HeartbeatRejection::Returned);
+            return Err(HeartbeatRejection::MachineReturned);
         };
-        check_answerable(machine, &heartbeat)?;
+        validate_heartbeat(machine, &heartbeat)?;
         machine.lease.renew(now);
         machine.connectivity.heartbeat_received();
-        let signs = AnswerEvidence {
+        let evidence = AnswerEvidence {
             sequence: heartbeat.sequence,
             fencing_token: heartbeat.fencing_token,
             follows_answer: self.config.controller_count > 1
@@ -61,36 +66,38 @@
         self.inventory.heartbeat_received(now);
         let agent_epoch = heartbeat.agent_epoch;
         self.apply_status(&name, heartbeat, true, now);
-        self.note_answer(&name, agent_epoch, signs, now)?;
-        let commands = self.commands_for(&name, Some(signs.sequence));
+        self.record_answer(&name, agent_epoch, evidence, now)?;
+        let commands = self.commands_for(&name, Some(evidence.sequence));
         self.dispatch.heartbeat_answered(&name);
         Ok(commands)
     }
 
-    /// The heartbeat was taken in whole and is answered, unless its epoch turned out to be over.
-    fn note_answer(
+    /// Records that a heartbeat whose status was applied is now answered.
+    ///
+    /// Fails if its epoch is no longer the agent's current one.
+    fn record_answer(
         &mut self,
         name: &Arc<str>,
         agent_epoch: u64,
-        signs: AnswerEvidence,
+        evidence: AnswerEvidence,
         now: Micros,
     ) -> Result<(), HeartbeatRejection> {
         let heartbeat_freshness = self.heartbeat_freshness();
         let Some(machine) = self.inventory.get_mut(name) else {
-            return Err(HeartbeatRejection::Returned);
+            return Err(HeartbeatRejection::MachineReturned);
         };
         if agent_epoch < machine.agent.epoch() {
-            return Err(HeartbeatRejection::OldSession);
+            return Err(HeartbeatRejection::StaleEpoch);
         }
         let inbound = &mut machine.connectivity.inbound_partition;
-        inbound.heartbeat_received(signs, heartbeat_freshness, now);
-        inbound.answer_sent(self.leader_term.term(), signs);
-        machine.agent.heartbeat_answered(signs.sequence);
+        inbound.heartbeat_received(evidence, heartbeat_freshness, now);
+        inbound.answer_sent(self.leader_term.term(), evidence);
+        machine.agent.heartbeat_answered(evidence.sequence);
         self.inventory.update(name);
         Ok(())
     }
 
-    /// The machine that this heartbeat is from, which becomes known if it was not.
+    /// Returns the name of the machine that sent the heartbeat, and adds the machine if it is unknown.
     fn register_agent(
         &mut self,
         heartbeat: &Heartbeat,
@@ -103,7 +110,7 @@
             .catalog
             .get(&heartbeat.type_name)
             .cloned()
-            .ok_or(HeartbeatRejection::UnknownType)?;
+            .ok_or(HeartbeatRejection::UnknownMachineType)?;
         let mut machine = Machine::new(
             &heartbeat.machine,
             Arc::new(kind),
@@ -118,17 +125,17 @@
         Ok(name)
     }
 
-    /// For how long a sign of life still holds.
+    /// Returns how long an agent's last message counts as recent.
     pub(super) fn heartbeat_freshness(&self) -> Micros {
         self.config
             .heartbeat_interval
-            .times(FRESH_INTERVALS)
-            .plus(FRESH_MARGIN)
+            .times(FRESHNESS_INTERVALS)
+            .plus(FRESHNESS_MARGIN)
     }
 
-    /// The status with which an agent answered a probe.
+    /// Processes the status with which an agent answered a probe.
     pub fn probe_answered(&mut self, status: Heartbeat, now: Micros) {
-        // Whichever agent has that address now: the probe is over.
+        // The probe has ended even if another machine now has the address and answered it.
         self.dispatch.probe_ended();
         let heartbeat_freshness = self.heartbeat_freshness();
         let Some(machine) = self.inventory.get_mut(&status.machine) else {
@@ -141,7 +148,7 @@
         self.inventory.update(&name);
     }
 
-    /// A probe got no answer.
+    /// Processes the failure of a probe that got no answer.
     pub fn probe_failed(&mut self, name: &str, now: Micros) {
         self.dispatch.probe_ended();
         let heartbeat_freshness = self.heartbeat_freshness();
@@ -156,7 +163,7 @@
         self.inventory.schedule_health_check(&name, now);
     }
 
-    /// Takes in an agent's status, if it is newer than what is known.
+    /// Applies an agent's status, if it is newer than the last one applied.
     pub(super) fn apply_status(
         &mut self,
         name: &Arc<str>,
@@ -178,16 +185,16 @@
             return;
         }
         let changes = machine.status_received(&status, context);
-        self.status_applied(name, changes, now);
+        self.apply_status_changes(name, changes, now);
         self.reconcile_tasks(name, status, is_heartbeat, now);
     }
 
-    /// Hands on what a status changed.
-    fn status_applied(&mut self, name: &Arc<str>, changes: StatusChanges, now: Micros) {
+    /// Passes on the changes that a status made to the components that depend on them.
+    fn apply_status_changes(&mut self, name: &Arc<str>, changes: StatusChanges, now: Micros) {
         self.inventory.record_contact(now);
         self.inventory.images_removed(name, changes.removed_images);
         if changes.address_changed {
-            self.address_changed(name, now);
+            self.schedule_address_record(name, now);
         }
         if changes.registered || changes.fenced {
             self.placement_pass.request();
@@ -200,8 +207,8 @@
         }
     }
 
-    /// The new address is to be written with the machine's record.
-    fn address_changed(&mut self, name: &Arc<str>, now: Micros) {
+    /// Schedules the write of the machine's record with its new address.
+    fn schedule_address_record(&mut self, name: &Arc<str>, now: Micros) {
         let Some(machine) = self.inventory.get_mut(name) else {
             return;
         };
@@ -214,20 +221,20 @@
     }
 }
 
-/// Whether the heartbeat may be answered, which renews the agent's lease.
-fn check_answerable(machine: &Machine, heartbeat: &Heartbeat) -> Result<(), HeartbeatRejection> {
+/// Checks whether the heartbeat may be answered. An answer renews the agent's lease.
+fn validate_heartbeat(machine: &Machine, heartbeat: &Heartbeat) -> Result<(), HeartbeatRejection> {
     if heartbeat.agent_epoch < machine.agent.epoch() {
-        return Err(HeartbeatRejection::OldSession);
+        return Err(HeartbeatRejection::StaleEpoch);
     }
-    // The return may be under way: the lease must not be renewed behind that.
+    // The return may already be in progress, so the lease must not be renewed.
     if machine.lifecycle.is_returning() {
-        return Err(HeartbeatRejection::Returned);
+        return Err(HeartbeatRejection::MachineReturned);
     }
-    // An agent has one heartbeat in flight: by sending a later one it has given up all before it, and the
-    // lease counts from when a heartbeat was sent. So a copy that comes late renews nothing, and its agent
-    // does not wait for an answer to it.
+    // An agent has one heartbeat in flight: once it sends a later one, it no longer waits for the answer to
+    // any earlier one. Its lease counts from when the answered heartbeat was sent, so a late copy renews
+    // nothing.
     if machine.agent.is_stale_heartbeat(heartbeat) {
-        return Err(HeartbeatRejection::Repeated);
+        return Err(HeartbeatRejection::StaleSequence);
     }
     Ok(())
 }
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -1,5 +1,5 @@
-//! The commands that bring an agent's tasks to what they should be: which ones, and how direct calls with
-//! them are sent and end.
+//! Commands that bring the tasks of an agent to their desired state: which ones are due, and the direct
+//! calls that carry them.
 
 use std::sync::Arc;
 
@@ -10,43 +10,45 @@
 use crate::machine::Machine;
 use crate::time::Micros;
 
-/// The most commands sent to one machine at a time: keeps an answer's line below its limit.
+/// The maximum number of commands sent to one machine at a time. Keeps the line of an answer below its size
+/// limit.
 const MAX_COMMANDS: usize = 200;
-/// How long a direct call has to show an effect before it is repeated.
+/// The minimum interval between direct calls to one machine, so that a call can take effect before it is
+/// repeated.
 const REPEAT_INTERVAL: Micros = Micros::from_millis(1_500);
-/// How long to wait before the next call after one that was not received.
+/// The delay before the next call after one that was certainly not received.
 const NOT_SENT_BACKOFF: Micros = Micros::from_millis(700);
-/// How long to wait before the next call after one that was not answered.
+/// The delay before the next call after one whose outcome is unknown.
 const UNKNOWN_BACKOFF: Micros = Micros::from_secs(1);
 
 /// How a direct call with commands ended.
 #[derive(Clone, Debug)]
 pub enum CommandOutcome {
-    /// The commands were executed; the agent's status afterwards.
+    /// The commands were executed. Holds the agent's status afterwards.
     Executed(Heartbeat),
-    /// Nothing was executed, since the fencing token or the epoch did not match; the agent's status.
+    /// Nothing was executed, because the fencing token or the epoch did not match. Holds the agent's status.
     Stale(Heartbeat),
-    /// The call was certainly not received.
+    /// The agent certainly did not receive the call.
     NotSent,
-    /// There was no answer: the commands may be executed any time later.
+    /// There was no answer. The agent may execute the commands at any later time.
     Unknown,
 }
 
-/// What is kept of a direct call with commands until its outcome is known.
+/// A direct call with commands whose outcome is not yet known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentCommands {
     /// The machine that was called.
     pub machine: Arc<str>,
-    /// The epoch that the commands were for.
+    /// The agent's epoch that the commands are for.
     pub agent_epoch: u64,
-    /// The fencing token that they were sent with.
+    /// The fencing token that the commands were sent with.
     pub fencing_token: u64,
-    /// Whether a start was among them.
+    /// Whether the commands include a start.
     pub has_start: bool,
 }
 
 impl SentCommands {
-    /// Of the fields of [`Effect::SendCommands`].
+    /// Creates the description of a call from the fields of [`Effect::SendCommands`].
     pub fn new(
         machine: Arc<str>,
         agent_epoch: u64,
@@ -64,13 +66,20 @@
 }
 
 impl Scheduler {
-    /// The commands that bring this machine's tasks to what they should be. `answering`: the sequence number
-    /// of the heartbeat that they answer; none for a direct call.
-    pub(super) fn commands_for(&mut self, name: &Arc<str>, answering: Option<u64>) -> Vec<Command> {
+    /// Returns the commands that bring the machine's tasks to their desired state, and marks the starts among
+    /// them as sent.
+    ///
+    /// `answered_sequence` is the sequence number of the heartbeat that the commands answer, or `None` for a
+    /// direct call.
+    pub(super) fn commands_for(
+        &mut self,
+        name: &Arc<str>,
+        answered_sequence: Option<u64>,
+    ) -> Vec<Command> {
         let Some(machine) = self.inventory.get(name) else {
             return Vec::new();
         };
-        let mut commands = self.commands_for_unowned(machine, answering.is_some());
+        let mut commands = self.commands_for_unowned(machine, answered_sequence.is_some());
         let mut starts = Vec::new();
         for (number, task) in machine.allocations.iter() {
             if commands.len() + starts.len() >= MAX_COMMANDS {
@@ -82,10 +91,10 @@
             if let Some(stop) = stop_command(job, task) {
                 commands.push(stop);
             } else if may_start(job, task, machine) {
-                starts.extend(start_command(job, task, answering));
+                starts.extend(start_command(job, task, answered_sequence));
             }
         }
-        if let (Some(sequence), false) = (answering, starts.is_empty()) {
+        if let (Some(sequence), false) = (answered_sequence, starts.is_empty()) {
             if let Some(machine) = self.inventory.get_mut(name) {
                 machine.agent.start_sent(sequence);
             }
@@ -94,13 +103,14 @@
         commands
     }
 
-    /// Stops for tasks that run without an allocation, and which exited ones the agent may forget.
+    /// Returns commands to stop the tasks that run without an allocation, and to forget the exited tasks
+    /// whose outcome is on record.
     fn commands_for_unowned(&self, machine: &Machine, is_answer: bool) -> Vec<Command> {
         if !machine.agent.is_fenced() {
             return Vec::new();
         }
-        // While a start may still arrive, by a direct call or in an answer that the agent has not taken in
-        // yet, no attempt is forgotten: it would start again.
+        // No attempt is forgotten while a start may still reach the agent, by a direct call or in an answer
+        // that it has not processed yet: the start of a forgotten attempt would run it again.
         let start_may_arrive = machine.commands.has_unacknowledged_start()
             || (machine.commands.is_in_flight() && is_answer)
             || machine.agent.may_receive_start();
@@ -120,7 +130,7 @@
         commands.take(MAX_COMMANDS).collect()
     }
 
-    /// Whether the records no longer depend on this attempt, which has exited.
+    /// Returns whether the outcome of this exited attempt is on record, so that the agent may forget it.
     fn is_outcome_recorded(&self, status: &TaskStatus) -> bool {
         let Some(number) = self.job_table.number_of(&status.job) else {
             return true;
@@ -135,7 +145,7 @@
         allocation.is_none_or(|allocation| allocation.attempt != status.attempt)
     }
 
-    /// Sends direct calls to the machines that need some, a bounded number at a time.
+    /// Sends direct calls to the machines that are due for one, up to the limit on concurrent calls.
     pub(super) fn send_commands(&mut self, now: Micros) {
         self.dispatch.release_delayed(now);
         while self.dispatch.commands_in_flight() < self.config.max_concurrent_calls {
@@ -151,7 +161,7 @@
             return;
         };
         if machine.commands.is_in_flight() {
-            // The answer brings the machine back.
+            // The outcome of that call leads to another one if commands are still due.
             return;
         }
         if !machine.commands.is_ready(now) {
@@ -182,7 +192,7 @@
         });
     }
 
-    /// The answer to [`Effect::SendCommands`].
+    /// Processes the outcome of an [`Effect::SendCommands`].
     pub fn command_ended(&mut self, sent: &SentCommands, outcome: CommandOutcome, now: Micros) {
         self.dispatch.command_ended();
         let name = &sent.machine;
@@ -219,6 +229,7 @@
     }
 }
 
+/// Returns the command to stop the task, if a stop is requested.
 fn stop_command(job: &Job, task: u32) -> Option<Command> {
     let allocation = job.allocation(task)?;
     Some(Command::Stop {
@@ -229,7 +240,8 @@
     })
 }
 
-/// Whether the task's allocation is on record and nothing else speaks against its start.
+/// Returns whether the task may be started: its allocation is on record and for the agent's present epoch,
+/// its job is active, its gang is released, and the agent has not listed it yet.
 fn may_start(job: &Job, task: u32, machine: &Machine) -> bool {
     let Some(allocation) = job.allocation(task) else {
         return false;
@@ -242,12 +254,12 @@
         && allocation.agent_epoch == machine.agent.epoch()
 }
 
-/// The start of a task, which is marked as sent.
-fn start_command(job: &mut Job, task: u32, answering: Option<u64>) -> Option<Command> {
+/// Returns the command to start the task, and marks the start as sent.
+fn start_command(job: &mut Job, task: u32, answered_sequence: Option<u64>) -> Option<Command> {
     let id = job.id.clone();
     let allocation = job.allocation_mut(task)?;
     allocation.start_sent = true;
-    if let Some(sequence) = answering {
+    if let Some(sequence) = answered_sequence {
         allocation.start_sequence = allocation.start_sequence.max(sequence);
     }
     Some(Command::Start {
--- a/crates/saltpitch-core/src/scheduler/task_reconciliation.rs
+++ b/crates/saltpitch-core/src/scheduler/task_reconciliation.rs
@@ -1,5 +1,6 @@
-//! The tasks that an agent lists against the allocations of its machine: which tasks have come how far, and
-//! which are proven gone.
+//! Reconciliation of the tasks that an agent lists with the allocations of its machine.
+//!
+//! Updates the observed state of the tasks, and finds those that are proven to be off the machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,30 +15,30 @@
 use crate::machine::Machine;
 use crate::time::Micros;
 
-/// What a status shows of a machine's tasks.
+/// What a status shows about a machine's tasks.
 #[derive(Default)]
 struct TaskFindings {
-    /// Allocations that the agent lists.
+    /// Allocated tasks that the agent lists.
     listed: BTreeSet<(JobNumber, u32)>,
-    /// Tasks that the agent lists without an allocation, and those that exited.
+    /// Tasks that the agent lists without a matching allocation, and tasks that exited.
     unowned: Vec<TaskStatus>,
     /// Tasks that are proven to be off the machine.
     ended: Vec<EndedTask>,
-    /// Jobs whose image the machine must have.
+    /// Jobs with a task whose state implies that the machine has the job's image.
     image_users: BTreeMap<JobNumber, Arc<JobSpec>>,
 }
 
-/// Where a status stands among the agent's statuses.
+/// The position of a status in the order of the agent's statuses.
 #[derive(Clone, Copy)]
 struct StatusOrder {
     agent_epoch: u64,
     sequence: u64,
-    /// Whether the status came in a heartbeat, not in an answer to a direct call.
+    /// Whether the status came in a heartbeat and not in an answer to a direct call.
     is_heartbeat: bool,
 }
 
 impl Scheduler {
-    /// Compares the tasks that an agent lists with the machine's allocations.
+    /// Reconciles the tasks that an agent lists with the machine's allocations.
     pub(super) fn reconcile_tasks(
         &mut self,
         name: &Arc<str>,
@@ -55,8 +56,8 @@
             is_heartbeat,
         };
         let mut findings = TaskFindings::default();
-        findings.take_listed_tasks(machine, status, &mut self.job_table, now);
-        findings.take_allocations(machine, order, &self.job_table);
+        findings.process_listed_tasks(machine, status, &mut self.job_table, now);
+        findings.process_allocations(machine, order, &self.job_table);
         findings.update_machine(name, &mut self.inventory, &mut self.dispatch, now);
         for ended in findings.ended {
             self.task_exited(ended, name, now);
@@ -65,18 +66,18 @@
 }
 
 impl TaskFindings {
-    /// Goes through the tasks that the agent lists.
-    fn take_listed_tasks(
+    /// Updates the allocations of the tasks that the agent lists, and collects the tasks without one.
+    fn process_listed_tasks(
         &mut self,
         machine: &Machine,
         status: Heartbeat,
         job_table: &mut JobTable,
         now: Micros,
     ) {
-        // Tasks of a job stand together in a heartbeat: one look-up serves all of them.
-        let mut last: Option<(String, JobNumber)> = None;
+        // The tasks of a job are adjacent in a heartbeat, so the last look-up of a job number is reused.
+        let mut last_lookup: Option<(String, JobNumber)> = None;
         for task in status.tasks {
-            let number = match &last {
+            let number = match &last_lookup {
                 Some((id, number)) if *id == task.job => Some(*number),
                 _ => job_table.number_of(&task.job),
             };
@@ -85,23 +86,26 @@
                 self.unowned.push(task);
                 continue;
             };
-            if last.as_ref().is_none_or(|(_, known)| *known != number) {
-                last = Some((task.job.clone(), number));
+            if last_lookup
+                .as_ref()
+                .is_none_or(|(_, known)| *known != number)
+            {
+                last_lookup = Some((task.job.clone(), number));
             }
             let job = job_table.get_mut(number);
             let allocation = job.and_then(|job| job.allocation_mut(task.task));
-            let same_start = |allocation: &&mut Allocation| {
+            let is_same_attempt = |allocation: &&mut Allocation| {
                 allocation.agent_epoch == status.agent_epoch && allocation.attempt == task.attempt
             };
-            match allocation.filter(same_start) {
-                Some(allocation) => self.take_listed_task(number, task, allocation, now),
+            match allocation.filter(is_same_attempt) {
+                Some(allocation) => self.process_listed_task(number, task, allocation, now),
                 None => self.unowned.push(task),
             }
         }
     }
 
-    /// Takes in the state of a task whose allocation the agent confirms.
-    fn take_listed_task(
+    /// Applies the state of a listed task to its allocation.
+    fn process_listed_task(
         &mut self,
         number: JobNumber,
         task: TaskStatus,
@@ -117,7 +121,8 @@
                     task: task.task,
                     cause: Some(cause),
                 });
-                // Listed until a command lets the agent forget it, once the outcome is on record.
+                // The agent lists the task until a command tells it to forget it, which is sent once the
+                // outcome is on record.
                 self.unowned.push(task);
                 return;
             }
@@ -133,9 +138,9 @@
         };
     }
 
-    /// Goes through the machine's allocations: what the agent lists has its image, what it does not list may
-    /// be proven gone.
-    fn take_allocations(&mut self, machine: &Machine, order: StatusOrder, job_table: &JobTable) {
+    /// Goes through the machine's allocations. Listed tasks show that the machine has their job's image;
+    /// tasks that are not listed are collected if they are proven to be off the machine.
+    fn process_allocations(&mut self, machine: &Machine, order: StatusOrder, job_table: &JobTable) {
         let start_is_settled = order.is_heartbeat
             && machine.agent.is_fenced()
             && !machine.commands.has_unacknowledged_start()
@@ -162,7 +167,7 @@
         }
     }
 
-    /// Takes in what counts for the machine beside its allocations.
+    /// Updates the machine's images and unowned tasks, and requests a direct call if commands are due.
     fn update_machine(
         &mut self,
         name: &Arc<str>,
@@ -178,16 +183,16 @@
         };
         let allocations = &mut machine.allocations;
         let unowned_before = allocations.replace_unowned(std::mem::take(&mut self.unowned));
-        // What still runs is to be stopped at once; what has exited is forgotten with the answer to a
-        // heartbeat. Once nothing is left, there may be something to start.
-        let all_gone = !unowned_before.is_empty() && allocations.unowned().is_empty();
-        if allocations.has_running_unowned() || all_gone {
+        // Unowned tasks that still run are stopped by a direct call at once; commands to forget exited ones
+        // can wait for the answer to a heartbeat. When no unowned tasks are left, starts may be possible.
+        let all_unowned_gone = !unowned_before.is_empty() && allocations.unowned().is_empty();
+        if allocations.has_running_unowned() || all_unowned_gone {
             dispatch.request(name);
         }
     }
 }
 
-/// Whether a task has come so far that its image is on the machine.
+/// Returns whether the task's observed state implies that its image is on the machine.
 fn has_image(allocation: &Allocation) -> bool {
     !matches!(
         allocation.observed,
@@ -195,11 +200,13 @@
     )
 }
 
-/// Whether a task that the agent does not list is proven to be off the machine. `start_is_settled`: no start
-/// but that in the answer to a later heartbeat can still reach the agent.
+/// Returns whether a task that the agent does not list is proven to be off the machine.
+///
+/// `start_is_settled` says that no start can still reach the agent, except one in the answer to this
+/// heartbeat or a later one.
 fn is_lost(allocation: &Allocation, order: StatusOrder, start_is_settled: bool) -> bool {
     if allocation.agent_epoch < order.agent_epoch {
-        // Its epoch is over: the agent killed and forgot it.
+        // The agent killed and forgot all tasks of that epoch when it began the present one.
         return true;
     }
     if allocation.observed != ObservedState::Unseen {
--- a/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::agent_health::{MISSED_HEARTBEAT, TWO_MISSED_HEARTBEATS};
+use super::agent_health::{MISSED_HEARTBEAT_INTERVALS, TWO_MISSED_HEARTBEATS_INTERVALS};
 use super::Scheduler;
 use crate::machine::Machine;
 use crate::time::Micros;
@@ -114,7 +114,7 @@
     fn proving_span(&self, machine: &Machine, now: Micros) -> Span {
         let interval = self.config.heartbeat_interval;
         let connectivity = &machine.connectivity;
-        let wait = interval.times(TWO_MISSED_HEARTBEATS);
+        let wait = interval.times(TWO_MISSED_HEARTBEATS_INTERVALS);
         match connectivity.inbound_partition.suspected_since() {
             Some(since) if connectivity.inbound_partition.is_confirmed(wait, now) => Span {
                 after: since,
@@ -123,7 +123,7 @@
             _ => Span {
                 after: connectivity
                     .last_heard()
-                    .plus(interval.times(MISSED_HEARTBEAT)),
+                    .plus(interval.times(MISSED_HEARTBEAT_INTERVALS)),
                 until: connectivity.probes.last_failed_probe_sent_at(),
             },
         }
