--- a/crates/saltpitch-core/src/agent.rs
+++ b/crates/saltpitch-core/src/agent.rs
@@ -1,7 +1,7 @@
-//! What agents and the scheduler say to each other: heartbeats one way, commands the other.
+//! Messages between agents and the scheduler: heartbeats from the agents, and commands to them.
 //!
-//! An agent is the process that runs the tasks of one machine. These types are what the program's wire
-//! module decodes and encodes; none of them is stored.
+//! An agent is the process that runs the tasks of one machine. The wire module of the `saltpitch` program
+//! decodes and encodes these types; none of them is stored.
 
 use std::sync::Arc;
 
@@ -10,40 +10,40 @@
 /// Why a task is no longer running on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCause {
-    /// It completed, and its result is kept.
+    /// The task completed, and its result is kept.
     Done,
-    /// It was stopped by a command.
+    /// The task was stopped by a command.
     Stopped,
     /// Another task of its gang is gone.
     PeerLost,
-    /// Its gang was not complete in time.
+    /// The task's gang was not complete in time.
     GangIncomplete,
-    /// It failed, by a fault of the machine or of the job.
+    /// The task failed, because of the machine or of the job.
     Error,
-    /// Its start was refused: too little is free on the machine.
+    /// The start was refused because the machine has too few free resources.
     NoRoom,
-    /// Its start was refused: another attempt of the task is still on the machine.
+    /// The start was refused because another attempt of the task is still on the machine.
     Busy,
-    /// Its start was refused: the agent could not find such a job or task.
+    /// The start was refused because the agent found no such job or task.
     NotFound,
 }
 
-/// What a task does on a machine.
+/// The state of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// It waits for its image.
+    /// The task waits for its image.
     Fetching,
-    /// It waits for the other members of its gang.
+    /// The task waits for the other members of its gang.
     Waiting,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It was stopped and saves its progress.
+    /// The task was stopped and saves its progress.
     Saving,
-    /// It is over. Listed until a command lets the agent forget it.
+    /// The task has exited. The agent lists it until a command tells the agent to forget it.
     Exited {
-        /// Why it is over.
+        /// Why the task exited.
         cause: ExitCause,
-        /// Whether its progress was saved.
+        /// Whether the task's progress was saved.
         saved: bool,
     },
 }
@@ -57,7 +57,7 @@
     pub task: u32,
     /// The attempt, which distinguishes repeated starts of the task.
     pub attempt: u32,
-    /// What the task does.
+    /// The state of the attempt.
     pub state: TaskState,
 }
 
@@ -66,28 +66,28 @@
 pub struct Heartbeat {
     /// The machine's name.
     pub machine: String,
-    /// Where the agent takes direct calls.
+    /// The address at which the agent accepts direct calls.
     pub addr: String,
     /// The machine's type.
     pub type_name: String,
     /// The machine's zone.
     pub zone: String,
-    /// Whether the cloud may take the machine back.
+    /// Whether the cloud may reclaim the machine.
     pub spot: bool,
-    /// Increases when the agent starts again, and when its lease expires: everything that ran in an
+    /// The agent's epoch. It increases when the agent restarts and when its lease expires; every task of an
     /// earlier epoch is gone.
     pub agent_epoch: u64,
-    /// Orders the statuses of one epoch, whichever controller they were sent to.
+    /// The sequence number, which orders the statuses of one epoch across all controllers they are sent to.
     pub sequence: u64,
     /// The highest fencing token that the agent has seen.
     pub fencing_token: u64,
-    /// How long until the cloud takes the machine back, once that is announced.
+    /// The time left until the cloud reclaims the machine, if the cloud has announced that.
     pub spot_notice: Option<Micros>,
-    /// Every task on the machine, those that exited included.
+    /// All tasks on the machine, including those that exited and are not forgotten yet.
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What an agent is to do. Each command is safe to repeat.
+/// A command to an agent. Commands are idempotent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Start an attempt of a task.
@@ -110,7 +110,7 @@
         /// How long the task may take to save its progress.
         grace: Micros,
     },
-    /// No longer list an attempt that has exited.
+    /// Forget an attempt that has exited, so that heartbeats no longer list it.
     Forget {
         /// The job's id.
         job: Arc<str>,
--- a/crates/saltpitch-core/src/messages.rs
+++ b/crates/saltpitch-core/src/messages.rs
@@ -15,32 +15,32 @@
 /// Version 0 sent no version field.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// What a controller says about itself in each heartbeat and in the answer to one.
+/// The status that a controller sends in each heartbeat to a peer and in each answer to one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
     /// The name of the sending controller.
     pub node: String,
-    /// The highest term that it knows.
+    /// The highest term that the sender knows.
     pub term: u64,
     /// The controller that holds this term.
     #[serde(rename = "owner")]
     pub term_owner: String,
-    /// The incarnation in which that controller took the term.
+    /// The incarnation in which the owner took the term.
     #[serde(rename = "life")]
     pub term_incarnation: u64,
     /// Whether the sender leads and may answer agents.
     #[serde(rename = "leads")]
     pub is_leader: bool,
-    /// Whether the state service served the sender lately.
+    /// Whether the state service recently answered the sender.
     #[serde(rename = "store_up")]
     pub store_reachable: bool,
-    /// How many agents lately sent a heartbeat to the sender and were redirected.
+    /// The number of agents whose heartbeats the sender recently redirected to another controller.
     #[serde(rename = "knocks")]
     pub redirected_agents: u32,
-    /// See [`PROTOCOL_VERSION`]; 0 if the sender left it out.
+    /// The sender's [`PROTOCOL_VERSION`]; 0 if the field is missing.
     #[serde(rename = "version", default)]
     pub protocol_version: u32,
-    /// A leader asks the receiver to acknowledge cancellations.
+    /// A leader's request that the receiver acknowledge cancellations.
     #[serde(rename = "asks", default, skip_serializing_if = "Option::is_none")]
     pub ack_request: Option<AckRequest>,
     /// The answer to an [`AckRequest`].
@@ -48,7 +48,7 @@
     pub ack: Option<CancellationAck>,
 }
 
-/// A leader's question: which cancellations does the peer know that the leader's records lack?
+/// A leader's request for the cancellations that the peer knows and the leader's records lack.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, AckCursor)", into = "(u64, AckCursor)")]
 pub struct AckRequest {
@@ -70,12 +70,12 @@
     }
 }
 
-/// A user's request, forwarded by a controller that cannot reach the state service.
+/// A user's request that a controller forwards because it cannot reach the state service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UserRequest {
     /// The body of a submission.
     Submit(Vec<u8>),
-    /// A question about the job with this id.
+    /// A query for the status of the job with this id.
     Query(String),
     /// The cancellation of the job with this id.
     Cancel(String),
@@ -87,7 +87,7 @@
     /// A heartbeat.
     #[serde(rename = "Hello")]
     Heartbeat(PeerStatus),
-    /// A user's request to be served in the sender's place.
+    /// A user's request that the receiver serves on behalf of the sender.
     User(UserRequest),
 }
 
@@ -97,7 +97,7 @@
     /// The answer to a heartbeat.
     #[serde(rename = "Hello")]
     Heartbeat(PeerStatus),
-    /// The answer to be given to the user.
+    /// The answer to pass on to the user.
     User {
         /// The HTTP status.
         status: u16,
--- a/crates/saltpitch-core/src/scheduler/agent_health.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_health.rs
@@ -80,7 +80,7 @@
             });
         }
         for name in findings.lease_expired {
-            self.release_all(&name, now);
+            self.release_all_tasks(&name, now);
         }
         self.return_unresponsive(&findings.unresponsive, now);
         self.retry_unacknowledged(now);
@@ -142,8 +142,8 @@
         let connectivity = &machine.connectivity;
         let silence = now.since(self.heard_or_resumed(machine));
         let is_expected = machine.is_up() || !machine.allocations.is_empty();
-        // Only machines that an earlier leader ordered are probed before their first heartbeat. The agents
-        // of machines that this leader ordered send one without being asked.
+        // Machines that an earlier leader knew are probed even if they were not heard yet. The agents of
+        // machines that this leader ordered send a heartbeat without being asked.
         let may_be_up = machine.lifecycle.is_unregistered()
             && machine.lifecycle.is_recorded()
             && machine.lifecycle.created_at() < self.leader_term.elected_at();
@@ -234,8 +234,8 @@
             return;
         };
         if !machine.is_up() || machine.connectivity.is_unresponsive() || !others_are_heard {
-            // After a partition in both directions, a machine answers calls before it sends a heartbeat, so
-            // the time of an outbound partition is counted only from then.
+            // After a partition in both directions, a machine answers calls before it sends a heartbeat. The
+            // time before that must not count towards an outbound partition.
             machine.connectivity.outbound_partition.reset_timer();
             return;
         }
--- a/crates/saltpitch-core/src/scheduler/cloud_listing.rs
+++ b/crates/saltpitch-core/src/scheduler/cloud_listing.rs
@@ -1,4 +1,4 @@
-//! Machines as the cloud lists them, and their return to it.
+//! The cloud's list of machines, and the return of machines to the cloud.
 
 use std::sync::Arc;
 
@@ -8,12 +8,13 @@
 use crate::machine::Machine;
 use crate::time::Micros;
 
-/// How long the record of an empty machine's return waits for others: what is empty can be returned
-/// together. What holds tasks is waited for.
+/// How long the write of an empty machine's return may be delayed, so that several are returned together. The
+/// return of a machine with tasks is not delayed, since its tasks wait for it.
 const EMPTY_RETURN_DELAY: Micros = Micros::from_millis(700);
-/// How long the record of a machine's address waits for other changes.
+/// How long the write of a machine's address may be delayed, to be written together with other changes.
 const ADDRESS_RECORD_DELAY: Micros = Micros::from_secs(3);
-/// How long the record of a machine that the list named first waits for others.
+/// How long the write of a machine that the cloud's list made known may be delayed, so that several are
+/// written together.
 const LISTED_RECORD_DELAY: Micros = Micros::from_millis(300);
 
 /// One entry of the cloud's list of machines.
@@ -21,22 +22,22 @@
 pub struct ListedMachine {
     /// The machine's name.
     pub name: String,
-    /// Where its agent takes direct calls; empty if the cloud does not know it yet.
+    /// The address at which the agent accepts direct calls; empty if the cloud does not know it yet.
     pub addr: String,
-    /// Its type.
+    /// The machine's type.
     pub type_name: String,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether the cloud may reclaim the machine.
     pub spot: bool,
-    /// Whether it has failed for good: nothing runs on it.
+    /// Whether the machine has failed permanently, so that nothing runs on it.
     pub failed: bool,
-    /// How long ago it was ordered.
+    /// The time since the machine was ordered.
     pub age: Micros,
 }
 
 impl Scheduler {
-    /// Intends the return of a machine. The intent goes on record first.
+    /// Requests the return of a machine. The cloud is asked for it once the request is on record.
     pub(super) fn scale_in(&mut self, name: &Arc<str>, now: Micros) {
         let Some(machine) = self.inventory.get_mut(name) else {
             return;
@@ -53,12 +54,12 @@
         self.inventory.update(name);
     }
 
-    /// The cloud confirmed the return of these machines: they and all on them are gone.
+    /// Removes machines whose return the cloud confirmed. They and all of their tasks are gone.
     pub fn scale_in_confirmed(&mut self, names: &[Arc<str>], now: Micros) {
         for name in names {
-            self.release_all(name, now);
+            self.release_all_tasks(name, now);
             if let Some(machine) = self.inventory.get(name) {
-                // What was returned can be had again.
+                // The cloud has capacity for this type again.
                 self.autoscaler
                     .machine_returned(&MachinePoolKey::of(machine));
                 self.remove_machine(name, now);
@@ -67,8 +68,10 @@
         self.placement_pass.request();
     }
 
-    /// The cloud's list. What is on it is there, or was a while ago; absence proves nothing. `is_returned`:
-    /// whether the records say that a machine was returned.
+    /// Processes machines that the cloud lists.
+    ///
+    /// The list may be out of date: a listed machine may be gone by now, and a missing one may exist.
+    /// `is_returned` says whether a machine is on record as returned.
     pub fn machines_listed(
         &mut self,
         list: &[ListedMachine],
@@ -77,14 +80,15 @@
     ) {
         for listed in list {
             if self.inventory.contains(&listed.name) {
-                self.known_machine_listed(listed, now);
+                self.update_listed_machine(listed, now);
             } else if !is_returned(&listed.name) && !self.inventory.was_returned(&listed.name) {
-                self.unknown_machine_listed(listed, now);
+                self.add_listed_machine(listed, now);
             }
         }
     }
 
-    fn known_machine_listed(&mut self, listed: &ListedMachine, now: Micros) {
+    /// Updates a known machine from its entry in the list.
+    fn update_listed_machine(&mut self, listed: &ListedMachine, now: Micros) {
         let Some(machine) = self.inventory.get_mut(&listed.name) else {
             return;
         };
@@ -95,13 +99,13 @@
             self.persistence.machine_changed(machine, due);
         }
         if listed.failed {
-            self.release_all(&name, now);
+            self.release_all_tasks(&name, now);
             self.scale_in(&name, now);
         }
     }
 
-    /// A machine of an earlier leader, or one whose order got no answer.
-    fn unknown_machine_listed(&mut self, listed: &ListedMachine, now: Micros) {
+    /// Adds a machine that was ordered by an earlier leader, or whose order got no answer.
+    fn add_listed_machine(&mut self, listed: &ListedMachine, now: Micros) {
         let kind = self.catalog.get(&listed.type_name).cloned();
         let kind = kind.unwrap_or_else(|| MachineType::unknown(&listed.type_name));
         let mut machine = Machine::new(
--- a/crates/saltpitch-core/src/scheduler/command_retries.rs
+++ b/crates/saltpitch-core/src/scheduler/command_retries.rs
@@ -1,5 +1,5 @@
-//! Commands that have not shown any effect: they are repeated, and starts that stay unacknowledged are ended
-//! by raising the term.
+//! Retries of commands that have shown no effect. Starts that stay unacknowledged are invalidated by raising
+//! the term.
 
 use std::sync::Arc;
 
@@ -8,22 +8,23 @@
 use crate::machine::Machine;
 use crate::time::Micros;
 
-/// A start that is unacknowledged for longer is ended by raising the term.
-const ACKNOWLEDGEMENT_WAIT: Micros = Micros::from_secs(6);
+/// How long a start may stay unacknowledged before it is invalidated by raising the term.
+const ACKNOWLEDGEMENT_TIMEOUT: Micros = Micros::from_secs(6);
 
-/// Which machines need another call, by what was sent to them before.
+/// The results of a check of the machines whose commands have shown no effect yet.
 #[derive(Default)]
 struct RetryFindings {
-    /// Every command has shown its effect.
+    /// Machines on which every command has shown its effect.
     settled: Vec<Arc<str>>,
-    /// Commands are to be sent once more.
+    /// Machines to which commands are to be sent again.
     retried: Vec<Arc<str>>,
-    /// The term is to be raised: an agent that has seen the new one ignores earlier starts.
-    term_outdated: bool,
+    /// Whether the term is to be raised. An agent that has seen the new term ignores earlier starts.
+    needs_higher_term: bool,
 }
 
 impl Scheduler {
-    /// Repeats commands that show no effect, and ends starts that stay unacknowledged.
+    /// Repeats commands that show no effect, and raises the term to invalidate starts that stay
+    /// unacknowledged.
     pub(super) fn retry_unacknowledged(&mut self, now: Micros) {
         let findings = self.check_awaited_effects(now);
         for name in &findings.settled {
@@ -32,11 +33,12 @@
         for name in &findings.retried {
             self.dispatch.request(name);
         }
-        if findings.term_outdated && self.leader_term.begin_raise() {
+        if findings.needs_higher_term && self.leader_term.begin_raise() {
             self.effects.push(Effect::RaiseTerm);
         }
     }
 
+    /// Checks the machines whose stops and starts have not all shown an effect.
     fn check_awaited_effects(&mut self, now: Micros) -> RetryFindings {
         let mut findings = RetryFindings::default();
         for name in self.dispatch.awaiting_effect() {
@@ -46,7 +48,7 @@
                 findings.settled.push(name.clone());
                 continue;
             };
-            findings.term_outdated |= needs_higher_term(machine, self.leader_term.term(), now);
+            findings.needs_higher_term |= needs_higher_term(machine, self.leader_term.term(), now);
             let awaits_effect = has_awaited_tasks(machine, &mut self.job_table, &self.config, now)
                 || machine.commands.has_unacknowledged_start();
             if !awaits_effect {
@@ -59,8 +61,10 @@
     }
 }
 
-/// Whether a start has been unacknowledged for so long that the term is raised for it. One that the agent
-/// should ignore already, since the term was raised after it was sent, is no reason to raise it again.
+/// Returns whether a start has been unacknowledged for so long that the term is raised to invalidate it.
+///
+/// A start that was sent before the term was last raised is no reason to raise it again: the agent ignores it
+/// once it has seen the new term.
 fn needs_higher_term(machine: &Machine, term: u64, now: Micros) -> bool {
     let Some(start) = machine.commands.unacknowledged_start() else {
         return false;
@@ -68,12 +72,12 @@
     machine.is_up()
         && !machine.connectivity.is_unresponsive()
         && !machine.connectivity.inbound_partition.is_suspected()
-        && now.since(start.since) > ACKNOWLEDGEMENT_WAIT
+        && now.since(start.since) > ACKNOWLEDGEMENT_TIMEOUT
         && start.fencing_token >= term
 }
 
-/// Whether stops or starts on this machine have yet to show an effect. Tasks that take longer to save than
-/// they were given are stopped at once.
+/// Returns whether stops or starts on this machine have yet to show an effect. Takes away the grace of tasks
+/// that have exceeded it, so that they are stopped at once.
 fn has_awaited_tasks(
     machine: &Machine,
     job_table: &mut JobTable,
--- a/crates/saltpitch-core/src/scheduler/commands.rs
+++ b/crates/saltpitch-core/src/scheduler/commands.rs
@@ -130,7 +130,7 @@
         commands.take(MAX_COMMANDS).collect()
     }
 
-    /// Returns whether the outcome of this exited attempt is on record, so that the agent may forget it.
+    /// Returns whether the records no longer depend on this exited attempt, so that the agent may forget it.
     fn is_outcome_recorded(&self, status: &TaskStatus) -> bool {
         let Some(number) = self.job_table.number_of(&status.job) else {
             return true;
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -1,8 +1,8 @@
-//! Jobs that another cell may run for this one, and jobs that this cell runs for others.
+//! Jobs that this cell delegates to another one, and jobs that it runs for others.
 //!
-//! A delegated job is in no queue: nothing is scaled out, placed or preempted for it. It becomes so by its
-//! record alone, whoever wrote it; [`Scheduler::reserve_for_delegation`] only keeps the job from being placed while
-//! that record is under way.
+//! A delegated job is in no queue: no machine is ordered and no task is placed or preempted for it. Its record
+//! alone makes a job delegated, whoever wrote the record; [`Scheduler::reserve_for_delegation`] only keeps the
+//! job from being placed while that record is being written.
 
 use std::sync::Arc;
 
@@ -13,69 +13,74 @@
 use crate::records::{JobRecord, RecordCache};
 use crate::time::Micros;
 
-/// Waiting jobs that one search for candidates considers, the oldest first.
+/// The maximum number of waiting jobs that a search considers.
 const MAX_JOBS_CONSIDERED: usize = 1_000;
-/// Machines of one group that are considered to see whether there is capacity for a job.
+/// The maximum number of machines per group that are considered to find capacity for a job.
 const MAX_MACHINES_CONSIDERED: usize = 64;
-/// This cell counts as having capacity for a delegated job only while nothing waits here for longer.
+/// The longest wait of a job of this cell's own with which the cell still counts as having capacity for a
+/// delegated job.
 const MAX_WAIT_OF_SHORT_QUEUE: Micros = Micros::from_secs(5);
 
-/// Which cell a job is with, as far as this leader knows.
+/// The cell that owns a job, as far as this leader knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum JobOwner {
-    /// This one.
+    /// This cell owns the job.
     #[default]
     Local,
-    /// This one, until a record under way says otherwise.
+    /// This cell owns the job, but the record that delegates it is being written.
     Reserved,
-    /// Another one may own it.
+    /// Another cell may own the job.
     Remote,
 }
 
-/// A waiting job that could be delegated.
+/// A waiting job that may be delegated.
 #[derive(Clone, Debug)]
 pub struct DelegationCandidate {
-    /// The job.
+    /// The job's id.
     pub id: Arc<str>,
-    /// Its description.
+    /// The job's specification.
     pub spec: Arc<JobSpec>,
-    /// When it was submitted.
+    /// When the job was submitted.
     pub submitted: Micros,
-    /// The time that its image takes to fetch here.
+    /// The time that a machine of this cell takes to fetch the job's image.
     pub fetch: Micros,
 }
 
 impl Job {
+    /// Returns whether the job may be delegated: it is active batch work of this cell's own below production
+    /// priority, none of its tasks is placed, done or deferred, and it does not seem to be at fault for
+    /// failures.
     fn may_be_delegated(&self) -> bool {
-        let batch = self.spec.kind != JobKind::Service && self.spec.priority < Priority::Production;
-        batch
+        let is_batch =
+            self.spec.kind != JobKind::Service && self.spec.priority < Priority::Production;
+        is_batch
             && self.is_active()
             && self.tasks.is_all_idle()
             && self.guest.is_none()
             && !self.is_at_fault()
     }
 
-    /// Since when it has waited here.
-    fn waits_locally_since(&self) -> Micros {
+    /// Returns since when the job has waited in this cell.
+    fn waiting_locally_since(&self) -> Micros {
         self.times.queued_at.max(self.times.last_returned_at)
     }
 }
 
 impl Scheduler {
-    /// Up to `limit` jobs that have waited here for at least `waited` and could be delegated, the oldest
-    /// first.
+    /// Returns up to `limit` jobs that have waited in this cell for at least `min_wait` and may be delegated,
+    /// the oldest first.
     pub fn delegation_candidates(
         &self,
-        waited: Micros,
+        min_wait: Micros,
         limit: usize,
         now: Micros,
     ) -> Vec<DelegationCandidate> {
         let oldest = self.job_table.active_by_age();
         let oldest = oldest.take(MAX_JOBS_CONSIDERED);
         let jobs = oldest.filter_map(|number| self.job_table.get(number));
-        let long_enough = |job: &&Job| now.since(job.waits_locally_since()) >= waited;
+        let has_waited = |job: &&Job| now.since(job.waiting_locally_since()) >= min_wait;
         jobs.filter(|job| job.may_be_delegated())
-            .filter(long_enough)
+            .filter(has_waited)
             .take(limit)
             .map(|job| DelegationCandidate {
                 id: job.id.clone(),
@@ -86,7 +91,7 @@
             .collect()
     }
 
-    /// How long the job's image takes to fetch on the types that it may use.
+    /// Returns the shortest time in which a machine type that fits the job's tasks can fetch its image.
     fn fetch_time(&self, spec: &JobSpec) -> Micros {
         let types = self.catalog.types.iter();
         let suitable = types.filter(|kind| spec.need.fits(&kind.size));
@@ -94,13 +99,14 @@
         times.min().unwrap_or_default()
     }
 
-    /// Takes a job out of the queue while its delegation is written. Returns the revision of its record;
-    /// `None` if something of it is placed, on record or on its way there.
+    /// Takes a job out of the queue while the record that delegates it is written. Returns the revision of
+    /// the job's present record, or `None` if the job can't be delegated or has a task that is placed, on
+    /// record or being written.
     pub fn reserve_for_delegation(&mut self, id: &str) -> Option<u64> {
         let number = self.job_table.number_of(id)?;
         let job = self.job_table.get(number)?;
-        let written = |task: u32| self.persistence.is_task_unsaved(number, task);
-        if !job.may_be_delegated() || (0..job.spec.tasks).any(written) {
+        let is_unsaved = |task: u32| self.persistence.is_task_unsaved(number, task);
+        if !job.may_be_delegated() || (0..job.spec.tasks).any(is_unsaved) {
             return None;
         }
         self.job_table.dequeue(number);
@@ -109,7 +115,7 @@
         Some(job.revision)
     }
 
-    /// The delegation was not written: the job goes back to the queue.
+    /// Returns a job to the queue after its delegation was not written.
     pub fn release_reservation(&mut self, id: &str, now: Micros) {
         let Some(number) = self.job_table.number_of(id) else {
             return;
@@ -124,33 +130,39 @@
         }
     }
 
-    /// Whether a job that is with another cell could begin here now: nothing else waits, its team's limit
-    /// has room, and there are machines for all of it or the cloud is not known to refuse them.
+    /// Returns whether a job that is with another cell could start here now.
+    ///
+    /// That holds if no job of this cell's own waits for long, the team's limit allows the job, and there are
+    /// machines for all of its tasks or the cloud is not known to refuse them.
     pub fn could_start_locally(&mut self, id: &str, now: Micros) -> bool {
         let job = self.job_table.find(id);
         let Some((spec, team)) = job.map(|job| (job.spec.clone(), job.team)) else {
             return false;
         };
-        let at_a_time = match spec.kind {
+        let min_tasks = match spec.kind {
             JobKind::Array => 1,
             JobKind::Gang | JobKind::Service => u64::from(spec.tasks),
         };
-        if self.queue_is_long(now) || self.quota.tasks_allowed(team, &spec.need) < at_a_time {
+        if self.is_queue_long(now) || self.quota.tasks_allowed(team, &spec.need) < min_tasks {
             return false;
         }
-        self.has_free_room(&spec) || self.cloud_may_have_room(&spec, now)
+        self.has_free_capacity(&spec) || self.cloud_may_have_capacity(&spec, now)
     }
 
-    /// Whether a job of this cell's own waits for longer than a moment.
-    fn queue_is_long(&self, now: Micros) -> bool {
-        let open = self.job_table.unplaced().iter().take(MAX_JOBS_CONSIDERED);
-        let mut jobs = open.filter_map(|number| self.job_table.get(*number));
-        let waits = |job: &Job| now.since(job.waits_locally_since()) > MAX_WAIT_OF_SHORT_QUEUE;
-        jobs.any(|job| job.is_active() && job.guest.is_none() && !job.is_at_fault() && waits(job))
+    /// Returns whether a job of this cell's own has waited for longer than [`MAX_WAIT_OF_SHORT_QUEUE`].
+    fn is_queue_long(&self, now: Micros) -> bool {
+        let unplaced = self.job_table.unplaced().iter().take(MAX_JOBS_CONSIDERED);
+        let mut jobs = unplaced.filter_map(|number| self.job_table.get(*number));
+        let has_waited =
+            |job: &Job| now.since(job.waiting_locally_since()) > MAX_WAIT_OF_SHORT_QUEUE;
+        jobs.any(|job| {
+            job.is_active() && job.guest.is_none() && !job.is_at_fault() && has_waited(job)
+        })
     }
 
-    fn has_free_room(&mut self, spec: &JobSpec) -> bool {
-        let mut room = 0;
+    /// Returns whether the machines found have free resources for all tasks of the job.
+    fn has_free_capacity(&mut self, spec: &JobSpec) -> bool {
+        let mut capacity = 0;
         for number in 0..self.inventory.groups().len() {
             let group = &mut self.inventory.groups_mut()[number];
             if !spec.allows(&group.machine_type.name, &group.zone, group.spot) {
@@ -163,13 +175,14 @@
                 .iter()
                 .filter_map(|name| self.inventory.get(name));
             let tasks = machines.map(|machine| spec.need.count_in(&machine.free()));
-            room += tasks.sum::<u64>();
+            capacity += tasks.sum::<u64>();
         }
-        room >= u64::from(spec.tasks)
+        capacity >= u64::from(spec.tasks)
     }
 
-    fn cloud_may_have_room(&self, spec: &JobSpec, now: Micros) -> bool {
-        let refused = |name: &str, zone: &str, spot: bool| {
+    /// Returns whether the cloud is not known to refuse every pool of machines that the job may use.
+    fn cloud_may_have_capacity(&self, spec: &JobSpec, now: Micros) -> bool {
+        let is_refused = |name: &str, zone: &str, spot: bool| {
             let pool = MachinePoolKey::new(name, zone, spot);
             self.autoscaler.is_refused(&pool, now)
         };
@@ -178,13 +191,14 @@
             spec.need.fits(&kind.size)
                 && kind.zones.iter().any(|zone| {
                     [true, false].into_iter().any(|spot| {
-                        spec.allows(&kind.name, zone, spot) && !refused(&kind.name, zone, spot)
+                        spec.allows(&kind.name, zone, spot) && !is_refused(&kind.name, zone, spot)
                     })
                 })
         })
     }
 
-    /// A job's record changed: it may have gone to another cell, or come back.
+    /// Updates the owner of a job whose record changed: the job may have been delegated to another cell, or
+    /// may have returned from one.
     pub(super) fn job_owner_changed(&mut self, number: JobNumber, record: &JobRecord, now: Micros) {
         let Some(job) = self.job_table.get_mut(number) else {
             return;
@@ -203,15 +217,16 @@
         }
     }
 
-    /// The host cell completed the job and its final record is written: it leaves memory.
+    /// Finishes a job that the host cell completed and whose final record is written, which removes it from
+    /// memory.
     pub(super) fn completed_by_host(
         &mut self,
         number: JobNumber,
         records: &RecordCache,
         now: Micros,
     ) {
-        let elsewhere = |job: &&Job| job.owner == JobOwner::Remote;
-        let Some(job) = self.job_table.get(number).filter(elsewhere) else {
+        let is_remote = |job: &&Job| job.owner == JobOwner::Remote;
+        let Some(job) = self.job_table.get(number).filter(is_remote) else {
             return;
         };
         let record = records.jobs.get(&*job.id).map(|entry| &entry.record);
@@ -220,16 +235,18 @@
         }
     }
 
-    /// Whether a job may use this machine as far as guests go. A guest for which nothing may be ordered
-    /// keeps no machine either: it goes only where work of this cell's own is.
+    /// Returns whether the rules for guests allow the job on this machine.
+    ///
+    /// A guest for which no machine may be rented must not keep a machine in use either, so it is placed only
+    /// on machines that have tasks of this cell's own.
     pub(super) fn admits_guest(&self, job: &Job, machine: &Machine) -> bool {
         let Some(guest) = &job.guest else {
             return true;
         };
-        let own = |number: JobNumber| {
+        let is_own = |number: JobNumber| {
             let job = self.job_table.get(number);
             job.is_some_and(|job| job.guest.is_none())
         };
-        guest.may_rent || machine.allocations.iter().any(|(number, _)| own(number))
+        guest.may_rent || machine.allocations.iter().any(|(number, _)| is_own(number))
     }
 }
--- a/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
+++ b/crates/saltpitch-core/src/scheduler/graceful_eviction.rs
@@ -1,4 +1,4 @@
-//! Emptying a machine that is to be taken away or returned, and stopping whole gangs.
+//! Graceful eviction of the tasks of a machine that is about to be lost, cordons, and stops of whole gangs.
 
 use std::sync::Arc;
 
@@ -7,32 +7,33 @@
 use crate::job::{JobKind, JobNumber};
 use crate::time::Micros;
 
-/// Beyond the time that saving takes.
+/// Added to the time that a task takes to save its progress.
 const SAVE_MARGIN: Micros = Micros::from_secs(2);
 
-/// What is done with a task of a machine that is to be taken away.
+/// The action for a task of a machine that is about to be lost.
 enum Eviction {
-    /// It is stopped with this time to save.
+    /// Stop the task with this grace.
     Stop(Micros),
-    /// Its whole gang is stopped with this time to save.
+    /// Stop the task's whole gang with this grace.
     StopGang(Micros),
-    /// It runs on: it can't save, and may complete in time.
+    /// Let the task run: it can't save its progress, and may complete in time.
     RunOn,
 }
 
 impl Scheduler {
-    /// The cloud takes the machine away: whatever can be saved is saved.
+    /// Evicts the tasks of a spot machine before the cloud reclaims it.
     pub(super) fn evict_gracefully(&mut self, name: &Arc<str>, now: Micros) {
         let Some(machine) = self.inventory.get(name) else {
             return;
         };
         let notice = machine.lifecycle.spot_notice();
-        let left = notice.map_or(Micros::ZERO, |at| at.since(now));
-        self.evict_within(name, left, now);
+        let time_left = notice.map_or(Micros::ZERO, |at| at.since(now));
+        self.evict_within(name, time_left, now);
     }
 
-    /// Whatever can be saved in the time that is left is stopped and saved, and so is what loses nothing.
-    pub(super) fn evict_within(&mut self, name: &Arc<str>, left: Micros, now: Micros) {
+    /// Evicts the tasks of a machine that can save their progress within `time_left`, and those that lose
+    /// nothing when they are stopped.
+    pub(super) fn evict_within(&mut self, name: &Arc<str>, time_left: Micros, now: Micros) {
         let Some(machine) = self.inventory.get(name) else {
             return;
         };
@@ -40,7 +41,7 @@
             let Some(job) = self.job_table.get(number) else {
                 continue;
             };
-            match eviction(job, task, left) {
+            match choose_eviction(job, task, time_left) {
                 Eviction::Stop(grace) => self.stop(number, task, grace, now),
                 Eviction::StopGang(grace) => self.stop_whole_gang(number, grace, now),
                 Eviction::RunOn => {}
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Closes a machine to new tasks. Returns the tasks that are placed there.
+    /// Cordons a machine. Returns the tasks that are allocated to it.
     pub(super) fn cordon(&mut self, name: &Arc<str>) -> Vec<(JobNumber, u32)> {
         let Some(machine) = self.inventory.get_mut(name) else {
             return Vec::new();
@@ -59,7 +60,7 @@
         tasks
     }
 
-    /// Stops a whole gang, all members at once.
+    /// Stops all members of a gang at the same time.
     pub(super) fn stop_whole_gang(&mut self, number: JobNumber, grace: Micros, now: Micros) {
         if let Some(job) = self.job_table.get_mut(number) {
             job.gang = GangState::Stopping;
@@ -73,8 +74,8 @@
     }
 }
 
-/// What is done with a task whose machine is taken away when `left` has passed.
-fn eviction(job: &Job, task: u32, left: Micros) -> Eviction {
+/// Chooses the action for a task whose machine is lost after `time_left`.
+fn choose_eviction(job: &Job, task: u32, time_left: Micros) -> Eviction {
     let spec = &job.spec;
     let allocation = job.allocation(task);
     let has_progress = allocation.is_some_and(|allocation| {
@@ -84,9 +85,9 @@
         )
     });
     let grace = spec.save_time.plus(SAVE_MARGIN);
-    let can_save = spec.can_save() && left > grace;
+    let can_save = spec.can_save() && time_left > grace;
     let is_gang = spec.kind == JobKind::Gang;
-    // What loses nothing is stopped at once: sooner stopped is sooner elsewhere.
+    // A task that loses nothing is stopped at once, so that it is started on another machine sooner.
     let loses_nothing = !has_progress || spec.kind == JobKind::Service;
     match (is_gang, loses_nothing, can_save) {
         (true, true, _) => Eviction::StopGang(Micros::ZERO),
--- a/crates/saltpitch-core/src/scheduler/task_exits.rs
+++ b/crates/saltpitch-core/src/scheduler/task_exits.rs
@@ -1,4 +1,4 @@
-//! What follows when a task is proven to be off its machine.
+//! Processing of tasks that are proven to be off their machine.
 
 use std::sync::Arc;
 
@@ -8,19 +8,20 @@
 use crate::job::{JobKind, JobNumber};
 use crate::time::Micros;
 
-/// Run times further off the estimate than this count as this far off.
-const RUN_TIME_RATIOS: std::ops::RangeInclusive<f64> = 0.1..=10.0;
+/// The bounds to which the ratio of a task's run time to its estimate is clamped.
+const RUN_TIME_RATIO_BOUNDS: std::ops::RangeInclusive<f64> = 0.1..=10.0;
 
 /// A task that is proven to be off its machine.
 pub(super) struct EndedTask {
     pub(super) job: JobNumber,
     pub(super) task: u32,
-    /// Why it exited; `None` if it is lost.
+    /// Why the task exited, or `None` if it is lost.
     pub(super) cause: Option<ExitCause>,
 }
 
 impl Scheduler {
-    /// A task is proven to be off its machine.
+    /// Processes a task that is proven to be off its machine: applies its exit cause and releases its
+    /// allocation.
     pub(super) fn task_exited(&mut self, ended: EndedTask, machine: &Arc<str>, now: Micros) {
         let (number, task) = (ended.job, ended.task);
         let job = self.job_table.get(number);
@@ -33,7 +34,7 @@
         match ended.cause {
             Some(ExitCause::Done) => {
                 if let Some(since) = running_since {
-                    self.note_run_time(number, now.since(since));
+                    self.record_run_time_ratio(number, now.since(since));
                 }
                 self.task_completed(number, task, now);
             }
@@ -51,7 +52,7 @@
         self.finish_if_over(number);
     }
 
-    /// A task completed. The members of a gang complete together: when one is done, all of them are.
+    /// Marks a task as done. The members of a gang complete together, so if one is done, all of them are.
     fn task_completed(&mut self, number: JobNumber, task: u32, now: Micros) {
         self.task_done(number, task, now);
         let Some(job) = self.job_table.get(number) else {
@@ -64,8 +65,10 @@
         }
     }
 
-    /// A member of a gang is gone, which ends the attempt of all of them. An orderly stop keeps its grace:
-    /// the others, stopped in time, save as well.
+    /// Ends the attempt of the whole gang when a member is gone.
+    ///
+    /// If the member was stopped on request, the others keep the grace of their own stop, so that they can
+    /// save their progress too. Otherwise they are stopped at once.
     fn gang_member_exited(&mut self, number: JobNumber, was_stopped: bool, now: Micros) {
         let Some(job) = self.job_table.get_mut(number) else {
             return;
@@ -86,8 +89,8 @@
         }
     }
 
-    /// Takes in how far off its estimate a task's run time was.
-    fn note_run_time(&mut self, number: JobNumber, run_time: Micros) {
+    /// Records the ratio of a task's run time to its estimate for the job's class.
+    fn record_run_time_ratio(&mut self, number: JobNumber, run_time: Micros) {
         let Some(job) = self.job_table.get(number) else {
             return;
         };
@@ -95,13 +98,13 @@
             return;
         }
         let ratio = run_time.0 as f64 / job.spec.estimate.0 as f64;
-        let ratio = ratio.clamp(*RUN_TIME_RATIOS.start(), *RUN_TIME_RATIOS.end());
+        let ratio = ratio.clamp(*RUN_TIME_RATIO_BOUNDS.start(), *RUN_TIME_RATIO_BOUNDS.end());
         let class = job.class;
         self.job_table.classes.note_run_time(class, ratio);
     }
 
-    /// Every task on this machine is proven gone.
-    pub(super) fn release_all(&mut self, name: &Arc<str>, now: Micros) {
+    /// Releases all tasks of a machine on which they are proven to be gone.
+    pub(super) fn release_all_tasks(&mut self, name: &Arc<str>, now: Micros) {
         let Some(machine) = self.inventory.get(name) else {
             return;
         };
--- a/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
@@ -1,7 +1,8 @@
-//! Which unresponsive machines are returned to the cloud.
+//! The decision which unresponsive machines are returned to the cloud.
 //!
-//! Returning a machine fences its agent sooner than the end of its lease does. Many that are unresponsive
-//! at once look like a partition, and so does a zone from which nobody is heard: then the lease decides.
+//! The return of a machine fences its agent sooner than the expiry of the agent's lease does. If many machines
+//! are unresponsive at once, or no agent of a zone is heard, a partition is the likely cause: then the
+//! machines are not returned, and their tasks are released when the leases expire.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,25 +12,28 @@
 use crate::machine::Machine;
 use crate::time::Micros;
 
-/// If nobody was heard for so many heartbeat intervals, it is this controller that is cut off.
-const NOBODY_HEARD_INTERVALS: f64 = 2.5;
-/// So many unresponsive machines are believed for each that was heard.
-const UNRESPONSIVE_PER_HEARD: usize = 4;
+/// Heartbeat intervals without a message from any agent after which this controller counts as partitioned.
+const NO_AGENT_HEARD_INTERVALS: f64 = 2.5;
+/// The maximum number of unresponsive machines per heard machine at which they count as failed rather than
+/// partitioned.
+const MAX_UNRESPONSIVE_PER_HEARD: usize = 4;
 
-/// A span of time after `after`, up to and including `until`.
+/// The time span from `after`, excluded, to `until`, included.
 #[derive(Clone, Copy)]
 struct Span {
     after: Micros,
     until: Micros,
 }
 
-/// When each machine that receives this leader's answers was last heard, by zone and in order.
-struct LastHeard {
+/// When each machine that is up was last heard, by zone and in ascending order. Machines that don't seem to
+/// receive this leader's answers are left out.
+struct LastHeardTimes {
     by_zone: HashMap<Arc<str>, Vec<Micros>>,
 }
 
-impl LastHeard {
-    fn new<'a>(machines: impl Iterator<Item = &'a Machine>) -> LastHeard {
+impl LastHeardTimes {
+    /// Collects the times of these machines.
+    fn new<'a>(machines: impl Iterator<Item = &'a Machine>) -> LastHeardTimes {
         let mut by_zone: HashMap<Arc<str>, Vec<Micros>> = HashMap::new();
         for machine in machines {
             if machine.is_up() && !machine.connectivity.inbound_partition.is_suspected() {
@@ -40,61 +44,67 @@
         for times in by_zone.values_mut() {
             times.sort_unstable();
         }
-        LastHeard { by_zone }
+        LastHeardTimes { by_zone }
     }
 
-    /// How many machines there are.
+    /// Returns the number of machines.
     fn len(&self) -> usize {
         self.by_zone.values().map(Vec::len).sum()
     }
 
-    /// How many machines of the zone were last heard within the span.
-    fn in_zone(&self, zone: &str, span: Span) -> usize {
+    /// Returns the number of machines of the zone that were last heard within the span.
+    fn count_in_zone(&self, zone: &str, span: Span) -> usize {
         let times = self.by_zone.get(zone);
         times.map_or(0, |times| count_within(times, span))
     }
 
-    /// How many machines were last heard within the span.
-    fn anywhere(&self, span: Span) -> usize {
+    /// Returns the number of machines in all zones that were last heard within the span.
+    fn count_in_all_zones(&self, span: Span) -> usize {
         let zones = self.by_zone.values();
         zones.map(|times| count_within(times, span)).sum()
     }
 }
 
+/// Returns how many of the sorted times lie within the span.
 fn count_within(times: &[Micros], span: Span) -> usize {
     let up_to = |end: Micros| times.partition_point(|at| *at <= end);
     up_to(span.until).saturating_sub(up_to(span.after))
 }
 
-/// Unresponsive machines by zone, and by whether the cloud may take them back.
+/// The numbers of unresponsive machines, by zone and by whether they are spot machines.
 type UnresponsiveCounts = HashMap<(Arc<str>, bool), usize>;
 
 impl Scheduler {
-    /// Returns those of the unresponsive machines that seem to have failed for themselves.
+    /// Returns to the cloud those of the unresponsive machines that seem to have failed on their own, rather
+    /// than to be unresponsive because of a partition.
     pub(super) fn return_unresponsive(&mut self, unresponsive: &[Arc<str>], now: Micros) {
-        let nobody_heard = self.config.heartbeat_interval.times(NOBODY_HEARD_INTERVALS);
-        if unresponsive.is_empty() || now.since(self.inventory.last_contact()) > nobody_heard {
+        let max_silence = self
+            .config
+            .heartbeat_interval
+            .times(NO_AGENT_HEARD_INTERVALS);
+        if unresponsive.is_empty() || now.since(self.inventory.last_contact()) > max_silence {
             return;
         }
         self.steps += self.inventory.len() as u64;
-        let last_heard = LastHeard::new(self.inventory.iter());
+        let last_heard = LastHeardTimes::new(self.inventory.iter());
         let counts = self.count_unresponsive(unresponsive);
         for name in unresponsive {
             let Some(machine) = self.inventory.get(name) else {
                 continue;
             };
-            let span = self.proving_span(machine, now);
-            let is_returned = if machine.spot {
-                self.spot_machine_failed(machine, &last_heard, span, unresponsive.len())
+            let span = self.evidence_span(machine, now);
+            let has_failed = if machine.spot {
+                self.has_spot_machine_failed(machine, &last_heard, span, unresponsive.len())
             } else {
-                self.machine_failed(machine, &last_heard, span, &counts)
+                self.has_ordinary_machine_failed(machine, &last_heard, span, &counts)
             };
-            if is_returned {
+            if has_failed {
                 self.scale_in(name, now);
             }
         }
     }
 
+    /// Counts the unresponsive machines by zone and by whether they are spot machines.
     fn count_unresponsive(&self, unresponsive: &[Arc<str>]) -> UnresponsiveCounts {
         let mut counts = UnresponsiveCounts::new();
         let machines = unresponsive.iter();
@@ -105,13 +115,15 @@
         counts
     }
 
-    /// When others have to have been heard to prove that this machine failed for itself.
+    /// Returns the time span within which another machine must have been heard to prove that this machine
+    /// failed on its own.
     ///
-    /// What was heard before this machine should have sent a heartbeat says nothing of a partition that
-    /// began in between, and its last probe proves something only if somebody had been heard by then: whole
-    /// zones, or this controller, may just have been cut off or be coming back. Where the machine is heard
-    /// and does not receive answers, others of its zone that do receive them prove enough.
-    fn proving_span(&self, machine: &Machine, now: Micros) -> Span {
+    /// A machine that was heard before this one's next heartbeat was due proves nothing about a partition
+    /// that began in between. The last failed probe proves something only if another machine was heard by
+    /// the time it was sent: a whole zone, or this controller, may just have been partitioned, or its
+    /// partition may just be ending. If this machine is heard but receives no answers, it is enough that
+    /// others of its zone do receive them since.
+    fn evidence_span(&self, machine: &Machine, now: Micros) -> Span {
         let interval = self.config.heartbeat_interval;
         let connectivity = &machine.connectivity;
         let wait = interval.times(TWO_MISSED_HEARTBEATS_INTERVALS);
@@ -129,39 +141,41 @@
         }
     }
 
-    /// Spot machines are taken back by the cloud many at a time.
-    fn spot_machine_failed(
+    /// Returns whether a spot machine seems to have failed on its own. The cloud reclaims spot machines many
+    /// at a time, so one heard machine of the zone is enough evidence.
+    fn has_spot_machine_failed(
         &self,
         machine: &Machine,
-        last_heard: &LastHeard,
+        last_heard: &LastHeardTimes,
         span: Span,
-        unresponsive: usize,
+        unresponsive_count: usize,
     ) -> bool {
         let is_reachable = self.is_zone_reachable(machine);
-        let heard_anywhere = last_heard.anywhere(span);
-        last_heard.in_zone(&machine.zone, span) > 0
-            || (is_reachable && heard_anywhere * UNRESPONSIVE_PER_HEARD >= unresponsive)
+        let heard_count = last_heard.count_in_all_zones(span);
+        last_heard.count_in_zone(&machine.zone, span) > 0
+            || (is_reachable && heard_count * MAX_UNRESPONSIVE_PER_HEARD >= unresponsive_count)
     }
 
-    /// Ordinary machines fail one by one.
-    fn machine_failed(
+    /// Returns whether an ordinary machine seems to have failed on its own. Ordinary machines fail one by
+    /// one, so the more of them are unresponsive in a zone, the more machines must have been heard there.
+    fn has_ordinary_machine_failed(
         &self,
         machine: &Machine,
-        last_heard: &LastHeard,
+        last_heard: &LastHeardTimes,
         span: Span,
         counts: &UnresponsiveCounts,
     ) -> bool {
         let key = (machine.zone.clone(), machine.spot);
-        let unresponsive_alike = counts.get(&key).copied().unwrap_or(0);
-        let heard_in_zone = last_heard.in_zone(&machine.zone, span);
-        let zone_is_heard =
-            heard_in_zone > 0 && heard_in_zone * UNRESPONSIVE_PER_HEARD >= unresponsive_alike;
-        let others_are_heard = last_heard.anywhere(span) > 0 || last_heard.len() <= 1;
-        let is_single = unresponsive_alike <= 1 && others_are_heard;
-        zone_is_heard || (self.is_zone_reachable(machine) && is_single)
+        let unresponsive_in_zone = counts.get(&key).copied().unwrap_or(0);
+        let heard_in_zone = last_heard.count_in_zone(&machine.zone, span);
+        let is_zone_heard =
+            heard_in_zone > 0 && heard_in_zone * MAX_UNRESPONSIVE_PER_HEARD >= unresponsive_in_zone;
+        let are_others_heard = last_heard.count_in_all_zones(span) > 0 || last_heard.len() <= 1;
+        let is_only_one = unresponsive_in_zone <= 1 && are_others_heard;
+        is_zone_heard || (self.is_zone_reachable(machine) && is_only_one)
     }
 
-    /// Whether a controller in the machine's zone can be reached from here.
+    /// Returns whether this leader can reach a controller in the machine's zone.
     fn is_zone_reachable(&self, machine: &Machine) -> bool {
         self.inventory.reachable_zones().contains(&*machine.zone)
     }
