--- a/crates/saltpitch-core/src/agent.rs
+++ b/crates/saltpitch-core/src/agent.rs
@@ -31,7 +31,7 @@
 /// The state of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// The task's image is being fetched.
+    /// The task waits for its image.
     Fetching,
     /// The task waits for the other members of its gang.
     Waiting,
