--- a/crates/saltpitch-cells/src/host.rs
+++ b/crates/saltpitch-cells/src/host.rs
@@ -11,7 +11,7 @@
 
 use crate::ids;
 use crate::link::{HostStatus, Submission};
-use crate::settings::GuestSettings;
+use crate::settings::HostingSettings;
 
 /// How soon a peer cell may ask again when there is no room.
 const RETRY_AFTER: Micros = Micros::from_secs(5);
@@ -86,7 +86,7 @@
     }
 
     /// Whether the peer cell may send a job now.
-    pub fn has_room(&self, settings: &GuestSettings) -> bool {
+    pub fn has_room(&self, settings: &HostingSettings) -> bool {
         self.jobs < settings.max_jobs
             && self.tasks < settings.max_tasks
             && self.waiting < settings.max_waiting
@@ -108,7 +108,7 @@
     /// The peer cell.
     pub cell: String,
     /// On what terms its jobs are taken.
-    pub settings: GuestSettings,
+    pub settings: HostingSettings,
 }
 
 impl HostAdmission {
--- a/crates/saltpitch-cells/src/settings.rs
+++ b/crates/saltpitch-cells/src/settings.rs
@@ -54,7 +54,7 @@
 
 /// What a controller's own settings say that the file has to agree with.
 #[derive(Clone, Debug)]
-pub struct Site<'a> {
+pub struct ControllerContext<'a> {
     /// This controller's name.
     pub node: &'a str,
     /// The addresses that it listens on already, with the names of their fields.
@@ -76,13 +76,13 @@
     pub cell: String,
     /// The cells that work is lent to or taken from.
     #[garde(length(min = 1, max = 16), dive)]
-    pub neighbour: Vec<NeighbourSettings>,
+    pub neighbour: Vec<PeerCellSettings>,
 }
 
 /// One other cell.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct NeighbourSettings {
+pub struct PeerCellSettings {
     /// Its name.
     #[garde(custom(cell_name))]
     pub name: String,
@@ -93,7 +93,7 @@
     /// Whether and how work is taken from it.
     #[serde(default)]
     #[garde(dive)]
-    pub guests: Option<GuestSettings>,
+    pub guests: Option<HostingSettings>,
 }
 
 /// How work is lent to a peer cell.
@@ -144,7 +144,7 @@
 /// How work is taken from a peer cell.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct GuestSettings {
+pub struct HostingSettings {
     /// Where each controller listens for the peer cell, by the controller's name.
     #[garde(length(min = 1, max = 100))]
     pub listen: BTreeMap<String, SocketAddr>,
@@ -238,19 +238,22 @@
 
 impl CellsSettings {
     /// Reads and checks the file.
-    pub fn parse(text: &str, site: &Site<'_>) -> Result<CellsSettings, SettingsError> {
+    pub fn parse(
+        text: &str,
+        context: &ControllerContext<'_>,
+    ) -> Result<CellsSettings, SettingsError> {
         let settings: CellsSettings =
             toml::from_str(text).map_err(|error| SettingsError::unreadable(text, &error))?;
         settings.check_ranges()?;
         settings.check_names()?;
-        settings.check_teams(site)?;
-        settings.check_addresses(site)?;
-        settings.check_transaction(site)?;
+        settings.check_teams(context)?;
+        settings.check_addresses(context)?;
+        settings.check_transaction(context)?;
         Ok(settings)
     }
 
     /// The peer cell of this name.
-    pub fn neighbour(&self, name: &str) -> Option<&NeighbourSettings> {
+    pub fn peer_cell(&self, name: &str) -> Option<&PeerCellSettings> {
         self.neighbour.iter().find(|other| other.name == name)
     }
 
@@ -285,13 +288,13 @@
         Ok(())
     }
 
-    fn check_teams(&self, site: &Site<'_>) -> Result<(), SettingsError> {
+    fn check_teams(&self, context: &ControllerContext<'_>) -> Result<(), SettingsError> {
         for (at, neighbour) in self.neighbour.iter().enumerate() {
             let Some(guests) = &neighbour.guests else {
                 continue;
             };
             let field = format!("neighbour[{at}].guests.team");
-            let team = site.teams.iter().find(|team| team.name == guests.team);
+            let team = context.teams.iter().find(|team| team.name == guests.team);
             let Some(team) = team else {
                 let reason = format!("names {}, which is no team of this cell", guests.team);
                 return Err(SettingsError::field(field, reason));
@@ -304,9 +307,9 @@
         Ok(())
     }
 
-    fn check_addresses(&self, site: &Site<'_>) -> Result<(), SettingsError> {
+    fn check_addresses(&self, context: &ControllerContext<'_>) -> Result<(), SettingsError> {
         let mut taken: BTreeMap<SocketAddr, String> = BTreeMap::new();
-        for (field, address) in site.listens {
+        for (field, address) in context.listens {
             taken.insert(*address, (*field).to_owned());
         }
         for (at, neighbour) in self.neighbour.iter().enumerate() {
@@ -320,9 +323,9 @@
                     return Err(SettingsError::field(field, reason));
                 }
             }
-            if !guests.listen.contains_key(site.node) {
+            if !guests.listen.contains_key(context.node) {
                 let field = format!("neighbour[{at}].guests.listen");
-                let reason = format!("has no address for this controller, {}", site.node);
+                let reason = format!("has no address for this controller, {}", context.node);
                 return Err(SettingsError::field(field, reason));
             }
         }
@@ -348,10 +351,10 @@
     }
 
     /// A delegation is committed on condition of the term, the job and all announcements.
-    fn check_transaction(&self, site: &Site<'_>) -> Result<(), SettingsError> {
+    fn check_transaction(&self, context: &ControllerContext<'_>) -> Result<(), SettingsError> {
         let delegating = self.neighbour.iter().any(|other| other.lend.is_some());
-        let needed = site.controllers + 2;
-        let allowed = site.max_transaction_writes.saturating_mul(4);
+        let needed = context.controllers + 2;
+        let allowed = context.max_transaction_writes.saturating_mul(4);
         if delegating && needed > allowed {
             let reason = format!(
                 "needs transactions with {needed} conditions, and `cluster.state.txn_ops` allows {allowed}"
--- a/crates/saltpitch-cells/tests/host_admission.rs
+++ b/crates/saltpitch-cells/tests/host_admission.rs
@@ -5,7 +5,7 @@
 
 use saltpitch_cells::host::{Admission, GuestError, HostAdmission, HostSite};
 use saltpitch_cells::link::{HostStatus, Submission};
-use saltpitch_cells::settings::GuestSettings;
+use saltpitch_cells::settings::HostingSettings;
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
 use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::quota::TeamLimits;
@@ -18,7 +18,7 @@
 fn door() -> HostAdmission {
     HostAdmission {
         cell: "north".to_owned(),
-        settings: GuestSettings {
+        settings: HostingSettings {
             listen: BTreeMap::new(),
             team: "guests".to_owned(),
             may_rent: false,
--- a/crates/saltpitch-cells/tests/settings.rs
+++ b/crates/saltpitch-cells/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use saltpitch_cells::settings::{CellsSettings, Site};
+use saltpitch_cells::settings::{CellsSettings, ControllerContext};
 use saltpitch_core::quota::TeamLimits;
 
 const EXAMPLE: &str = include_str!("../../../deploy/cells.toml");
@@ -24,14 +24,14 @@
     max_transaction_writes: usize,
 ) -> Result<CellsSettings, String> {
     let api: SocketAddr = "127.0.0.1:8080".parse().expect("an address");
-    let site = Site {
+    let context = ControllerContext {
         node: "north",
         listens: &[("api_addr", api)],
         teams: &[team("guests", 0), team("harbour", 8_000)],
         controllers,
         max_transaction_writes,
     };
-    CellsSettings::parse(text, &site).map_err(|error| error.to_string())
+    CellsSettings::parse(text, &context).map_err(|error| error.to_string())
 }
 
 fn parse(text: &str) -> Result<CellsSettings, String> {
@@ -42,9 +42,9 @@
 fn the_example_is_valid() {
     let settings = parse(EXAMPLE).expect("valid");
     assert_eq!(settings.cell, "north");
-    let neighbour = settings.neighbour("south").expect("named");
+    let neighbour = settings.peer_cell("south").expect("named");
     assert!(neighbour.lend.is_some() && neighbour.guests.is_some());
-    assert!(settings.neighbour("north").is_none());
+    assert!(settings.peer_cell("north").is_none());
 }
 
 #[test]
--- a/crates/saltpitch-testkit/src/cells.rs
+++ b/crates/saltpitch-testkit/src/cells.rs
@@ -16,7 +16,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use saltpitch_cells::host::HostAdmission;
-use saltpitch_cells::settings::{CellsSettings, Site};
+use saltpitch_cells::settings::{CellsSettings, ControllerContext};
 use saltpitch_core::quota::TeamLimits;
 use saltpitch_core::Micros;
 
@@ -89,14 +89,14 @@
         for node in &mut simulation.nodes {
             node.knows_delegations = true;
         }
-        let site = Site {
+        let context = ControllerContext {
             node: SITE[0].0,
             listens: &[],
             teams: &simulation.teams,
             controllers: SITE.len(),
             max_transaction_writes: 8,
         };
-        let settings = CellsSettings::parse(&settings::file(cell), &site).expect("a valid file");
+        let settings = CellsSettings::parse(&settings::file(cell), &context).expect("a valid file");
         let guests = settings.neighbour[0].guests.clone();
         let admission = HostAdmission {
             cell: NAMES[1 - cell].to_owned(),
--- a/crates/saltpitch/src/cells/mod.rs
+++ b/crates/saltpitch/src/cells/mod.rs
@@ -13,7 +13,7 @@
 
 use anyhow::Result;
 use saltpitch_cells::host::HostAdmission;
-use saltpitch_cells::settings::NeighbourSettings;
+use saltpitch_cells::settings::PeerCellSettings;
 
 use crate::node::Node;
 
@@ -33,7 +33,7 @@
 }
 
 /// How jobs of a peer cell are admitted, if this cell takes any.
-fn host_admission(neighbour: &NeighbourSettings) -> Option<HostAdmission> {
+fn host_admission(neighbour: &PeerCellSettings) -> Option<HostAdmission> {
     let settings = neighbour.guests.clone()?;
     Some(HostAdmission {
         cell: neighbour.name.clone(),
--- a/crates/saltpitch/src/settings.rs
+++ b/crates/saltpitch/src/settings.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use saltpitch_cells::settings::{CellsSettings, Site};
+use saltpitch_cells::settings::{CellsSettings, ControllerContext};
 use saltpitch_core::controller::{ControllerConfig, PeerIdentity};
 use saltpitch_core::policy::Policy;
 use saltpitch_core::quota::TeamLimits;
@@ -155,14 +155,14 @@
 
     fn load_cells(&self, path: &Path) -> Result<CellsSettings, SettingsError> {
         let text = read("cells", path)?;
-        let site = Site {
+        let context = ControllerContext {
             node: &self.node,
             listens: &[("api_addr", self.api_addr), ("peer_bind", self.peer_bind)],
             teams: &self.teams,
             controllers: self.controllers,
             max_transaction_writes: self.store.max_transaction_writes,
         };
-        Ok(CellsSettings::parse(&text, &site)?)
+        Ok(CellsSettings::parse(&text, &context)?)
     }
 
     /// Reads the platform's settings. Fields are checked in a fixed order; the error names the first
