--- a/crates/saltpitch-cells/src/host.rs
+++ b/crates/saltpitch-cells/src/host.rs
@@ -113,8 +113,8 @@
 
 impl HostAdmission {
     /// The id under which the records hold what the peer cell sent as `sent`.
-    pub fn guest_id(&self, sent: &str) -> String {
-        ids::guest_id(&self.cell, sent)
+    pub fn hosted_job_id(&self, sent: &str) -> String {
+        ids::hosted_job_id(&self.cell, sent)
     }
 
     /// Whether the peer cell may send a job now.
@@ -124,7 +124,7 @@
 
     /// A job's status, `None` if it is not known. A cell's answers are as new as `records`.
     pub fn status(&self, records: &RecordCache, sent: &str) -> Option<HostStatus> {
-        let id = self.guest_id(sent);
+        let id = self.hosted_job_id(sent);
         let (running, done) = records.task_counts(&id);
         Some(match records.job_state(&id)? {
             JobState::Done => HostStatus::Done,
--- a/crates/saltpitch-cells/tests/host_admission.rs
+++ b/crates/saltpitch-cells/tests/host_admission.rs
@@ -149,7 +149,7 @@
     let mut records = RecordCache::default();
     for id in ["job-1000001", "job-2000001"] {
         let record = created(&records, &submission(id, 2));
-        put(&mut records, &door().guest_id(id), &record);
+        put(&mut records, &door().hosted_job_id(id), &record);
     }
     // Two wait with nothing placed: no room to spare.
     let refused = admit(&records, &submission("job-3000001", 2)).expect_err("full");
@@ -163,7 +163,7 @@
     // What is over takes nothing, and is answered for ever.
     put(
         &mut records,
-        &door().guest_id("job-1000001"),
+        &door().hosted_job_id("job-1000001"),
         &JobRecord::final_record(JobState::Done, None),
     );
     assert!(door().has_room(&records));
@@ -185,12 +185,12 @@
         (record.state, record.spec.is_none()),
         (JobState::Cancelled, true)
     );
-    put(&mut records, &door().guest_id("job-1000001"), &record);
+    put(&mut records, &door().hosted_job_id("job-1000001"), &record);
     let late = admit(&records, &submission("job-1000001", 2));
     assert_eq!(late, Ok(Admission::Known(HostStatus::Withdrawn)));
     // It closes nothing that the host has.
     let taken = created(&records, &submission("job-2000001", 2));
-    put(&mut records, &door().guest_id("job-2000001"), &taken);
+    put(&mut records, &door().hosted_job_id("job-2000001"), &taken);
     let closing = Submission {
         closing: true,
         ..submission("job-2000001", 2)
@@ -207,7 +207,7 @@
 fn a_recall_does_not_stop_what_has_begun() {
     let mut records = RecordCache::default();
     let record = created(&records, &submission("job-1000001", 2));
-    let id = door().guest_id("job-1000001");
+    let id = door().hosted_job_id("job-1000001");
     put(&mut records, &id, &record);
     assert!(door().cancels(&records, "job-1000001", true));
     let placed = SegmentRecord {
--- a/crates/saltpitch-cells/tests/steps.rs
+++ b/crates/saltpitch-cells/tests/steps.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use saltpitch_cells::ids::{guest_id, home_id, sent_id};
+use saltpitch_cells::ids::{hosted_job_id, origin_job_id, sent_id};
 use saltpitch_cells::link::{HostStatus, LinkRequest};
 use saltpitch_cells::origin::link_request;
 use saltpitch_cells::origin::step::{
@@ -161,8 +161,8 @@
         Some("job-000412000003")
     );
     assert_ne!(sent_id("job-1", 11), sent_id("job-10", 1));
-    assert_eq!(home_id("job-000412000003"), Some("job-000412"));
-    assert_eq!(guest_id("north", "job-1000001"), "north.job-1000001");
+    assert_eq!(origin_job_id("job-000412000003"), Some("job-000412"));
+    assert_eq!(hosted_job_id("north", "job-1000001"), "north.job-1000001");
     // What would be no id that a cell accepts is not lent.
     assert!(sent_id(&format!("job-{}", "1".repeat(34)), 1).is_some());
     for (job, number) in [
@@ -174,7 +174,7 @@
         assert_eq!(sent_id(job, number), None, "{job}");
     }
     assert_eq!(sent_id(&format!("job-{}", "1".repeat(35)), 1), None);
-    assert_eq!(home_id("job-000001"), None);
+    assert_eq!(origin_job_id("job-000001"), None);
 }
 
 fn record() -> JobRecord {
--- a/crates/saltpitch-testkit/src/cells/history.rs
+++ b/crates/saltpitch-testkit/src/cells/history.rs
@@ -41,7 +41,7 @@
         .range(prefix.clone()..);
     let ids = jobs.map(|(id, _)| id);
     for id in ids.take_while(|id| id.starts_with(&prefix)) {
-        if let Some(job) = ids::home_id(&id[prefix.len()..]) {
+        if let Some(job) = ids::origin_job_id(&id[prefix.len()..]) {
             delegated_ids
                 .entry(job.to_owned())
                 .or_default()
--- a/crates/saltpitch-testkit/src/cells/host.rs
+++ b/crates/saltpitch-testkit/src/cells/host.rs
@@ -61,7 +61,7 @@
             }
             Ok(Admission::Create(record)) => record,
         };
-        let id = self.admission.guest_id(&submission.id);
+        let id = self.admission.hosted_job_id(&submission.id);
         if record.spec.is_some() {
             simulation.submit_record(&id, record);
         } else {
@@ -84,7 +84,7 @@
     }
 
     fn abort(&mut self, node: usize, sent: &str, unless_begun: bool) -> LinkAnswer {
-        let id = self.admission.guest_id(sent);
+        let id = self.admission.hosted_job_id(sent);
         let records = self.simulation.nodes[node].records();
         if self.admission.cancels(records, sent, unless_begun) {
             self.simulation.cancel_by(node, &id);
--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clap::Subcommand;
-use saltpitch_cells::ids::{sent_id, MAX_NUMBER};
+use saltpitch_cells::ids::{sent_id, MAX_DELEGATION_NUMBER};
 use saltpitch_core::job::JobState;
 use saltpitch_core::records::{job_key, Delegation, DelegationState, JobRecord, RecordCache};
 use saltpitch_core::scheduler::{Precondition, Transaction, TransactionOutcome, Write};
@@ -229,7 +229,7 @@
     if delegation.state == DelegationState::Damaged {
         // Its number is not known: none may be used again.
         delegation.cell = "unknown".to_owned();
-        delegation.number = MAX_NUMBER;
+        delegation.number = MAX_DELEGATION_NUMBER;
     }
     delegation.state = DelegationState::Returned;
     let mut record = record.clone();
--- a/crates/saltpitch/src/cells/command/tests.rs
+++ b/crates/saltpitch/src/cells/command/tests.rs
@@ -54,7 +54,7 @@
     assert_eq!(delegation.state, DelegationState::Returned);
     assert_eq!(
         (&*delegation.cell, delegation.number),
-        ("unknown", MAX_NUMBER)
+        ("unknown", MAX_DELEGATION_NUMBER)
     );
 }
 
--- a/crates/saltpitch/src/cells/listener.rs
+++ b/crates/saltpitch/src/cells/listener.rs
@@ -146,7 +146,7 @@
         } else {
             HostStatus::Pending
         };
-        let key = job_key(&self.admission.guest_id(sent_id));
+        let key = job_key(&self.admission.hosted_job_id(sent_id));
         let value = serde_json::to_string(&record).map_err(|_| Unavailable)?;
         if value.len() > self.node.settings.store.max_value_bytes {
             let reason = "the description is too long";
@@ -184,7 +184,7 @@
             return Ok(refusal(StatusCode::NOT_FOUND, "no such job"));
         };
         let (running, done) = {
-            let id = self.admission.guest_id(sent_id);
+            let id = self.admission.hosted_job_id(sent_id);
             self.node.controller().records().task_counts(&id)
         };
         let body = encode_progress(sent_id, status.into(), done, running);
@@ -193,7 +193,7 @@
 
     async fn cancel(&self, sent_id: &str, body: &[u8]) -> Result<Response, Unavailable> {
         let unless_begun = decode_unless_begun(body);
-        let id = self.admission.guest_id(sent_id);
+        let id = self.admission.hosted_job_id(sent_id);
         for _ in 0..CANCEL_ATTEMPTS {
             let Some(status) = self.status(sent_id).await? else {
                 return Ok(refusal(StatusCode::NOT_FOUND, "no such job"));
--- a/crates/saltpitch/tests/end_to_end/site/mod.rs
+++ b/crates/saltpitch/tests/end_to_end/site/mod.rs
@@ -111,7 +111,7 @@
 /// The id of a job at the cell where it was submitted.
 pub fn origin_id(id: &str) -> &str {
     let sent = id.split_once('.').map(|(_, sent)| sent);
-    let origin = sent.and_then(saltpitch_cells::ids::home_id);
+    let origin = sent.and_then(saltpitch_cells::ids::origin_job_id);
     origin.unwrap_or(id)
 }
 
