--- a/crates/saltpitch-cells/src/host.rs
+++ b/crates/saltpitch-cells/src/host.rs
@@ -18,7 +18,7 @@
 
 /// Why a peer cell's job is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum GuestError {
+pub enum AdmissionError {
     /// Services stay where they are.
     #[error("services are not taken from other cells")]
     Service,
@@ -36,16 +36,16 @@
     NoRoom,
 }
 
-impl GuestError {
+impl AdmissionError {
     /// When to come back; `None`: the answer will not change.
     pub fn retry_after(&self) -> Option<Micros> {
-        (*self == GuestError::NoRoom).then_some(RETRY_AFTER)
+        (*self == AdmissionError::NoRoom).then_some(RETRY_AFTER)
     }
 
     /// The HTTP status that says so.
     pub fn status(&self) -> u16 {
         match self {
-            GuestError::NoRoom => 429,
+            AdmissionError::NoRoom => 429,
             _ => 422,
         }
     }
@@ -53,7 +53,7 @@
 
 /// What a peer cell's jobs take of this cell at present.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct GuestLoad {
+pub struct HostedLoad {
     /// Active jobs.
     pub jobs: usize,
     /// Their tasks.
@@ -62,10 +62,10 @@
     pub waiting: usize,
 }
 
-impl GuestLoad {
+impl HostedLoad {
     /// What `cell`'s jobs take according to the records.
-    pub fn of(records: &RecordCache, cell: &str) -> GuestLoad {
-        let mut load = GuestLoad::default();
+    pub fn from_records(records: &RecordCache, cell: &str) -> HostedLoad {
+        let mut load = HostedLoad::default();
         for id in records.guest_jobs() {
             let Some(record) = records.jobs.get(id).map(|entry| &entry.record) else {
                 continue;
@@ -119,7 +119,7 @@
 
     /// Whether the peer cell may send a job now.
     pub fn has_room(&self, records: &RecordCache) -> bool {
-        GuestLoad::of(records, &self.cell).has_room(&self.settings)
+        HostedLoad::from_records(records, &self.cell).has_room(&self.settings)
     }
 
     /// A job's status, `None` if it is not known. A cell's answers are as new as `records`.
@@ -136,7 +136,7 @@
 
     /// Whether a job is to be cancelled on these records. A job that began while the peer cell's request was
     /// under way stays, so that no work is done twice.
-    pub fn cancels(&self, records: &RecordCache, sent: &str, unless_begun: bool) -> bool {
+    pub fn should_cancel(&self, records: &RecordCache, sent: &str, unless_begun: bool) -> bool {
         match self.status(records, sent) {
             Some(HostStatus::Pending) => true,
             Some(HostStatus::Running) => !unless_begun,
@@ -149,9 +149,9 @@
         &self,
         records: &RecordCache,
         submission: &Submission,
-        site: &HostSite<'_>,
+        limits: &HostLimits<'_>,
         wall: Micros,
-    ) -> Result<Admission, GuestError> {
+    ) -> Result<Admission, AdmissionError> {
         if let Some(status) = self.status(records, &submission.id) {
             return Ok(Admission::Known(status));
         }
@@ -159,25 +159,25 @@
             return Ok(Admission::Create(closed()));
         }
         let spec = self.adopt(submission);
-        self.check(&spec, &GuestLoad::of(records, &self.cell))?;
-        spec.can_ever_run(site.catalog, site.teams)
-            .map_err(GuestError::Infeasible)?;
+        self.check(&spec, &HostedLoad::from_records(records, &self.cell))?;
+        spec.can_ever_run(limits.catalog, limits.teams)
+            .map_err(AdmissionError::Infeasible)?;
         Ok(Admission::Create(self.record(wall, spec)))
     }
 
-    fn check(&self, spec: &JobSpec, load: &GuestLoad) -> Result<(), GuestError> {
+    fn check(&self, spec: &JobSpec, load: &HostedLoad) -> Result<(), AdmissionError> {
         if spec.kind == JobKind::Service {
-            return Err(GuestError::Service);
+            return Err(AdmissionError::Service);
         }
         if !spec.dependencies.is_empty() {
-            return Err(GuestError::Dependencies);
+            return Err(AdmissionError::Dependencies);
         }
         let tasks = u64::from(spec.tasks);
         if tasks > self.settings.max_tasks {
-            return Err(GuestError::TooLarge);
+            return Err(AdmissionError::TooLarge);
         }
         if !load.has_room(&self.settings) || load.tasks + tasks > self.settings.max_tasks {
-            return Err(GuestError::NoRoom);
+            return Err(AdmissionError::NoRoom);
         }
         Ok(())
     }
@@ -208,7 +208,7 @@
 
 /// What the host cell has, for jobs that can never run in it.
 #[derive(Clone, Copy, Debug)]
-pub struct HostSite<'a> {
+pub struct HostLimits<'a> {
     /// Its machine types.
     pub catalog: &'a Catalog,
     /// Its teams.
--- a/crates/saltpitch-cells/tests/host_admission.rs
+++ b/crates/saltpitch-cells/tests/host_admission.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use saltpitch_cells::host::{Admission, GuestError, HostAdmission, HostSite};
+use saltpitch_cells::host::{Admission, AdmissionError, HostAdmission, HostLimits};
 use saltpitch_cells::link::{HostStatus, Submission};
 use saltpitch_cells::settings::HostingSettings;
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
@@ -62,7 +62,7 @@
     }
 }
 
-fn admit(records: &RecordCache, submission: &Submission) -> Result<Admission, GuestError> {
+fn admit(records: &RecordCache, submission: &Submission) -> Result<Admission, AdmissionError> {
     let catalog = Catalog {
         types: vec![MachineType {
             name: "box".to_owned(),
@@ -86,11 +86,11 @@
         cpu_max: 64_000,
         gpu_max: 0,
     }];
-    let site = HostSite {
+    let limits = HostLimits {
         catalog: &catalog,
         teams: &teams,
     };
-    door().admit(records, submission, &site, Micros(5))
+    door().admit(records, submission, &limits, Micros(5))
 }
 
 fn created(records: &RecordCache, submission: &Submission) -> JobRecord {
@@ -132,15 +132,15 @@
     };
     assert_eq!(
         with(&|spec| spec.kind = JobKind::Service),
-        GuestError::Service
+        AdmissionError::Service
     );
     assert_eq!(
         with(&|spec| spec.dependencies = vec!["job-2".to_owned()]),
-        GuestError::Dependencies
+        AdmissionError::Dependencies
     );
-    assert_eq!(with(&|spec| spec.tasks = 11), GuestError::TooLarge);
+    assert_eq!(with(&|spec| spec.tasks = 11), AdmissionError::TooLarge);
     let never = with(&|spec| spec.need.cpu = 9_000);
-    assert!(matches!(never, GuestError::Infeasible(_)), "{never:?}");
+    assert!(matches!(never, AdmissionError::Infeasible(_)), "{never:?}");
     assert_eq!((never.status(), never.retry_after()), (422, None));
 }
 
@@ -199,8 +199,8 @@
         admit(&records, &closing),
         Ok(Admission::Known(HostStatus::Pending))
     );
-    assert!(door().cancels(&records, "job-2000001", true));
-    assert!(!door().cancels(&records, "job-1000001", false));
+    assert!(door().should_cancel(&records, "job-2000001", true));
+    assert!(!door().should_cancel(&records, "job-1000001", false));
 }
 
 #[test]
@@ -209,7 +209,7 @@
     let record = created(&records, &submission("job-1000001", 2));
     let id = door().hosted_job_id("job-1000001");
     put(&mut records, &id, &record);
-    assert!(door().cancels(&records, "job-1000001", true));
+    assert!(door().should_cancel(&records, "job-1000001", true));
     let placed = SegmentRecord {
         number: 1,
         entries: vec![(id, vec![SegmentEntry(0, 1, "vm-000001".to_owned(), 1, 0)])],
@@ -221,6 +221,6 @@
         door().status(&records, "job-1000001"),
         Some(HostStatus::Running)
     );
-    assert!(!door().cancels(&records, "job-1000001", true));
-    assert!(door().cancels(&records, "job-1000001", false));
+    assert!(!door().should_cancel(&records, "job-1000001", true));
+    assert!(door().should_cancel(&records, "job-1000001", false));
 }
--- a/crates/saltpitch-testkit/src/cells/host.rs
+++ b/crates/saltpitch-testkit/src/cells/host.rs
@@ -1,6 +1,6 @@
 //! The host's side of a simulated cell: it serves the peer cell as the program's listener does.
 
-use saltpitch_cells::host::{Admission, HostSite};
+use saltpitch_cells::host::{Admission, HostLimits};
 use saltpitch_cells::link::{HostStatus, LinkAnswer, LinkRequest, Refusal, Submission};
 use saltpitch_core::records::job_key;
 use saltpitch_core::scheduler::{Precondition, Write};
@@ -48,12 +48,12 @@
         let Some(catalog) = simulation.nodes[node].controller.catalog().cloned() else {
             return refused(503, "no machine types", None);
         };
-        let site = HostSite {
+        let limits = HostLimits {
             catalog: &catalog,
             teams: &simulation.teams,
         };
         let (records, now) = (simulation.nodes[node].records(), simulation.now);
-        let admission = self.admission.admit(records, submission, &site, now);
+        let admission = self.admission.admit(records, submission, &limits, now);
         let record = match admission {
             Ok(Admission::Known(known)) => return LinkAnswer::Status(known),
             Err(error) => {
@@ -86,7 +86,7 @@
     fn abort(&mut self, node: usize, sent: &str, unless_begun: bool) -> LinkAnswer {
         let id = self.admission.hosted_job_id(sent);
         let records = self.simulation.nodes[node].records();
-        if self.admission.cancels(records, sent, unless_begun) {
+        if self.admission.should_cancel(records, sent, unless_begun) {
             self.simulation.cancel_by(node, &id);
         }
         let Simulation {
--- a/crates/saltpitch/src/cells/listener.rs
+++ b/crates/saltpitch/src/cells/listener.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context, Result};
 use poem::http::{Method, StatusCode};
 use poem::{Endpoint, Request, Response, Server};
-use saltpitch_cells::host::{Admission, GuestError, HostAdmission, HostSite};
+use saltpitch_cells::host::{Admission, AdmissionError, HostAdmission, HostLimits};
 use saltpitch_cells::link::{HostStatus, Submission};
 use saltpitch_core::records::{job_key, JobRecord};
 use saltpitch_core::scheduler::TransactionOutcome;
@@ -104,7 +104,7 @@
             return not_ready();
         }
         if !self.admission.has_room(self.node.controller().records()) {
-            let reason = GuestError::NoRoom.to_string();
+            let reason = AdmissionError::NoRoom.to_string();
             return refusal_with_retry(StatusCode::SERVICE_UNAVAILABLE, &reason, RETRY_AFTER_S);
         }
         healthy()
@@ -127,16 +127,19 @@
         }
     }
 
-    fn admit(&self, submission: &Submission) -> Result<Result<Admission, GuestError>, Unavailable> {
+    fn admit(
+        &self,
+        submission: &Submission,
+    ) -> Result<Result<Admission, AdmissionError>, Unavailable> {
         let wall = self.node.clock.wall();
         let controller = self.node.controller();
         let catalog = controller.catalog().cloned().ok_or(Unavailable)?;
-        let site = HostSite {
+        let limits = HostLimits {
             catalog: &catalog,
             teams: &self.node.settings.teams,
         };
         let records = controller.records();
-        Ok(self.admission.admit(records, submission, &site, wall))
+        Ok(self.admission.admit(records, submission, &limits, wall))
     }
 
     /// Puts a delegated job, or the record that closes its delegation, on record.
@@ -198,7 +201,7 @@
             let Some(status) = self.status(sent_id).await? else {
                 return Ok(refusal(StatusCode::NOT_FOUND, "no such job"));
             };
-            if !self.cancels(sent_id, unless_begun) {
+            if !self.should_cancel(sent_id, unless_begun) {
                 return Ok(status_response(StatusCode::OK, sent_id, status));
             }
             match self.node.write_cancellation(&id).await? {
@@ -215,10 +218,10 @@
     }
 
     /// Whether a cancellation changes anything.
-    fn cancels(&self, sent_id: &str, unless_begun: bool) -> bool {
+    fn should_cancel(&self, sent_id: &str, unless_begun: bool) -> bool {
         let controller = self.node.controller();
         let records = controller.records();
-        self.admission.cancels(records, sent_id, unless_begun)
+        self.admission.should_cancel(records, sent_id, unless_begun)
     }
 }
 
@@ -247,7 +250,7 @@
     json(code, &encode_status(sent_id, status.into()))
 }
 
-fn admission_refusal(error: &GuestError) -> Response {
+fn admission_refusal(error: &AdmissionError) -> Response {
     let code = StatusCode::from_u16(error.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     match error.retry_after() {
         Some(wait) => refusal_with_retry(code, &error.to_string(), whole_seconds(wait)),
