--- a/crates/saltpitch-cells/src/link.rs
+++ b/crates/saltpitch-cells/src/link.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkRequest {
     /// `GET /up`: whether delegated jobs are taken now.
-    Up,
+    Readiness,
     /// `POST /v2/runs`.
     Submit(Submission),
     /// `GET /v2/runs/ID`.
--- a/crates/saltpitch-cells/src/origin/offers.rs
+++ b/crates/saltpitch-cells/src/origin/offers.rs
@@ -169,7 +169,7 @@
             }
             if let Some(address) = link.take_call(now) {
                 link.asked_up(now);
-                effects.push(self.send(neighbour, address, None, LinkRequest::Up));
+                effects.push(self.send(neighbour, address, None, LinkRequest::Readiness));
             }
         }
         effects
--- a/crates/saltpitch-testkit/src/cells/fingerprint.rs
+++ b/crates/saltpitch-testkit/src/cells/fingerprint.rs
@@ -19,7 +19,7 @@
 /// Records a request that a cell sends.
 pub(super) fn trace_request(trace: &mut Trace, request: &LinkRequest) {
     match request {
-        LinkRequest::Up => trace.text("up"),
+        LinkRequest::Readiness => trace.text("up"),
         LinkRequest::Submit(submission) => trace
             .text("runs")
             .text(&submission.id)
--- a/crates/saltpitch-testkit/src/cells/host.rs
+++ b/crates/saltpitch-testkit/src/cells/host.rs
@@ -35,8 +35,8 @@
         nodes[node].follow(store, now);
         let records = nodes[node].records();
         Some(match request {
-            LinkRequest::Up if self.admission.has_room(records) => LinkAnswer::Ready,
-            LinkRequest::Up => refused(503, "no room", Some(Micros::from_secs(2))),
+            LinkRequest::Readiness if self.admission.has_room(records) => LinkAnswer::Ready,
+            LinkRequest::Readiness => refused(503, "no room", Some(Micros::from_secs(2))),
             LinkRequest::Status { id } => status(self.admission.status(records, id)),
             LinkRequest::Submit(submission) => self.submit(node, submission),
             LinkRequest::Abort { id, unless_begun } => self.abort(node, id, *unless_begun),
--- a/crates/saltpitch/src/cells/link.rs
+++ b/crates/saltpitch/src/cells/link.rs
@@ -49,7 +49,7 @@
 
 fn encode(request: &LinkRequest) -> (Method, String, Vec<u8>) {
     match request {
-        LinkRequest::Up => (Method::GET, "/up".to_owned(), Vec::new()),
+        LinkRequest::Readiness => (Method::GET, "/up".to_owned(), Vec::new()),
         LinkRequest::Submit(submission) => {
             let body = encode_submission(submission).to_string();
             (Method::POST, "/v2/runs".to_owned(), body.into_bytes())
@@ -65,8 +65,8 @@
 
 fn decode(request: &LinkRequest, reply: &Reply) -> LinkAnswer {
     let (id, closing) = match request {
-        LinkRequest::Up if reply.status == 200 => return LinkAnswer::Ready,
-        LinkRequest::Up => return refusal(reply),
+        LinkRequest::Readiness if reply.status == 200 => return LinkAnswer::Ready,
+        LinkRequest::Readiness => return refusal(reply),
         LinkRequest::Submit(submission) => (&submission.id, submission.closing),
         LinkRequest::Status { id } | LinkRequest::Abort { id, .. } => (id, false),
     };
