--- a/crates/saltpitch-cells/tests/host_admission.rs
+++ b/crates/saltpitch-cells/tests/host_admission.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use saltpitch_cells::host::{Admission, GuestError, HostAdmission, HostSite};
+use saltpitch_cells::host::{Admission, AdmissionError, HostAdmission, HostLimits};
 use saltpitch_cells::link::{HostStatus, Submission};
-use saltpitch_cells::settings::GuestSettings;
+use saltpitch_cells::settings::HostingSettings;
 use saltpitch_core::catalog::{Catalog, MachineType, Resources};
 use saltpitch_core::job::{JobKind, JobSpec, JobState, Priority};
 use saltpitch_core::quota::TeamLimits;
@@ -18,7 +18,7 @@
 fn door() -> HostAdmission {
     HostAdmission {
         cell: "north".to_owned(),
-        settings: GuestSettings {
+        settings: HostingSettings {
             listen: BTreeMap::new(),
             team: "guests".to_owned(),
             may_rent: false,
@@ -62,7 +62,7 @@
     }
 }
 
-fn admit(records: &RecordCache, submission: &Submission) -> Result<Admission, GuestError> {
+fn admit(records: &RecordCache, submission: &Submission) -> Result<Admission, AdmissionError> {
     let catalog = Catalog {
         types: vec![MachineType {
             name: "box".to_owned(),
@@ -86,11 +86,11 @@
         cpu_max: 64_000,
         gpu_max: 0,
     }];
-    let site = HostSite {
+    let limits = HostLimits {
         catalog: &catalog,
         teams: &teams,
     };
-    door().admit(records, submission, &site, Micros(5))
+    door().admit(records, submission, &limits, Micros(5))
 }
 
 fn created(records: &RecordCache, submission: &Submission) -> JobRecord {
@@ -132,15 +132,15 @@
     };
     assert_eq!(
         with(&|spec| spec.kind = JobKind::Service),
-        GuestError::Service
+        AdmissionError::Service
     );
     assert_eq!(
         with(&|spec| spec.dependencies = vec!["job-2".to_owned()]),
-        GuestError::Dependencies
+        AdmissionError::Dependencies
     );
-    assert_eq!(with(&|spec| spec.tasks = 11), GuestError::TooLarge);
+    assert_eq!(with(&|spec| spec.tasks = 11), AdmissionError::TooLarge);
     let never = with(&|spec| spec.need.cpu = 9_000);
-    assert!(matches!(never, GuestError::Infeasible(_)), "{never:?}");
+    assert!(matches!(never, AdmissionError::Infeasible(_)), "{never:?}");
     assert_eq!((never.status(), never.retry_after()), (422, None));
 }
 
@@ -149,7 +149,7 @@
     let mut records = RecordCache::default();
     for id in ["job-1000001", "job-2000001"] {
         let record = created(&records, &submission(id, 2));
-        put(&mut records, &door().guest_id(id), &record);
+        put(&mut records, &door().hosted_job_id(id), &record);
     }
     // Two wait with nothing placed: no room to spare.
     let refused = admit(&records, &submission("job-3000001", 2)).expect_err("full");
@@ -163,7 +163,7 @@
     // What is over takes nothing, and is answered for ever.
     put(
         &mut records,
-        &door().guest_id("job-1000001"),
+        &door().hosted_job_id("job-1000001"),
         &JobRecord::final_record(JobState::Done, None),
     );
     assert!(door().has_room(&records));
@@ -185,12 +185,12 @@
         (record.state, record.spec.is_none()),
         (JobState::Cancelled, true)
     );
-    put(&mut records, &door().guest_id("job-1000001"), &record);
+    put(&mut records, &door().hosted_job_id("job-1000001"), &record);
     let late = admit(&records, &submission("job-1000001", 2));
     assert_eq!(late, Ok(Admission::Known(HostStatus::Withdrawn)));
     // It closes nothing that the host has.
     let taken = created(&records, &submission("job-2000001", 2));
-    put(&mut records, &door().guest_id("job-2000001"), &taken);
+    put(&mut records, &door().hosted_job_id("job-2000001"), &taken);
     let closing = Submission {
         closing: true,
         ..submission("job-2000001", 2)
@@ -199,17 +199,17 @@
         admit(&records, &closing),
         Ok(Admission::Known(HostStatus::Pending))
     );
-    assert!(door().cancels(&records, "job-2000001", true));
-    assert!(!door().cancels(&records, "job-1000001", false));
+    assert!(door().should_cancel(&records, "job-2000001", true));
+    assert!(!door().should_cancel(&records, "job-1000001", false));
 }
 
 #[test]
 fn a_recall_does_not_stop_what_has_begun() {
     let mut records = RecordCache::default();
     let record = created(&records, &submission("job-1000001", 2));
-    let id = door().guest_id("job-1000001");
+    let id = door().hosted_job_id("job-1000001");
     put(&mut records, &id, &record);
-    assert!(door().cancels(&records, "job-1000001", true));
+    assert!(door().should_cancel(&records, "job-1000001", true));
     let placed = SegmentRecord {
         number: 1,
         entries: vec![(id, vec![SegmentEntry(0, 1, "vm-000001".to_owned(), 1, 0)])],
@@ -221,6 +221,6 @@
         door().status(&records, "job-1000001"),
         Some(HostStatus::Running)
     );
-    assert!(!door().cancels(&records, "job-1000001", true));
-    assert!(door().cancels(&records, "job-1000001", false));
+    assert!(!door().should_cancel(&records, "job-1000001", true));
+    assert!(door().should_cancel(&records, "job-1000001", false));
 }
--- a/crates/saltpitch-testkit/src/cells/host.rs
+++ b/crates/saltpitch-testkit/src/cells/host.rs
@@ -1,6 +1,6 @@
 //! The host's side of a simulated cell: it serves the peer cell as the program's listener does.
 
-use saltpitch_cells::host::{Admission, HostSite};
+use saltpitch_cells::host::{Admission, HostLimits};
 use saltpitch_cells::link::{HostStatus, LinkAnswer, LinkRequest, Refusal, Submission};
 use saltpitch_core::records::job_key;
 use saltpitch_core::scheduler::{Precondition, Write};
@@ -35,8 +35,8 @@
         nodes[node].follow(store, now);
         let records = nodes[node].records();
         Some(match request {
-            LinkRequest::Up if self.admission.has_room(records) => LinkAnswer::Ready,
-            LinkRequest::Up => refused(503, "no room", Some(Micros::from_secs(2))),
+            LinkRequest::Readiness if self.admission.has_room(records) => LinkAnswer::Ready,
+            LinkRequest::Readiness => refused(503, "no room", Some(Micros::from_secs(2))),
             LinkRequest::Status { id } => status(self.admission.status(records, id)),
             LinkRequest::Submit(submission) => self.submit(node, submission),
             LinkRequest::Abort { id, unless_begun } => self.abort(node, id, *unless_begun),
@@ -48,12 +48,12 @@
         let Some(catalog) = simulation.nodes[node].controller.catalog().cloned() else {
             return refused(503, "no machine types", None);
         };
-        let site = HostSite {
+        let limits = HostLimits {
             catalog: &catalog,
             teams: &simulation.teams,
         };
         let (records, now) = (simulation.nodes[node].records(), simulation.now);
-        let admission = self.admission.admit(records, submission, &site, now);
+        let admission = self.admission.admit(records, submission, &limits, now);
         let record = match admission {
             Ok(Admission::Known(known)) => return LinkAnswer::Status(known),
             Err(error) => {
@@ -61,7 +61,7 @@
             }
             Ok(Admission::Create(record)) => record,
         };
-        let id = self.admission.guest_id(&submission.id);
+        let id = self.admission.hosted_job_id(&submission.id);
         if record.spec.is_some() {
             simulation.submit_record(&id, record);
         } else {
@@ -84,9 +84,9 @@
     }
 
     fn abort(&mut self, node: usize, sent: &str, unless_begun: bool) -> LinkAnswer {
-        let id = self.admission.guest_id(sent);
+        let id = self.admission.hosted_job_id(sent);
         let records = self.simulation.nodes[node].records();
-        if self.admission.cancels(records, sent, unless_begun) {
+        if self.admission.should_cancel(records, sent, unless_begun) {
             self.simulation.cancel_by(node, &id);
         }
         let Simulation {
