--- a/crates/saltpitch/src/agents.rs
+++ b/crates/saltpitch/src/agents.rs
@@ -36,7 +36,7 @@
                 fencing_token,
                 commands,
             } => {
-                self.wake.notify_one();
+                self.scheduler_wakeup.notify_one();
                 let body = agents::encode_commands(fencing_token, None, &commands);
                 HeartbeatReply::new(200, body)
             }
--- a/crates/saltpitch/src/cells/delegation.rs
+++ b/crates/saltpitch/src/cells/delegation.rs
@@ -77,7 +77,7 @@
     current
         .delegator
         .write_ended(&job, &outcome, scheduler, now);
-    node.wake.notify_one();
+    node.scheduler_wakeup.notify_one();
 }
 
 /// Commits a write; once committed it is applied here without waiting for the watch.
--- a/crates/saltpitch/src/effects.rs
+++ b/crates/saltpitch/src/effects.rs
@@ -34,7 +34,7 @@
     let mut summarised_at = Micros::ZERO;
     loop {
         let wait = poll(&node, &mut summarised_at);
-        let _ = tokio::time::timeout(wait.max(BATCHING), node.wake.notified()).await;
+        let _ = tokio::time::timeout(wait.max(BATCHING), node.scheduler_wakeup.notified()).await;
         tokio::time::sleep(BATCHING).await;
     }
 }
@@ -77,7 +77,7 @@
     let now = node.now();
     if let Some(scheduler) = node.controller().scheduler_in_epoch(epoch) {
         deliver(scheduler, now);
-        node.wake.notify_one();
+        node.scheduler_wakeup.notify_one();
     }
 }
 
@@ -142,7 +142,7 @@
     let read = node.read_latest_records().await;
     let (now, wall) = (node.now(), node.clock.wall());
     node.controller().records_reloaded(epoch, read, now, wall);
-    node.wake.notify_one();
+    node.scheduler_wakeup.notify_one();
 }
 
 /// Asks an agent for its heartbeat.
--- a/crates/saltpitch/src/leadership.rs
+++ b/crates/saltpitch/src/leadership.rs
@@ -106,7 +106,7 @@
     let opened_at = node.now();
     if campaign(node, store_lease, opened_at).await {
         node.store.set_leading(true);
-        node.wake.notify_one();
+        node.scheduler_wakeup.notify_one();
         return true;
     }
     node.store.revoke_lease(store_lease).await;
--- a/crates/saltpitch/src/node.rs
+++ b/crates/saltpitch/src/node.rs
@@ -53,7 +53,7 @@
     /// The connections of users and agents.
     pub connections: Arc<Connections>,
     /// Wakes the task that runs the scheduler.
-    pub wake: Notify,
+    pub scheduler_wakeup: Notify,
     /// Reads of the latest records that requests wait for.
     pub fresh_reads: FreshReads,
     /// Queries of users that may wait for them.
@@ -121,7 +121,7 @@
             http,
             peers: PeerClient::default(),
             connections: Arc::new(Connections::new(accepted)),
-            wake: Notify::new(),
+            scheduler_wakeup: Notify::new(),
             fresh_reads: FreshReads::default(),
             query_permits,
             cells,
--- a/crates/saltpitch/src/peer.rs
+++ b/crates/saltpitch/src/peer.rs
@@ -119,6 +119,6 @@
     let sends_another = node
         .controller()
         .peer_heartbeat_answered(answer, sent_at, epoch, now);
-    node.wake.notify_one();
+    node.scheduler_wakeup.notify_one();
     sends_another
 }
--- a/crates/saltpitch/src/record_sync.rs
+++ b/crates/saltpitch/src/record_sync.rs
@@ -45,7 +45,7 @@
         };
         let (now, wall) = (self.now(), self.clock.wall());
         self.controller().apply_own_write(&change, now, wall);
-        self.wake.notify_one();
+        self.scheduler_wakeup.notify_one();
     }
 }
 
@@ -99,7 +99,7 @@
     let mut controller = node.controller();
     let job_changed = controller.apply_changes(from, changes, upto, now, wall);
     if job_changed && controller.is_leader() {
-        node.wake.notify_one();
+        node.scheduler_wakeup.notify_one();
     }
 }
 
@@ -124,7 +124,7 @@
         tracing::error!("{error}");
         return false;
     }
-    node.wake.notify_one();
+    node.scheduler_wakeup.notify_one();
     true
 }
 
