--- a/crates/saltpitch/src/cells/delegation.rs
+++ b/crates/saltpitch/src/cells/delegation.rs
@@ -27,7 +27,7 @@
 /// Looks after the delegations once, if this controller leads.
 fn poll(node: &Arc<Node>) {
     let Some(cells) = &node.cells else { return };
-    let (now, wall, seed) = (node.now(), node.clock.wall(), node.random());
+    let (now, wall, seed) = (node.now(), node.clock.wall_time(), node.random());
     let mut controller = node.controller();
     let epoch = controller.epoch();
     let cancel = controller.config().scheduler.cancel_timeout;
--- a/crates/saltpitch/src/cells/listener.rs
+++ b/crates/saltpitch/src/cells/listener.rs
@@ -128,7 +128,7 @@
     }
 
     fn admit(&self, submission: &Submission) -> Result<Result<Admission, GuestError>, Unavailable> {
-        let wall = self.node.clock.wall();
+        let wall = self.node.clock.wall_time();
         let controller = self.node.controller();
         let catalog = controller.catalog().cloned().ok_or(Unavailable)?;
         let site = HostSite {
--- a/crates/saltpitch/src/clock.rs
+++ b/crates/saltpitch/src/clock.rs
@@ -27,13 +27,13 @@
     }
 
     /// The time of day.
-    pub fn wall(&self) -> Micros {
+    pub fn wall_time(&self) -> Micros {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Micros(since_epoch.map_or(0, |elapsed| elapsed.as_micros() as u64))
     }
 
     /// How long it is until a time on the monotonic clock; zero if that has passed.
-    pub fn until(&self, at: Micros) -> Duration {
+    pub fn time_until(&self, at: Micros) -> Duration {
         Duration::from_micros(at.since(self.now()).0)
     }
 }
--- a/crates/saltpitch/src/effects.rs
+++ b/crates/saltpitch/src/effects.rs
@@ -52,7 +52,7 @@
         return IDLE_WAIT;
     };
     log_diagnostics(scheduler, now, summarised_at);
-    let wait = node.clock.until(scheduler.next_poll());
+    let wait = node.clock.time_until(scheduler.next_poll());
     for effect in effects {
         tokio::spawn(carry_out(node.clone(), epoch, effect));
     }
@@ -140,7 +140,7 @@
 
 async fn reload_records(node: &Node, epoch: u64) {
     let read = node.read_latest_records().await;
-    let (now, wall) = (node.now(), node.clock.wall());
+    let (now, wall) = (node.now(), node.clock.wall_time());
     node.controller().records_reloaded(epoch, read, now, wall);
     node.scheduler_wakeup.notify_one();
 }
--- a/crates/saltpitch/src/leadership.rs
+++ b/crates/saltpitch/src/leadership.rs
@@ -80,7 +80,7 @@
 
 /// Resigns: this node stops leading first, and then says so on record.
 async fn resign(node: &Node) {
-    let (now, wall) = (node.now(), node.clock.wall());
+    let (now, wall) = (node.now(), node.clock.wall_time());
     let Some(resignation) = node.controller().resign(now, wall) else {
         return;
     };
@@ -114,7 +114,7 @@
 }
 
 async fn campaign(node: &Node, store_lease: u64, opened_at: Micros) -> bool {
-    let Some(attempt) = node.controller().campaign(node.clock.wall()) else {
+    let Some(attempt) = node.controller().campaign(node.clock.wall_time()) else {
         return false;
     };
     let attachment = LeaseAttachment {
@@ -132,7 +132,7 @@
     if !node.read_latest_records().await {
         return false;
     }
-    let (now, wall) = (node.now(), node.clock.wall());
+    let (now, wall) = (node.now(), node.clock.wall_time());
     let mut controller = node.controller();
     let elected = controller.election_won(attempt, store_lease, revision, opened_at, now, wall);
     if let Some(scheduler) = controller.scheduler().filter(|_| elected) {
--- a/crates/saltpitch/src/node.rs
+++ b/crates/saltpitch/src/node.rs
@@ -110,7 +110,8 @@
         let cloud = Cloud::new(http.clone(), settings.cloud_addr, clock, settings.cloud_rps);
         let mut rng = SmallRng::from_os_rng();
         let process = rng.random();
-        let controller = Controller::new(settings.controller_config(), process, clock.wall().0);
+        let controller =
+            Controller::new(settings.controller_config(), process, clock.wall_time().0);
         let cells = settings.cells.clone().map(Cells::new);
         let accepted = settings.sockets * ACCEPTED_PERCENT / 100;
         Node {
--- a/crates/saltpitch/src/record_sync.rs
+++ b/crates/saltpitch/src/record_sync.rs
@@ -43,7 +43,7 @@
             value: Some(value),
             revision,
         };
-        let (now, wall) = (self.now(), self.clock.wall());
+        let (now, wall) = (self.now(), self.clock.wall_time());
         self.controller().apply_own_write(&change, now, wall);
         self.scheduler_wakeup.notify_one();
     }
@@ -95,7 +95,7 @@
 }
 
 fn apply_changes(node: &Node, from: u64, changes: Vec<RecordChange>, upto: u64) {
-    let (now, wall) = (node.now(), node.clock.wall());
+    let (now, wall) = (node.now(), node.clock.wall_time());
     let mut controller = node.controller();
     let job_changed = controller.apply_changes(from, changes, upto, now, wall);
     if job_changed && controller.is_leader() {
@@ -118,7 +118,7 @@
         return false;
     };
     records.revision = revision;
-    let (now, wall) = (node.now(), node.clock.wall());
+    let (now, wall) = (node.now(), node.clock.wall_time());
     let replaced = node.controller().replace_records(records, now, wall);
     if let Err(error) = replaced {
         tracing::error!("{error}");
--- a/crates/saltpitch/src/users/submission.rs
+++ b/crates/saltpitch/src/users/submission.rs
@@ -112,7 +112,7 @@
 
     /// Puts a new job on record.
     async fn create_job(&self, id: &str, spec: JobSpec) -> Result<UserReply, Unavailable> {
-        let record = JobRecord::accepted(self.clock.wall(), Arc::new(spec));
+        let record = JobRecord::accepted(self.clock.wall_time(), Arc::new(spec));
         let value = serde_json::to_string(&record).map_err(|_| Unavailable)?;
         if value.len() > self.settings.store.max_value_bytes {
             return Ok(UserReply::error(400, "the description is too long"));
