--- a/crates/saltpitch/src/api.rs
+++ b/crates/saltpitch/src/api.rs
@@ -65,7 +65,7 @@
         let body = read_body(request).await?;
         let reply = self.0.answer_heartbeat(&body);
         let mut response = raw(reply.status, reply.body);
-        if connections.is_crowded() {
+        if connections.is_nearly_full() {
             response
                 .headers_mut()
                 .insert("connection", HeaderValue::from_static("close"));
--- a/crates/saltpitch/src/connection_limit.rs
+++ b/crates/saltpitch/src/connection_limit.rs
@@ -186,7 +186,7 @@
 
     /// Whether more than two thirds of the limit are taken, so that agents are to open a new connection
     /// for their next heartbeat.
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_nearly_full(&self) -> bool {
         lock(&self.table).remaining() * 3 > self.limit * 2
     }
 }
--- a/crates/saltpitch/src/connection_limit/tests.rs
+++ b/crates/saltpitch/src/connection_limit/tests.rs
@@ -63,7 +63,7 @@
             connection
         })
         .collect();
-    assert!(connections.is_crowded());
+    assert!(connections.is_nearly_full());
     assert!(
         connections.admit(addr(200), at(0)).is_none(),
         "none is idle"
