--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -133,7 +133,7 @@
 /// Reads all records; those that cannot be read are named on standard error.
 async fn read_records(store: &StoreClient) -> Result<RecordCache, CommandError> {
     let mut records = RecordCache::default();
-    let listed = store.list(|rows| {
+    let listed = store.list_records(|rows| {
         for row in rows {
             let Some(value) = &row.value else { continue };
             if let Err(error) = records.put(&row.key, value, row.revision) {
--- a/crates/saltpitch/src/cloud.rs
+++ b/crates/saltpitch/src/cloud.rs
@@ -29,7 +29,7 @@
 const SCALING_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The client of the cloud.
-pub struct Cloud {
+pub struct CloudClient {
     http: Arc<Client>,
     addr: SocketAddr,
     clock: Clock,
@@ -38,10 +38,10 @@
     page_pause: Duration,
 }
 
-impl Cloud {
+impl CloudClient {
     /// A client of the cloud at `addr`, which takes `rps` requests a second from the whole site.
-    pub fn new(http: Arc<Client>, addr: SocketAddr, clock: Clock, rps: f64) -> Cloud {
-        Cloud {
+    pub fn new(http: Arc<Client>, addr: SocketAddr, clock: Clock, rps: f64) -> CloudClient {
+        CloudClient {
             http,
             addr,
             clock,
@@ -88,7 +88,7 @@
     /// whatever becomes of the rest. Pages keep to their own small part of the rate: were they taken from
     /// the budget of scaling requests, a list of many pages would never be read to its end, and would
     /// delay these requests besides.
-    pub async fn list(&self, mut take: impl FnMut(&[ListedMachine])) {
+    pub async fn list_machines(&self, mut take: impl FnMut(&[ListedMachine])) {
         let mut path = format!("/machines?page={PAGE_SIZE}");
         loop {
             let reply = self.get(&path, LIST_TIMEOUT).await;
--- a/crates/saltpitch/src/cloud/tests.rs
+++ b/crates/saltpitch/src/cloud/tests.rs
@@ -36,9 +36,9 @@
     let acceptor = acceptor.expect("a free port");
     let addr = *acceptor.local_addr()[0].as_socket_addr().expect("TCP");
     tokio::spawn(Server::new_with_acceptor(acceptor).run(cloud));
-    let cloud = Cloud::new(Arc::new(Client::new(8)), addr, Clock::start(), 200.0);
+    let cloud = CloudClient::new(Arc::new(Client::new(8)), addr, Clock::start(), 200.0);
     *cloud.budget.lock().expect("not poisoned") = TokenBucket::per_second(0.0);
     let mut found = 0;
-    cloud.list(|page| found += page.len()).await;
+    cloud.list_machines(|page| found += page.len()).await;
     assert_eq!((found, calls.load(Ordering::Relaxed)), (3_100, 7));
 }
--- a/crates/saltpitch/src/cloud_sync.rs
+++ b/crates/saltpitch/src/cloud_sync.rs
@@ -45,7 +45,7 @@
             let now = node.now();
             node.controller().machines_listed(epoch, page, now);
         };
-        node.cloud.list(take).await;
+        node.cloud.list_machines(take).await;
         node.pause(pause_ms).await;
     }
 }
--- a/crates/saltpitch/src/node.rs
+++ b/crates/saltpitch/src/node.rs
@@ -13,7 +13,7 @@
 
 use crate::cells::state::Cells;
 use crate::clock::Clock;
-use crate::cloud::Cloud;
+use crate::cloud::CloudClient;
 use crate::connection_limit::Connections;
 use crate::fresh_reads::FreshReads;
 use crate::http::Client;
@@ -45,7 +45,7 @@
     /// The state service.
     pub store: StoreClient,
     /// The cloud.
-    pub cloud: Cloud,
+    pub cloud: CloudClient,
     /// The client of the agents.
     pub http: Arc<Client>,
     /// The other controllers.
@@ -107,7 +107,7 @@
             settings.store.clone(),
             settings.controllers,
         );
-        let cloud = Cloud::new(http.clone(), settings.cloud_addr, clock, settings.cloud_rps);
+        let cloud = CloudClient::new(http.clone(), settings.cloud_addr, clock, settings.cloud_rps);
         let mut rng = SmallRng::from_os_rng();
         let process = rng.random();
         let controller =
--- a/crates/saltpitch/src/record_sync.rs
+++ b/crates/saltpitch/src/record_sync.rs
@@ -114,7 +114,7 @@
             }
         }
     };
-    let Some(revision) = node.store.list(take).await else {
+    let Some(revision) = node.store.list_records(take).await else {
         return false;
     };
     records.revision = revision;
--- a/crates/saltpitch/src/store.rs
+++ b/crates/saltpitch/src/store.rs
@@ -142,7 +142,7 @@
 
     /// Reads all records of this project, and hands them on page by page, since all of them at once may
     /// be more than this process has memory for. Returns the revision from which to follow changes.
-    pub async fn list(&self, mut take: impl FnMut(Vec<RecordChange>)) -> Option<u64> {
+    pub async fn list_records(&self, mut take: impl FnMut(Vec<RecordChange>)) -> Option<u64> {
         let mut first_revision = None;
         let mut last_key = String::new();
         loop {
