--- a/crates/saltpitch/src/cells/link.rs
+++ b/crates/saltpitch/src/cells/link.rs
@@ -117,7 +117,7 @@
     let body: ErrorBody = serde_json::from_slice(&reply.body).unwrap_or_default();
     LinkAnswer::Refused(Refusal {
         status: reply.status,
-        retry_after: reply.retry_after.map(Micros::from_secs),
+        retry_after: reply.retry_after_s.map(Micros::from_secs),
         reason: body.error.chars().take(MAX_REASON).collect(),
     })
 }
--- a/crates/saltpitch/src/cells/link/tests.rs
+++ b/crates/saltpitch/src/cells/link/tests.rs
@@ -10,7 +10,7 @@
     Reply {
         status,
         body: Bytes::from(body.to_owned()),
-        retry_after: None,
+        retry_after_s: None,
     }
 }
 
--- a/crates/saltpitch/src/http.rs
+++ b/crates/saltpitch/src/http.rs
@@ -42,7 +42,7 @@
     /// The body.
     pub body: Bytes,
     /// `Retry-After` in seconds.
-    pub retry_after: Option<u64>,
+    pub retry_after_s: Option<u64>,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
@@ -180,7 +180,7 @@
 async fn read_answer(response: Response<Incoming>) -> Result<Exchange, CallError> {
     let status = response.status().as_u16();
     let closes = closes_connection(response.headers());
-    let retry_after = retry_after(response.headers());
+    let retry_after_s = retry_after_s(response.headers());
     let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
         .collect()
         .await
@@ -189,7 +189,7 @@
     let reply = Reply {
         status,
         body,
-        retry_after,
+        retry_after_s,
     };
     Ok(Exchange { reply, closes })
 }
@@ -201,6 +201,6 @@
 }
 
 /// `Retry-After` in seconds; its other form, a date, is passed over.
-fn retry_after(headers: &HeaderMap) -> Option<u64> {
+fn retry_after_s(headers: &HeaderMap) -> Option<u64> {
     headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()
 }
