--- a/crates/saltpitch/src/cells/delegation.rs
+++ b/crates/saltpitch/src/cells/delegation.rs
@@ -27,7 +27,7 @@
 /// Looks after the delegations once, if this controller leads.
 fn poll(node: &Arc<Node>) {
     let Some(cells) = &node.cells else { return };
-    let (now, wall, seed) = (node.now(), node.clock.wall(), node.random());
+    let (now, wall, seed) = (node.now(), node.clock.wall_time(), node.random());
     let mut controller = node.controller();
     let epoch = controller.epoch();
     let cancel = controller.config().scheduler.cancel_timeout;
@@ -77,7 +77,7 @@
     current
         .delegator
         .write_ended(&job, &outcome, scheduler, now);
-    node.wake.notify_one();
+    node.scheduler_wakeup.notify_one();
 }
 
 /// Commits a write; once committed it is applied here without waiting for the watch.
--- a/crates/saltpitch/src/cells/listener.rs
+++ b/crates/saltpitch/src/cells/listener.rs
@@ -131,7 +131,7 @@
         &self,
         submission: &Submission,
     ) -> Result<Result<Admission, AdmissionError>, Unavailable> {
-        let wall = self.node.clock.wall();
+        let wall = self.node.clock.wall_time();
         let controller = self.node.controller();
         let catalog = controller.catalog().cloned().ok_or(Unavailable)?;
         let limits = HostLimits {
--- a/crates/saltpitch/src/node.rs
+++ b/crates/saltpitch/src/node.rs
@@ -13,7 +13,7 @@
 
 use crate::cells::state::Cells;
 use crate::clock::Clock;
-use crate::cloud::Cloud;
+use crate::cloud::CloudClient;
 use crate::connection_limit::Connections;
 use crate::fresh_reads::FreshReads;
 use crate::http::Client;
@@ -45,7 +45,7 @@
     /// The state service.
     pub store: StoreClient,
     /// The cloud.
-    pub cloud: Cloud,
+    pub cloud: CloudClient,
     /// The client of the agents.
     pub http: Arc<Client>,
     /// The other controllers.
@@ -53,7 +53,7 @@
     /// The connections of users and agents.
     pub connections: Arc<Connections>,
     /// Wakes the task that runs the scheduler.
-    pub wake: Notify,
+    pub scheduler_wakeup: Notify,
     /// Reads of the latest records that requests wait for.
     pub fresh_reads: FreshReads,
     /// Queries of users that may wait for them.
@@ -107,10 +107,11 @@
             settings.store.clone(),
             settings.controllers,
         );
-        let cloud = Cloud::new(http.clone(), settings.cloud_addr, clock, settings.cloud_rps);
+        let cloud = CloudClient::new(http.clone(), settings.cloud_addr, clock, settings.cloud_rps);
         let mut rng = SmallRng::from_os_rng();
         let process = rng.random();
-        let controller = Controller::new(settings.controller_config(), process, clock.wall().0);
+        let controller =
+            Controller::new(settings.controller_config(), process, clock.wall_time().0);
         let cells = settings.cells.clone().map(Cells::new);
         let accepted = settings.sockets * ACCEPTED_PERCENT / 100;
         Node {
@@ -121,7 +122,7 @@
             http,
             peers: PeerClient::default(),
             connections: Arc::new(Connections::new(accepted)),
-            wake: Notify::new(),
+            scheduler_wakeup: Notify::new(),
             fresh_reads: FreshReads::default(),
             query_permits,
             cells,
