--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -126,7 +126,7 @@
         settings.store_addr,
         Clock::start(),
         settings.store,
-        settings.controllers,
+        settings.controller_count,
     ))
 }
 
--- a/crates/saltpitch/src/cloud_sync.rs
+++ b/crates/saltpitch/src/cloud_sync.rs
@@ -31,7 +31,7 @@
 /// Reads the cloud's list of machines while this node leads.
 pub async fn list_machines(node: Arc<Node>) {
     // The list lags by a known time: half of it, spread, is as often as it shows anything new.
-    let pause_ms = node.settings.list_lag.0 / 2_000;
+    let pause_ms = node.settings.max_list_lag.0 / 2_000;
     loop {
         let leading_epoch = {
             let controller = node.controller();
--- a/crates/saltpitch/src/node.rs
+++ b/crates/saltpitch/src/node.rs
@@ -97,22 +97,22 @@
 impl Node {
     /// A controller that has not begun to serve.
     pub fn new(settings: Settings) -> Node {
-        let query_permits = Semaphore::new(settings.sockets * QUERIES_PERCENT / 100);
+        let query_permits = Semaphore::new(settings.max_sockets * QUERIES_PERCENT / 100);
         let clock = Clock::start();
-        let http = Arc::new(Client::new(settings.sockets * KEPT_PERCENT / 100));
+        let http = Arc::new(Client::new(settings.max_sockets * KEPT_PERCENT / 100));
         let store = StoreClient::new(
             http.clone(),
             settings.store_addr,
             clock,
             settings.store.clone(),
-            settings.controllers,
+            settings.controller_count,
         );
         let cloud = Cloud::new(http.clone(), settings.cloud_addr, clock, settings.cloud_rps);
         let mut rng = SmallRng::from_os_rng();
         let process = rng.random();
         let controller = Controller::new(settings.controller_config(), process, clock.wall().0);
         let cells = settings.cells.clone().map(Cells::new);
-        let accepted = settings.sockets * ACCEPTED_PERCENT / 100;
+        let accepted = settings.max_sockets * ACCEPTED_PERCENT / 100;
         Node {
             settings,
             clock,
--- a/crates/saltpitch/src/server.rs
+++ b/crates/saltpitch/src/server.rs
@@ -21,7 +21,7 @@
 /// Runs a controller until the process is killed.
 pub async fn serve(settings: Settings) -> Result<()> {
     let (api_addr, peer_bind) = (settings.api_addr, settings.peer_bind);
-    let backlog = settings.sockets * BACKLOG_PERCENT / 100;
+    let backlog = settings.max_sockets * BACKLOG_PERCENT / 100;
     let node = Arc::new(Node::new(settings));
     let peer_listener = TcpListener::bind(peer_bind)
         .await
--- a/crates/saltpitch/src/settings.rs
+++ b/crates/saltpitch/src/settings.rs
@@ -55,7 +55,7 @@
     /// The site's zones.
     pub zones: Vec<String>,
     /// The number of controllers.
-    pub controllers: usize,
+    pub controller_count: usize,
     /// The teams' guarantees and quotas.
     pub teams: Vec<TeamLimits>,
     /// What the agents keep to.
@@ -65,13 +65,13 @@
     /// Requests a second that the cloud takes from the site.
     pub cloud_rps: f64,
     /// How long after a change the cloud's list of machines shows it at the latest.
-    pub list_lag: Micros,
+    pub max_list_lag: Micros,
     /// Sockets that this process may have open.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// The service-level objectives of classes.
     pub objectives: Vec<Objective>,
     /// How soon work within a team's guarantee is to start.
-    pub guarantee_within: Micros,
+    pub guarantee_start_target: Micros,
     /// The operators' own rules, on top of the built-in ones.
     pub policy: Policy,
     /// The operators' file on cells.
@@ -96,11 +96,11 @@
     /// The time between two heartbeats of an agent.
     pub heartbeat_interval: Micros,
     /// How long after its last answer an agent stops its tasks.
-    pub lease: Micros,
+    pub agent_lease: Micros,
     /// How long a gang's tasks run on without one of them.
-    pub gang_peer: Micros,
+    pub gang_peer_timeout: Micros,
     /// The time within which the tasks of a cancelled job must have ended.
-    pub cancel: Micros,
+    pub cancel_timeout: Micros,
 }
 
 /// The state service's limits.
@@ -159,7 +159,7 @@
             node: &self.node,
             listens: &[("api_addr", self.api_addr), ("peer_bind", self.peer_bind)],
             teams: &self.teams,
-            controllers: self.controllers,
+            controllers: self.controller_count,
             max_transaction_writes: self.store.max_transaction_writes,
         };
         Ok(CellsSettings::parse(&text, &site)?)
@@ -182,15 +182,15 @@
             cloud_addr: fields.get("external.cloud")?,
             store_addr: fields.get("external.state")?,
             zones: fields.get("cluster.zones")?,
-            controllers: fields.number("cluster.size", 1.0, 100.0)? as usize,
+            controller_count: fields.number("cluster.size", 1.0, 100.0)? as usize,
             teams: sections::teams(&fields)?,
             agents: sections::agent_timings(&fields)?,
             store: sections::store_limits(&fields)?,
             cloud_rps: fields.number("cluster.cloud.rps", 0.1, 1e5)?,
-            list_lag: fields.span("cluster.cloud.list_lag_s")?,
+            max_list_lag: fields.span("cluster.cloud.list_lag_s")?,
             objectives: sections::objectives(&fields)?,
-            sockets: fields.number("cluster.limits.sockets", 32.0, 1e7)? as usize,
-            guarantee_within: sections::guarantee_within(&fields),
+            max_sockets: fields.number("cluster.limits.sockets", 32.0, 1e7)? as usize,
+            guarantee_start_target: sections::guarantee_start_target(&fields),
             policy: Policy::default(),
             cells: None,
         };
@@ -221,14 +221,15 @@
     }
 
     fn scheduler_config(&self) -> SchedulerConfig {
-        let change_share = leader_change_share(self.controllers);
+        let change_share = leader_change_share(self.controller_count);
         SchedulerConfig {
             heartbeat_interval: self.agents.heartbeat_interval,
-            agent_lease: self.agents.lease,
-            gang_peer_timeout: self.agents.gang_peer,
-            cancel_timeout: self.agents.cancel,
-            controller_count: self.controllers,
-            max_concurrent_calls: (self.sockets / SOCKETS_PER_COMMAND).max(MIN_COMMANDS_IN_FLIGHT),
+            agent_lease: self.agents.agent_lease,
+            gang_peer_timeout: self.agents.gang_peer_timeout,
+            cancel_timeout: self.agents.cancel_timeout,
+            controller_count: self.controller_count,
+            max_concurrent_calls: (self.max_sockets / SOCKETS_PER_COMMAND)
+                .max(MIN_COMMANDS_IN_FLIGHT),
             max_transaction_writes: self.store.max_transaction_writes,
             max_transaction_bytes: MAX_TRANSACTION_BYTES,
             write_rate: self.store.write_rps * change_share,
@@ -238,7 +239,7 @@
             log_segments: LOG_SEGMENTS,
             teams: self.teams.clone(),
             objectives: self.objectives.clone(),
-            guarantee_start_target: self.guarantee_within,
+            guarantee_start_target: self.guarantee_start_target,
             policy: self.policy.clone(),
         }
     }
--- a/crates/saltpitch/src/settings/contradictions.rs
+++ b/crates/saltpitch/src/settings/contradictions.rs
@@ -75,13 +75,13 @@
 
 fn check_agents(settings: &Settings) -> Result<(), Contradiction> {
     let agents = &settings.agents;
-    if agents.cancel <= agents.lease {
+    if agents.cancel_timeout <= agents.agent_lease {
         return Err(Contradiction::CancelWithinLease);
     }
-    if agents.heartbeat_interval.times(HEARTBEAT_JITTER) >= agents.lease {
+    if agents.heartbeat_interval.times(HEARTBEAT_JITTER) >= agents.agent_lease {
         return Err(Contradiction::HeartbeatsOutlastLease {
             report_s: agents.heartbeat_interval.as_secs_f64(),
-            lease_s: agents.lease.as_secs_f64(),
+            lease_s: agents.agent_lease.as_secs_f64(),
         });
     }
     Ok(())
@@ -101,7 +101,7 @@
 
 fn check_rates(settings: &Settings) -> Result<(), Contradiction> {
     let store = &settings.store;
-    let controllers = settings.controllers;
+    let controllers = settings.controller_count;
     let needed = REQUESTS_OF_LEADER + REQUESTS_PER_CONTROLLER * controllers as f64;
     let requests = [
         ("cluster.state.rps", store.rps),
@@ -173,9 +173,9 @@
 /// Everything in these settings that is worth a look.
 pub fn warnings(settings: &Settings) -> Vec<Warning> {
     let (agents, store) = (&settings.agents, &settings.store);
-    let bound = answer_bound(agents.cancel, agents.lease);
+    let bound = answer_bound(agents.cancel_timeout, agents.agent_lease);
     let found = [
-        (agents.heartbeat_interval.times(HEARTBEATS_PER_LEASE) > agents.lease)
+        (agents.heartbeat_interval.times(HEARTBEATS_PER_LEASE) > agents.agent_lease)
             .then_some(Warning::FewHeartbeatsPerLease),
         (bound < agents.heartbeat_interval.times(2.0)).then_some(Warning::ShortAnswerBound(bound)),
         (store.next_write_rps < FEW_CHANGES).then_some(Warning::FewChanges(store.next_write_rps)),
--- a/crates/saltpitch/src/settings/sections.rs
+++ b/crates/saltpitch/src/settings/sections.rs
@@ -21,9 +21,9 @@
 pub fn agent_timings(fields: &Fields<'_>) -> Result<AgentTimings, SettingsError> {
     Ok(AgentTimings {
         heartbeat_interval: fields.span("cluster.workers.report_s")?,
-        lease: fields.span("cluster.workers.lease_s")?,
-        gang_peer: fields.span("cluster.workers.gang_peer_s")?,
-        cancel: fields.span("cluster.workers.cancel_s")?,
+        agent_lease: fields.span("cluster.workers.lease_s")?,
+        gang_peer_timeout: fields.span("cluster.workers.gang_peer_s")?,
+        cancel_timeout: fields.span("cluster.workers.cancel_s")?,
     })
 }
 
@@ -99,7 +99,7 @@
 }
 
 /// How soon work within a team's guarantee is to start.
-pub fn guarantee_within(fields: &Fields<'_>) -> Micros {
+pub fn guarantee_start_target(fields: &Fields<'_>) -> Micros {
     let list: Vec<Value> = fields.get(OBJECTIVES).unwrap_or_default();
     list.iter()
         .filter(|element| element.get("kind").and_then(Value::as_str) == Some("guarantee"))
