--- a/crates/saltpitch/src/api.rs
+++ b/crates/saltpitch/src/api.rs
@@ -89,7 +89,7 @@
     }
 
     async fn user_request(&self, request: UserRequest) -> Response {
-        reply(self.0.user_request(request).await)
+        reply(self.0.serve_user_request(request).await)
     }
 }
 
--- a/crates/saltpitch/src/peer.rs
+++ b/crates/saltpitch/src/peer.rs
@@ -72,7 +72,7 @@
                 .peer_heartbeat_received(heartbeat, store, now);
             PeerResponse::Heartbeat(answer)
         }
-        PeerRequest::User(request) => match node.user_request_here(&request).await {
+        PeerRequest::User(request) => match node.serve_user_request_locally(&request).await {
             Ok(reply) => PeerResponse::User {
                 status: reply.status,
                 body: reply.body.to_string(),
--- a/crates/saltpitch/src/users.rs
+++ b/crates/saltpitch/src/users.rs
@@ -80,15 +80,18 @@
 
 impl Node {
     /// Serves a user's request, if need be through a peer that can reach the state service.
-    pub async fn user_request(&self, request: UserRequest) -> Result<UserReply, Unavailable> {
-        match self.user_request_here(&request).await {
+    pub async fn serve_user_request(&self, request: UserRequest) -> Result<UserReply, Unavailable> {
+        match self.serve_user_request_locally(&request).await {
             Ok(reply) => Ok(reply),
             Err(Unavailable) => self.forward(request).await,
         }
     }
 
     /// Serves a user's request without the help of a peer.
-    pub async fn user_request_here(&self, request: &UserRequest) -> Result<UserReply, Unavailable> {
+    pub async fn serve_user_request_locally(
+        &self,
+        request: &UserRequest,
+    ) -> Result<UserReply, Unavailable> {
         match request {
             UserRequest::Submit(body) => self.submit(body).await,
             UserRequest::Query(id) => self.query(id).await,
--- a/crates/saltpitch/src/users/tests.rs
+++ b/crates/saltpitch/src/users/tests.rs
@@ -30,14 +30,14 @@
     let mut waiting = Vec::new();
     for number in 0..limit {
         let node = node.clone();
-        let ask = async move { node.user_request_here(&question(number)).await };
+        let ask = async move { node.serve_user_request_locally(&question(number)).await };
         waiting.push(tokio::spawn(ask));
     }
     // All of them begin; none is answered within this time.
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(node.query_permits.available_permits(), 0);
     let asked_at = Instant::now();
-    let reply = node.user_request_here(&question(limit)).await;
+    let reply = node.serve_user_request_locally(&question(limit)).await;
     assert_eq!(reply.expect("an answer").status, 503);
     assert!(asked_at.elapsed() < Duration::from_millis(200));
     for task in waiting {
