--- a/crates/saltpitch/src/cells/listener.rs
+++ b/crates/saltpitch/src/cells/listener.rs
@@ -19,7 +19,7 @@
     healthy, json, not_ready, read_body, refusal, refusal_with_retry, unavailable,
 };
 use crate::store::conditional_write;
-use crate::users::{Cancellation, Unavailable};
+use crate::users::{CancellationOutcome, Unavailable};
 use crate::wire::users::{
     decode_closing, decode_job_id, decode_submission, decode_unless_begun, encode_progress,
     encode_status, is_job_id,
@@ -202,12 +202,12 @@
                 return Ok(status_response(StatusCode::OK, sent_id, status));
             }
             match self.node.write_cancellation(&id).await? {
-                Cancellation::Ended(TransactionOutcome::Committed(_)) => {
+                CancellationOutcome::Transaction(TransactionOutcome::Committed(_)) => {
                     let status = HostStatus::Withdrawn;
                     return Ok(status_response(StatusCode::OK, sent_id, status));
                 }
                 // The record has changed meanwhile: read it again.
-                Cancellation::Ended(TransactionOutcome::Conflict(_)) => {}
+                CancellationOutcome::Transaction(TransactionOutcome::Conflict(_)) => {}
                 _ => return Err(Unavailable),
             }
         }
--- a/crates/saltpitch/src/users.rs
+++ b/crates/saltpitch/src/users.rs
@@ -54,9 +54,9 @@
 
 /// The outcome of a cancellation.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Cancellation {
-    /// The transaction ended like this.
-    Ended(TransactionOutcome),
+pub enum CancellationOutcome {
+    /// The outcome of the transaction that writes it.
+    Transaction(TransactionOutcome),
     /// Another cell has the job and has yet to confirm; the record says that the user asked.
     Requested,
 }
@@ -173,13 +173,13 @@
                 return Ok(UserReply::status(id, progress.status()));
             }
             match self.write_cancellation(id).await? {
-                Cancellation::Ended(TransactionOutcome::Committed(_)) => {
+                CancellationOutcome::Transaction(TransactionOutcome::Committed(_)) => {
                     return Ok(UserReply::status(id, JobStatus::Cancelled));
                 }
                 // The record has changed meanwhile: read it again.
-                Cancellation::Ended(TransactionOutcome::Conflict(_)) => {}
-                Cancellation::Ended(_) => return Err(Unavailable),
-                Cancellation::Requested => {
+                CancellationOutcome::Transaction(TransactionOutcome::Conflict(_)) => {}
+                CancellationOutcome::Transaction(_) => return Err(Unavailable),
+                CancellationOutcome::Requested => {
                     let reason = "the cell that has the job is asked to give it up; come back";
                     return Ok(UserReply::error(503, reason));
                 }
@@ -190,29 +190,29 @@
 
     /// Cancels a job on record. Completion and cancellation are both written on condition of the record's
     /// revision, so that only one of them succeeds.
-    pub async fn write_cancellation(&self, id: &str) -> Result<Cancellation, Unavailable> {
+    pub async fn write_cancellation(&self, id: &str) -> Result<CancellationOutcome, Unavailable> {
         let entry = self.controller().records().jobs.get(id).cloned();
         let entry = entry.ok_or(Unavailable)?;
         let (record, confirms) = match entry.record.cancel_step() {
             CancelStep::Confirm(record) => (record, true),
             CancelStep::Request(record) => (record, false),
-            CancelStep::Await => return Ok(Cancellation::Requested),
+            CancelStep::Await => return Ok(CancellationOutcome::Requested),
         };
         let key = job_key(id);
         let value = self.encode_cancelled(record).ok_or(Unavailable)?;
         let transaction = conditional_write(&key, &value, entry.revision);
         let outcome = self.store.commit(&transaction, CANCEL_TIMEOUT).await;
         let TransactionOutcome::Committed(revision) = outcome else {
-            return Ok(Cancellation::Ended(outcome));
+            return Ok(CancellationOutcome::Transaction(outcome));
         };
         // Applied here before the user has the answer: a leader without the state service asks for it.
         self.apply_own_write(&key, &value, revision);
         if !confirms {
             tracing::info!("{id} is to be cancelled, once the cell that has it has given it up");
-            return Ok(Cancellation::Requested);
+            return Ok(CancellationOutcome::Requested);
         }
         tracing::info!("{id} is cancelled");
-        Ok(Cancellation::Ended(outcome))
+        Ok(CancellationOutcome::Transaction(outcome))
     }
 
     fn encode_cancelled(&self, mut record: JobRecord) -> Option<String> {
