--- a/crates/saltpitch-core/tests/common/mod.rs
+++ b/crates/saltpitch-core/tests/common/mod.rs
@@ -1,27 +1,30 @@
-//! Reading the sample files.
+//! Reads the sample files.
 
 /// One line of a sample file.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample<'a> {
     /// The key of a record, or the name of a frame.
     pub name: &'a str,
-    /// What was written.
+    /// The record's value, or the frame in hexadecimal.
     pub content: &'a str,
 }
 
-/// The samples in a file, in its order.
+/// Parses the samples of a file, in their order.
 pub fn samples(file: &str) -> Vec<Sample<'_>> {
     let parse = |line| {
-        let (name, content) = str::split_once(line, '\t').expect("a name and a content");
+        let (name, content) =
+            str::split_once(line, '\t').expect("a sample has a name and a content");
         Sample { name, content }
     };
     let all: Vec<Sample> = file.lines().map(parse).collect();
-    assert!(!all.is_empty(), "no samples");
+    assert!(!all.is_empty(), "the file contains no samples");
     all
 }
 
-/// The sample of this name.
+/// Returns the content of the sample with this name.
 pub fn sample<'a>(all: &[Sample<'a>], name: &str) -> &'a str {
     let found = all.iter().find(|s| s.name == name);
-    found.unwrap_or_else(|| panic!("no sample {name}")).content
+    found
+        .unwrap_or_else(|| panic!("there is no sample named {name}"))
+        .content
 }
--- a/crates/saltpitch-core/tests/delegation_records.rs
+++ b/crates/saltpitch-core/tests/delegation_records.rs
@@ -1,4 +1,4 @@
-//! Records of jobs that concern other cells: as they are stored, damaged, and in the way of a cancellation.
+//! Tests of the records of delegated and guest jobs: their stored format, damaged records, and cancellations.
 
 use std::sync::Arc;
 
@@ -10,6 +10,7 @@
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
+/// Returns the record of a job that runs in this cell.
 fn accepted() -> JobRecord {
     let spec = JobSpec {
         class: "night".to_owned(),
@@ -34,6 +35,7 @@
     JobRecord::accepted(Micros(7), Arc::new(spec))
 }
 
+/// Returns the record of a job that is delegated to the cell `south`.
 fn delegated(state: DelegationState) -> JobRecord {
     JobRecord {
         delegation: Some(Box::new(Delegation {
@@ -46,22 +48,30 @@
     }
 }
 
+/// Puts the record of the job `job-1`.
 fn put(records: &mut RecordCache, text: String, revision: u64) {
-    let raw = RawValue::from_string(text).expect("JSON");
+    let raw = RawValue::from_string(text).expect("the value is JSON");
     records
         .put(&job_key("job-1"), &raw, revision)
-        .expect("read");
+        .expect("the record is readable");
 }
 
-/// What is stored is a published format: names may not change.
+/// The stored fields are a published format, so their names must not change.
 #[test]
-fn the_fields_are_stored_under_their_names_and_left_out_while_unused() {
-    let plain = serde_json::to_string(&accepted()).expect("JSON");
-    let with = serde_json::to_string(&delegated(DelegationState::Accepted)).expect("JSON");
-    let end = r#","x":{"c":"south","n":2,"s":"accepted"}}"#;
-    assert_eq!(with, format!("{}{end}", &plain[..plain.len() - 1]));
-    let top: serde_json::Value = serde_json::from_str(&plain).expect("JSON");
-    assert!(top.get("x").is_none() && top.get("g").is_none(), "{plain}");
+fn fields_of_delegation_are_stored_under_their_names_and_omitted_while_unused() {
+    let plain = serde_json::to_string(&accepted()).expect("the record is serialisable");
+    let delegated_text = serde_json::to_string(&delegated(DelegationState::Accepted))
+        .expect("the record is serialisable");
+    let delegation_field = r#","x":{"c":"south","n":2,"s":"accepted"}}"#;
+    assert_eq!(
+        delegated_text,
+        format!("{}{delegation_field}", &plain[..plain.len() - 1])
+    );
+    let value: serde_json::Value = serde_json::from_str(&plain).expect("the value is JSON");
+    assert!(
+        value.get("x").is_none() && value.get("g").is_none(),
+        "{plain}"
+    );
     let guest = JobRecord {
         guest: Some(Box::new(Guest {
             cell: "south".to_owned(),
@@ -69,28 +79,29 @@
         })),
         ..accepted()
     };
-    let text = serde_json::to_string(&guest).expect("JSON");
+    let text = serde_json::to_string(&guest).expect("the record is serialisable");
     assert!(text.ends_with(r#","g":{"c":"south","r":true}}"#), "{text}");
     let node = NodeRecord {
         incarnation: 9,
         knows_delegations: true,
     };
-    let text = serde_json::to_string(&node).expect("JSON");
+    let text = serde_json::to_string(&node).expect("the record is serialisable");
     assert_eq!(text, r#"{"life":9,"cells":true}"#);
     for record in [delegated(DelegationState::Returned), guest] {
-        let text = serde_json::to_string(&record).expect("JSON");
+        let text = serde_json::to_string(&record).expect("the record is serialisable");
         assert_eq!(
-            serde_json::from_str::<JobRecord>(&text).expect("read"),
+            serde_json::from_str::<JobRecord>(&text).expect("the record is readable"),
             record
         );
     }
 }
 
-/// The job stays known, and counts as with another cell.
+/// A job whose delegation is unreadable remains known and counts as delegated. If it counted as local, its tasks could
+/// run in both cells.
 #[test]
-fn a_damaged_delegation_hides_no_job_and_frees_none() {
-    let plain = serde_json::to_string(&accepted()).expect("JSON");
-    let damages = [
+fn a_job_with_a_damaged_delegation_is_known_and_counts_as_delegated() {
+    let plain = serde_json::to_string(&accepted()).expect("the record is serialisable");
+    let damaged_delegations = [
         r#"7"#,
         r#"{}"#,
         r#"{"c":"south","n":2,"s":"sunk"}"#,
@@ -98,21 +109,21 @@
         r#"{"c":"south","n":-2,"s":"returned"}"#,
         r#"{"c":"south","n":2,"s":"damaged","w":3}"#,
     ];
-    for damage in damages {
+    for delegation in damaged_delegations {
         let mut records = RecordCache::default();
         put(
             &mut records,
-            format!("{},\"x\":{damage}}}", &plain[..plain.len() - 1]),
+            format!("{},\"x\":{delegation}}}", &plain[..plain.len() - 1]),
             1,
         );
         assert_eq!(
             records.job_state("job-1"),
             Some(JobState::Active),
-            "{damage}"
+            "{delegation}"
         );
         let record = &records.jobs["job-1"].record;
         let state = record.delegation.as_ref().map(|d| d.state);
-        assert_eq!(state, Some(DelegationState::Damaged), "{damage}");
+        assert_eq!(state, Some(DelegationState::Damaged), "{delegation}");
         assert!(record.is_delegated());
         assert_eq!(record.cancel_step(), CancelStep::Await);
         assert_eq!(records.delegated_jobs().collect::<Vec<_>>(), ["job-1"]);
@@ -120,9 +131,9 @@
 }
 
 #[test]
-fn a_cancellation_asks_the_host_first_and_is_not_asked_twice() {
+fn a_cancellation_is_requested_from_the_host_first_and_only_once() {
     let CancelStep::Confirm(record) = accepted().cancel_step() else {
-        panic!("this cell's own");
+        panic!("a job of this cell is cancelled at once");
     };
     assert_eq!(record.state, JobState::Cancelled);
     let returned = delegated(DelegationState::Returned).cancel_step();
@@ -133,7 +144,7 @@
         DelegationState::Running,
     ] {
         let CancelStep::Request(record) = delegated(state).cancel_step() else {
-            panic!("{state:?} is with the host");
+            panic!("the host must cancel a job in the state {state:?}");
         };
         assert_eq!(record.state, JobState::Active);
         assert!(record
@@ -145,9 +156,10 @@
 }
 
 #[test]
-fn the_view_follows_which_jobs_are_elsewhere() {
+fn the_record_cache_tracks_which_jobs_are_delegated() {
     let mut records = RecordCache::default();
-    let text = |record: &JobRecord| serde_json::to_string(record).expect("JSON");
+    let text =
+        |record: &JobRecord| serde_json::to_string(record).expect("the record is serialisable");
     put(&mut records, text(&delegated(DelegationState::Offered)), 1);
     assert_eq!(records.delegated_jobs().count(), 1);
     put(&mut records, text(&delegated(DelegationState::Returned)), 2);
--- a/crates/saltpitch-core/tests/frame_samples.rs
+++ b/crates/saltpitch-core/tests/frame_samples.rs
@@ -1,5 +1,5 @@
-//! Frames between controllers of different versions: what each version that may be in production wrote
-//! is read, and what this version writes is, to the byte, what the newest of them writes and reads.
+//! Compatibility of the frames between controllers of different versions: this version reads what each version wrote
+//! that may be in production, and what it writes equals byte for byte what the newest of them writes and reads.
 
 use saltpitch_core::messages::{
     AckRequest, PeerRequest, PeerResponse, PeerStatus, UserRequest, PROTOCOL_VERSION,
@@ -11,26 +11,29 @@
 mod common;
 use common::{sample, samples, Sample};
 
-/// Written by protocol version 0, fields by position.
+/// Frames of protocol version 0, whose fields are encoded by position.
 const VERSION_0: &str = include_str!("samples/frames-0eaad3a.tsv");
-/// Written by the version in production, fields by name.
+/// Frames of the version in production, whose fields are encoded by name.
 const VERSION_1: &str = include_str!("samples/frames-839b1d9.tsv");
 
+/// Decodes hexadecimal digits.
 fn bytes(hex: &str) -> Vec<u8> {
-    let digit = |c: u8| (c as char).to_digit(16).expect("a digit") as u8;
+    let digit = |c: u8| (c as char).to_digit(16).expect("a hexadecimal digit") as u8;
     hex.as_bytes()
         .chunks(2)
         .map(|pair| digit(pair[0]) * 16 + digit(pair[1]))
         .collect()
 }
 
+/// Returns the frame that this version writes, in hexadecimal.
 fn written<T: Serialize>(message: &T) -> String {
-    let frame = rmp_serde::to_vec_named(message).expect("serialisable");
+    let frame = rmp_serde::to_vec_named(message).expect("the message is serialisable");
     frame.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// Reads a frame that is given in hexadecimal.
 fn read<T: DeserializeOwned>(hex: &str) -> T {
-    rmp_serde::from_slice(&bytes(hex)).expect("readable")
+    rmp_serde::from_slice(&bytes(hex)).expect("the frame is readable")
 }
 
 fn plain_status() -> PeerStatus {
@@ -48,7 +51,8 @@
     }
 }
 
-fn status_with_all() -> PeerStatus {
+/// Returns a status that uses every field.
+fn full_status() -> PeerStatus {
     PeerStatus {
         is_leader: true,
         store_reachable: false,
@@ -71,7 +75,8 @@
     }
 }
 
-fn status_with_page() -> PeerStatus {
+/// Returns a status with the first page of an acknowledgement that has more pages.
+fn status_with_ack_page() -> PeerStatus {
     PeerStatus {
         ack: Some(CancellationAck {
             next: AckCursor {
@@ -85,13 +90,11 @@
     }
 }
 
+/// Returns each request that is sampled, with the name of its sample.
 fn requests() -> Vec<(&'static str, PeerRequest)> {
     let id = "job-000001".to_owned();
     vec![
-        (
-            "ask-status-with-all",
-            PeerRequest::Heartbeat(status_with_all()),
-        ),
+        ("ask-status-with-all", PeerRequest::Heartbeat(full_status())),
         ("ask-status-plain", PeerRequest::Heartbeat(plain_status())),
         (
             "ask-submit",
@@ -105,24 +108,25 @@
     ]
 }
 
+/// Returns each response that is sampled, with the name of its sample.
 fn responses() -> Vec<(&'static str, PeerResponse)> {
-    let answer = PeerResponse::User {
+    let user_response = PeerResponse::User {
         status: 200,
         body: "{}".to_owned(),
     };
     vec![
         (
             "say-status-with-word",
-            PeerResponse::Heartbeat(status_with_page()),
+            PeerResponse::Heartbeat(status_with_ack_page()),
         ),
         ("say-status-plain", PeerResponse::Heartbeat(plain_status())),
-        ("say-user", answer),
+        ("say-user", user_response),
         ("say-unable", PeerResponse::Unable),
     ]
 }
 
 #[test]
-fn production_frames_are_read_and_written_to_the_byte() {
+fn production_frames_are_read_and_written_byte_for_byte() {
     let all = samples(VERSION_1);
     assert_eq!(all.len(), requests().len() + responses().len());
     for (name, message) in requests() {
@@ -136,7 +140,7 @@
 }
 
 #[test]
-fn frames_of_protocol_version_0_are_read() {
+fn frames_of_protocol_version_0_are_readable() {
     let all = samples(VERSION_0);
     let expected = PeerStatus {
         is_leader: true,
@@ -154,7 +158,7 @@
     }
 }
 
-/// What version 0 reads did not change: requests of users have been the same bytes ever since.
+/// Users' requests are encoded as in version 0, so that a controller of version 0 can read them.
 #[test]
 fn requests_of_users_are_written_as_version_0_wrote_them() {
     let all = samples(VERSION_0);
@@ -164,13 +168,13 @@
 }
 
 #[test]
-fn the_protocol_version_is_the_one_that_is_sampled() {
+fn the_protocol_version_is_that_of_the_samples() {
     assert_eq!(PROTOCOL_VERSION, plain_status().protocol_version);
 }
 
-/// A field that a later version adds is skipped.
+/// A later version may add fields; this version must ignore them.
 #[test]
-fn unknown_fields_of_a_later_version_are_skipped() {
+fn unknown_fields_of_a_later_version_are_ignored() {
     #[derive(Serialize)]
     struct LaterStatus {
         node: &'static str,
@@ -208,10 +212,10 @@
     );
 }
 
-/// Frames that are cut short, have a byte changed, or carry a request that only a later version knows are
-/// refused or read as something valid; nothing panics.
+/// Truncated frames and frames with an unknown message are refused. A frame with a changed byte may be refused or read
+/// as another valid message, but reading it must not panic.
 #[test]
-fn damaged_and_unknown_frames_are_refused() {
+fn damaged_and_unknown_frames_are_refused_or_read_without_panic() {
     let unknown = [
         "81a554726164658101a3",
         "a85265736574416c6c",
@@ -228,11 +232,14 @@
         for end in 0..frame.len() {
             let request = rmp_serde::from_slice::<PeerRequest>(&frame[..end]);
             let response = rmp_serde::from_slice::<PeerResponse>(&frame[..end]);
-            assert!(request.is_err() && response.is_err(), "{name} up to {end}");
+            assert!(
+                request.is_err() && response.is_err(),
+                "the first {end} bytes of {name} are refused"
+            );
         }
-        for at in 0..frame.len() {
+        for position in 0..frame.len() {
             let mut changed = frame.clone();
-            changed[at] ^= 0xff;
+            changed[position] ^= 0xff;
             let _ = rmp_serde::from_slice::<PeerRequest>(&changed);
             let _ = rmp_serde::from_slice::<PeerResponse>(&changed);
         }
--- a/crates/saltpitch-core/tests/machine.rs
+++ b/crates/saltpitch-core/tests/machine.rs
@@ -1,4 +1,4 @@
-//! What the components of a machine and the machine index keep true.
+//! Tests of the components of a machine and of the machine index.
 
 mod harness;
 
@@ -9,14 +9,22 @@
 };
 use saltpitch_core::machine_index::MachineIndex;
 
-const FRESHNESS: Micros = Micros::from_secs(6);
+const HEARTBEAT_FRESHNESS: Micros = Micros::from_secs(6);
 
+/// Returns a machine that was ordered at second 1 and has not sent a heartbeat.
 fn machine(name: &str) -> Machine {
-    let kind = Arc::new(catalog().types[0].clone());
-    Machine::new(name, kind, "east".into(), false, "10.0.0.1:80", secs(1))
+    let machine_type = Arc::new(catalog().types[0].clone());
+    Machine::new(
+        name,
+        machine_type,
+        "east".into(),
+        false,
+        "10.0.0.1:80",
+        secs(1),
+    )
 }
 
-/// A machine on which tasks may be placed.
+/// Returns a machine on which tasks may be placed.
 fn ready_machine(name: &str) -> Machine {
     let mut machine = machine(name);
     machine.lifecycle.set_recorded();
@@ -32,17 +40,19 @@
     }
 }
 
+/// Returns the context of a heartbeat that arrives at second `now`, in a leadership whose first term is 5.
 fn context(now: u64) -> StatusContext {
     StatusContext {
         is_heartbeat: true,
         first_term: 5,
         lease: secs(14),
-        heartbeat_freshness: FRESHNESS,
+        heartbeat_freshness: HEARTBEAT_FRESHNESS,
         now: secs(now),
     }
 }
 
-fn signs(sequence: u64, fencing_token: u64) -> AnswerEvidence {
+/// Returns the evidence of a heartbeat that does not directly follow an answered one.
+fn evidence(sequence: u64, fencing_token: u64) -> AnswerEvidence {
     AnswerEvidence {
         sequence,
         fencing_token,
@@ -54,16 +64,22 @@
 fn a_return_is_requested_once_and_confirmed_once() {
     let mut lifecycle = Lifecycle::new(secs(1));
     assert!(lifecycle.register(secs(2)));
-    assert!(!lifecycle.register(secs(3)), "it is up already");
+    assert!(
+        !lifecycle.register(secs(3)),
+        "the machine is registered already"
+    );
     assert_eq!(lifecycle.up_since(), secs(2));
-    assert!(!lifecycle.confirm_return(), "none was requested");
+    assert!(!lifecycle.confirm_return(), "no return was requested");
     assert!(lifecycle.request_return());
     assert!(!lifecycle.request_return());
     assert_eq!(lifecycle.phase(), MachinePhase::ReturnRequested);
     assert!(lifecycle.confirm_return());
     assert!(!lifecycle.confirm_return());
     assert_eq!(lifecycle.phase(), MachinePhase::Returning);
-    assert!(!lifecycle.register(secs(9)), "what returns stays so");
+    assert!(
+        !lifecycle.register(secs(9)),
+        "a returning machine is not registered again"
+    );
     assert!(!lifecycle.request_return());
 }
 
@@ -80,7 +96,7 @@
 }
 
 #[test]
-fn a_new_epoch_begins_the_order_of_heartbeats_anew() {
+fn a_new_epoch_resets_the_order_of_heartbeats() {
     let mut agent = AgentState::default();
     agent.status_received(&status(1, 7, 0));
     agent.heartbeat_answered(7);
@@ -91,11 +107,14 @@
     assert!(agent.is_newer(&first_of_second));
     agent.status_received(&first_of_second);
     assert!(!agent.is_stale_heartbeat(&first_of_second));
-    assert!(!agent.follows_answer(&status(2, 2, 0)), "none was answered");
+    assert!(
+        !agent.follows_answer(&status(2, 2, 0)),
+        "no heartbeat of the new epoch was answered"
+    );
 }
 
 #[test]
-fn a_start_may_arrive_until_a_later_heartbeat_was_answered() {
+fn a_start_may_arrive_until_a_later_heartbeat_is_answered() {
     let mut agent = AgentState::default();
     agent.status_received(&status(1, 1, 0));
     agent.heartbeat_answered(1);
@@ -106,7 +125,7 @@
 }
 
 #[test]
-fn a_lease_counts_from_the_latest_of_all_that_may_have_renewed_it() {
+fn a_lease_counts_from_the_latest_possible_renewal() {
     let mut lease = AgentLease::default();
     assert_eq!(lease.expires_at(secs(10), secs(14)), secs(24));
     lease.epoch_observed(true, secs(12));
@@ -119,17 +138,20 @@
 }
 
 #[test]
-fn an_unacknowledged_start_ends_with_a_higher_token_or_a_new_epoch() {
+fn an_unacknowledged_start_is_cleared_by_a_higher_token_or_a_new_epoch() {
     let mut commands = CommandChannel::default();
     commands.call_sent(secs(2), secs(10));
-    assert!(!commands.is_ready(secs(60)), "the call is under way");
+    assert!(!commands.is_ready(secs(60)), "a call is in flight");
     commands.call_ended();
     commands.back_off(secs(1), secs(11));
     assert!(!commands.is_ready(secs(11)));
     assert!(commands.is_ready(secs(12)));
     commands.start_unacknowledged(5, secs(11));
     commands.token_observed(5);
-    assert!(commands.has_unacknowledged_start(), "the same token");
+    assert!(
+        commands.has_unacknowledged_start(),
+        "the token is not higher"
+    );
     commands.token_observed(6);
     assert!(!commands.has_unacknowledged_start());
     commands.start_unacknowledged(6, secs(13));
@@ -138,52 +160,58 @@
 }
 
 #[test]
-fn two_ignored_answers_make_an_inbound_partition_suspected_and_heartbeats_make_it_certain() {
+fn two_ignored_answers_raise_the_suspicion_of_an_inbound_partition_and_heartbeats_confirm_it() {
     let mut inbound = InboundPartition::default();
-    inbound.answer_sent(7, signs(1, 5));
-    inbound.heartbeat_received(signs(2, 5), FRESHNESS, secs(2));
-    assert!(!inbound.is_suspected(), "one answer may be lost");
-    inbound.heartbeat_received(signs(3, 5), FRESHNESS, secs(4));
+    inbound.answer_sent(7, evidence(1, 5));
+    inbound.heartbeat_received(evidence(2, 5), HEARTBEAT_FRESHNESS, secs(2));
+    assert!(
+        !inbound.is_suspected(),
+        "a single answer may have been lost"
+    );
+    inbound.heartbeat_received(evidence(3, 5), HEARTBEAT_FRESHNESS, secs(4));
     assert_eq!(inbound.suspected_since(), Some(secs(4)));
-    inbound.heartbeat_received(signs(4, 5), FRESHNESS, secs(6));
+    inbound.heartbeat_received(evidence(4, 5), HEARTBEAT_FRESHNESS, secs(6));
     assert!(!inbound.is_confirmed(secs(3), secs(6)));
     assert!(inbound.is_confirmed(secs(3), secs(8)));
-    inbound.heartbeat_received(signs(5, 7), FRESHNESS, secs(9));
-    assert!(!inbound.is_suspected(), "the token was seen");
+    inbound.heartbeat_received(evidence(5, 7), HEARTBEAT_FRESHNESS, secs(9));
+    assert!(!inbound.is_suspected(), "the agent has seen the token");
 }
 
 #[test]
-fn failed_calls_count_only_while_no_answer_was_seen() {
+fn failed_calls_count_only_if_no_answer_was_seen_recently() {
     let mut inbound = InboundPartition::default();
-    let follows = AnswerEvidence {
+    let after_answer = AnswerEvidence {
         follows_answer: true,
-        ..signs(2, 5)
+        ..evidence(2, 5)
     };
-    inbound.heartbeat_received(follows, FRESHNESS, secs(2));
-    inbound.direct_call_ended(false, FRESHNESS, secs(3));
-    inbound.direct_call_ended(false, FRESHNESS, secs(4));
+    inbound.heartbeat_received(after_answer, HEARTBEAT_FRESHNESS, secs(2));
+    inbound.direct_call_ended(false, HEARTBEAT_FRESHNESS, secs(3));
+    inbound.direct_call_ended(false, HEARTBEAT_FRESHNESS, secs(4));
     assert!(!inbound.is_suspected());
-    inbound.direct_call_ended(false, FRESHNESS, secs(9));
+    inbound.direct_call_ended(false, HEARTBEAT_FRESHNESS, secs(9));
     assert!(inbound.is_suspected());
-    inbound.direct_call_ended(true, FRESHNESS, secs(10));
+    inbound.direct_call_ended(true, HEARTBEAT_FRESHNESS, secs(10));
     assert!(!inbound.is_suspected());
 }
 
 #[test]
-fn an_outbound_partition_is_counted_anew_and_evicted_once() {
+fn an_outbound_partition_can_be_timed_again_and_is_evicted_once() {
     let mut outbound = OutboundPartition::default();
     assert!(outbound.detect(secs(5)));
     assert!(!outbound.detect(secs(7)));
     assert_eq!(outbound.duration(secs(9)), secs(4));
     outbound.reset_timer();
     assert_eq!(outbound.duration(secs(9)), Micros::ZERO);
-    assert!(outbound.is_detected(), "until the next heartbeat");
+    assert!(
+        outbound.is_detected(),
+        "the partition lasts until the next heartbeat"
+    );
     assert!(outbound.begin_eviction());
     assert!(!outbound.begin_eviction());
 }
 
 #[test]
-fn two_unanswered_probes_count_until_the_agent_is_heard() {
+fn two_failed_probes_count_until_a_status_is_received() {
     let mut probes = Probes::default();
     probes.probe_sent(secs(1), secs(10));
     assert!(!probes.is_due(Micros(secs(11).0 - 1)));
@@ -199,12 +227,12 @@
 }
 
 #[test]
-fn the_least_recently_used_images_make_way() {
+fn the_least_recently_used_image_is_removed_first() {
     let mut images = LocalImages::default();
     images.use_image("a", 40, 100, secs(1));
     images.use_image("b", 40, 100, secs(2));
-    let known = images.use_image("a", 40, 100, secs(3));
-    assert!(known.added.is_empty() && known.removed.is_empty());
+    let unchanged = images.use_image("a", 40, 100, secs(3));
+    assert!(unchanged.added.is_empty() && unchanged.removed.is_empty());
     let changes = images.use_image("c", 40, 100, secs(4));
     assert_eq!(changes.added, ["c"]);
     assert_eq!(changes.removed, ["b"]);
@@ -212,22 +240,28 @@
 }
 
 #[test]
-fn restored_images_are_dropped_by_a_later_epoch_only() {
+fn only_a_later_epoch_removes_restored_images() {
     let mut images = LocalImages::default();
     images.mark_restored(3);
     images.use_image("a", 40, 100, secs(1));
     assert!(images.epoch_observed(3).is_empty());
-    assert!(images.epoch_observed(4).is_empty(), "it was heard before");
+    assert!(
+        images.epoch_observed(4).is_empty(),
+        "epoch 3 was already observed"
+    );
     images.mark_restored(3);
     assert_eq!(images.epoch_observed(4), ["a"]);
     assert!(!images.contains("a"));
 }
 
 #[test]
-fn several_failed_jobs_cordon_a_machine_until_they_are_cleared() {
+fn two_failed_jobs_cordon_a_machine_until_one_is_cleared() {
     let mut cordon = Cordon::default();
     assert!(!cordon.set_failed_job(1, true, 2));
-    assert!(!cordon.set_failed_job(1, true, 2), "the same job");
+    assert!(
+        !cordon.set_failed_job(1, true, 2),
+        "the same job counts once"
+    );
     assert!(cordon.set_failed_job(2, true, 2));
     assert!(cordon.is_active());
     assert!(cordon.set_failed_job(1, false, 2));
@@ -235,14 +269,14 @@
 }
 
 #[test]
-fn a_machine_takes_tasks_once_it_is_up_recorded_and_fenced() {
+fn a_machine_is_schedulable_once_it_is_registered_recorded_and_fenced() {
     let mut machine = machine("vm-1");
     let changes = machine.status_received(&status(1, 1, 4), context(2));
     assert!(changes.registered && !changes.fenced);
     machine.lifecycle.set_recorded();
     assert!(
         !machine.is_schedulable(),
-        "an earlier leader may start tasks"
+        "an earlier leader may still start tasks there"
     );
     let changes = machine.status_received(&status(1, 2, 5), context(4));
     assert!(changes.fenced && !changes.registered);
@@ -250,7 +284,7 @@
     machine.connectivity.set_unresponsive(true);
     assert!(!machine.is_schedulable());
     machine.status_received(&status(1, 3, 5), context(6));
-    assert!(machine.is_schedulable(), "it is heard again");
+    assert!(machine.is_schedulable(), "a heartbeat arrived again");
     machine.cordon.activate();
     assert!(!machine.is_schedulable());
 }
@@ -275,7 +309,7 @@
 }
 
 #[test]
-fn a_search_goes_on_where_it_was_cut_short_and_is_repeated_after_the_group_has_grown() {
+fn a_search_continues_where_it_was_cut_short_and_is_repeated_after_free_capacity_increased() {
     let mut index = MachineIndex::default();
     let mut machines: Vec<Machine> = ["vm-1", "vm-2", "vm-3"].map(ready_machine).into();
     for machine in &mut machines {
@@ -288,11 +322,25 @@
         mem: 64_000,
     };
     let group = &mut index.groups_mut()[0];
-    assert_eq!(group.search(&too_much_memory, 2).steps, 3, "cut short");
-    assert!(group.search(&too_much_memory, 2).steps < 3, "the rest");
+    assert_eq!(
+        group.search(&too_much_memory, 2).steps,
+        3,
+        "the search is cut short"
+    );
+    assert!(
+        group.search(&too_much_memory, 2).steps < 3,
+        "the search continues with the remaining machines"
+    );
     let whole = group.search(&too_much_memory, 10);
-    assert_eq!(whole.steps, 4, "all of it, with nothing found");
-    assert_eq!(group.search(&too_much_memory, 10).steps, 1, "known");
+    assert_eq!(
+        whole.steps, 4,
+        "the whole group is searched, without a result"
+    );
+    assert_eq!(
+        group.search(&too_much_memory, 10).steps,
+        1,
+        "the result is known"
+    );
     let need = spec(JobKind::Array, 1, 2).need;
     let found = group.search(&need, 10);
     assert_eq!(found.machines, ["vm-1", "vm-2", "vm-3"].map(Arc::from));
@@ -300,15 +348,23 @@
     machine.allocations.add(1, 0, &spec(JobKind::Array, 1, 2));
     index.update(machine);
     let found = index.groups_mut()[0].search(&need, 10);
-    assert_eq!(found.machines[0], Arc::from("vm-1"), "the fullest first");
+    assert_eq!(
+        found.machines[0],
+        Arc::from("vm-1"),
+        "the fullest machine comes first"
+    );
     machine.release(1, 0, &spec(JobKind::Array, 1, 2), secs(9));
     index.update(machine);
     let group = &mut index.groups_mut()[0];
-    assert_eq!(group.search(&too_much_memory, 10).steps, 4, "it has grown");
+    assert_eq!(
+        group.search(&too_much_memory, 10).steps,
+        4,
+        "the free capacity has increased"
+    );
 }
 
 #[test]
-fn members_are_handed_out_in_turn() {
+fn next_members_returns_the_machines_in_turn() {
     let mut index = MachineIndex::default();
     let mut machines: Vec<Machine> = ["vm-1", "vm-2", "vm-3"].map(ready_machine).into();
     for machine in &mut machines {
--- a/crates/saltpitch-core/tests/record_samples.rs
+++ b/crates/saltpitch-core/tests/record_samples.rs
@@ -1,5 +1,5 @@
-//! Records between versions: what each version that may be in production wrote is read, and what this
-//! version writes is, to the byte, what the newest of them writes and reads.
+//! Compatibility of records between versions: this version reads what each version wrote that may be in production,
+//! and what it writes equals byte for byte what the newest of them writes and reads.
 
 use std::sync::Arc;
 
@@ -18,15 +18,15 @@
 mod common;
 use common::{sample, samples, Sample};
 
-/// Written before there were pipelines.
+/// Records of a version that had no pipelines yet.
 const BEFORE_PIPELINES: &str = include_str!("samples/records-0eaad3a.tsv");
-/// Written by the version in production.
+/// Records of the version in production.
 const PRODUCTION: &str = include_str!("samples/records-839b1d9.tsv");
 
 const TIME: Micros = Micros(1_700_000_000_000_000);
 
 fn raw(text: &str) -> Box<RawValue> {
-    RawValue::from_string(text.to_owned()).expect("JSON")
+    RawValue::from_string(text.to_owned()).expect("the value is JSON")
 }
 
 fn gang_spec() -> JobSpec {
@@ -110,10 +110,10 @@
     }
 }
 
-/// What this version writes for each of the samples.
-fn written() -> Vec<(String, String)> {
+/// Returns the key and the value that this version writes for each of the samples.
+fn written_records() -> Vec<(String, String)> {
     fn row<T: Serialize>(key: impl Into<String>, record: &T) -> (String, String) {
-        let value = serde_json::to_string(record).expect("serialisable");
+        let value = serde_json::to_string(record).expect("the record is serialisable");
         (key.into(), value)
     }
     let machine_type = MachineType {
@@ -177,7 +177,7 @@
     for task in [0, 1, 2, 4] {
         completed.add_done(task);
     }
-    let done_at = JobRecord::final_record(JobState::Done, Some(TIME));
+    let done = JobRecord::final_record(JobState::Done, Some(TIME));
     let catalog = Catalog {
         types: vec![machine_type],
     };
@@ -198,7 +198,7 @@
         row(job_key("job-000006"), &shortened),
         row(job_key("job-000007"), &accepted(service_spec())),
         row(job_key("job-000008"), &accepted(low_priority_spec())),
-        row(job_key("job-000002"), &done_at),
+        row(job_key("job-000002"), &done),
         row(
             job_key("job-000009"),
             &JobRecord::final_record(JobState::Done, None),
@@ -218,9 +218,10 @@
     ]
 }
 
-fn view_of(all: &[Sample]) -> RecordCache {
+/// Puts all samples, in their order.
+fn records_of(samples: &[Sample]) -> RecordCache {
     let mut records = RecordCache::default();
-    for (i, Sample { name, content }) in all.iter().enumerate() {
+    for (i, Sample { name, content }) in samples.iter().enumerate() {
         let revision = i as u64 + 1;
         records.put(name, &raw(content), revision).expect(name);
     }
@@ -229,9 +230,9 @@
 
 /// Keys, names, variants and the order of fields are a published format.
 #[test]
-fn records_are_written_as_production_writes_them_to_the_byte() {
+fn records_are_written_byte_for_byte_as_production_writes_them() {
     let all = samples(PRODUCTION);
-    let written = written();
+    let written = written_records();
     assert_eq!(all.len(), written.len());
     for (sample, (key, value)) in all.iter().zip(written) {
         assert_eq!((sample.name, sample.content), (&*key, &*value));
@@ -239,8 +240,8 @@
 }
 
 #[test]
-fn records_of_production_are_read() {
-    let records = view_of(&samples(PRODUCTION));
+fn records_written_by_production_are_readable() {
+    let records = records_of(&samples(PRODUCTION));
     assert_eq!(
         (
             records.term.value.term,
@@ -249,12 +250,18 @@
         (4, TIME)
     );
     assert_eq!(
-        records.leader.as_ref().map(|l| l.value.incarnation),
+        records
+            .leader
+            .as_ref()
+            .map(|leader| leader.value.incarnation),
         Some(9)
     );
     assert_eq!(records.incarnation_of("n1"), 9);
     assert_eq!(
-        records.catalog.as_ref().map(|c| c.value.types[0].boot),
+        records
+            .catalog
+            .as_ref()
+            .map(|catalog| catalog.value.types[0].boot),
         Some(Micros::from_secs(45))
     );
     let spec = |id: &str| records.jobs[id].record.spec.as_deref().cloned();
@@ -267,13 +274,13 @@
     for id in ["job-000003", "job-000005", "job-000006"] {
         assert_eq!(records.job_state(id), Some(JobState::Cancelled), "{id}");
     }
-    // Of the segment and the newer checkpoint, the checkpoint counts.
+    // The checkpoint is newer than the segment, so the checkpoint's state is used.
     assert_eq!(records.task_counts("job-000001"), (1, 0));
     assert_eq!(records.task_counts("job-000008"), (0, 5));
     assert_eq!(records.last_segment, 2_056);
     assert!(
         records.machine_blocks[&1].value.machines[1].2,
-        "its return is intended"
+        "the return of the machine is requested"
     );
     assert_eq!(
         records.machine_blocks[&2].value.machines[0],
@@ -282,8 +289,8 @@
 }
 
 #[test]
-fn records_from_before_pipelines_are_read() {
-    let records = view_of(&samples(BEFORE_PIPELINES));
+fn records_from_before_pipelines_are_readable() {
+    let records = records_of(&samples(BEFORE_PIPELINES));
     assert_eq!(records.term.value.term, 4);
     assert_eq!(records.incarnation_of("n1"), 9);
     let job = &records.jobs["job-000001"].record;
@@ -293,100 +300,118 @@
     assert_eq!(
         records.task_counts("job-000001"),
         (1, 0),
-        "the checkpoint is the newer one"
+        "the checkpoint is newer than the segment"
     );
     assert_eq!(records.machine_blocks[&1].value.machines[0].0, "vm-000001");
 }
 
-/// Where nothing new is used, what is written is what the version before pipelines wrote, to the byte.
+/// Records that use no pipelines equal byte for byte what the version before pipelines wrote.
 #[test]
-fn what_does_not_use_pipelines_is_written_as_before_them() {
+fn records_without_pipelines_are_written_as_before_them() {
     let all = samples(BEFORE_PIPELINES);
-    let json = |record: &JobRecord| serde_json::to_string(record).expect("serialisable");
-    let over = |state| json(&JobRecord::final_record(state, None));
+    let json =
+        |record: &JobRecord| serde_json::to_string(record).expect("the record is serialisable");
+    let final_record = |state| json(&JobRecord::final_record(state, None));
     assert_eq!(
         json(&accepted(gang_spec())),
         sample(&all, "salt/j/job-000001")
     );
-    assert_eq!(over(JobState::Done), sample(&all, "salt/j/job-000002"));
-    assert_eq!(over(JobState::Cancelled), sample(&all, "salt/j/job-000003"));
+    assert_eq!(
+        final_record(JobState::Done),
+        sample(&all, "salt/j/job-000002")
+    );
+    assert_eq!(
+        final_record(JobState::Cancelled),
+        sample(&all, "salt/j/job-000003")
+    );
 }
 
-/// What is new is one more field, beside those that the version before pipelines reads.
+/// Pipelines add one field to a job's specification, and one to the record of a job that is done. Every field that the
+/// version before pipelines reads is kept.
 #[test]
-fn pipelines_add_one_field_beside_the_old_ones() {
-    let fields = |v: &Value| -> Vec<String> {
-        let object = v.as_object().expect("an object");
+fn pipelines_add_one_field_and_keep_the_old_ones() {
+    let fields = |value: &Value| -> Vec<String> {
+        let object = value.as_object().expect("the value is an object");
         object.keys().cloned().collect()
     };
-    let parse = |text: &str| serde_json::from_str::<Value>(text).expect("JSON");
+    let parse = |text: &str| serde_json::from_str::<Value>(text).expect("the value is JSON");
     let mut spec = gang_spec();
     spec.dependencies = vec!["job-000009".to_owned()];
-    let new = parse(&serde_json::to_string(&accepted(spec)).expect("serialisable"));
+    let new = parse(&serde_json::to_string(&accepted(spec)).expect("the record is serialisable"));
     let old = parse(sample(&samples(BEFORE_PIPELINES), "salt/j/job-000001"));
     for field in fields(&old["d"]) {
         assert!(new["d"].get(&field).is_some(), "{field}");
     }
     assert_eq!(fields(&new["d"]).len(), fields(&old["d"]).len() + 1);
-    let over = JobRecord::final_record(JobState::Done, Some(Micros(7)));
-    let new = parse(&serde_json::to_string(&over).expect("serialisable"));
+    let final_record = JobRecord::final_record(JobState::Done, Some(Micros(7)));
+    let new = parse(&serde_json::to_string(&final_record).expect("the record is serialisable"));
     assert_eq!(new["s"], "done");
     assert_eq!(new["f"], 7);
 }
 
-/// The log goes round in its keys: read in their order, an older segment comes after a newer one, and the
-/// newer one's entries stay.
+/// The placement log reuses its keys, so in the order of keys an older segment may be read after a newer one. The
+/// newer segment's entries must be kept.
 #[test]
-fn of_two_segments_the_newer_counts_whatever_the_order() {
+fn the_newer_of_two_segments_counts_in_any_order_of_reading() {
     let mut records = RecordCache::default();
     let newer = r#"{"n":16,"e":[["job-000001",[[0,2,"vm-000002",1,0]]]]}"#;
     let older = r#"{"n":1,"e":[["job-000001",[[0,1,"vm-000001",1,0]]]]}"#;
-    let job = samples(BEFORE_PIPELINES);
+    let all = samples(BEFORE_PIPELINES);
     records
         .put(
             "salt/j/job-000001",
-            &raw(sample(&job, "salt/j/job-000001")),
+            &raw(sample(&all, "salt/j/job-000001")),
             5,
         )
-        .expect("read");
-    records.put("salt/l/0", &raw(newer), 9).expect("read");
-    records.put("salt/l/1", &raw(older), 6).expect("read");
+        .expect("the record is readable");
+    records
+        .put("salt/l/0", &raw(newer), 9)
+        .expect("the record is readable");
+    records
+        .put("salt/l/1", &raw(older), 6)
+        .expect("the record is readable");
     let task = &records.tasks["job-000001"].tasks[0];
     assert_eq!(task.attempt, 2);
     assert_eq!(
-        task.allocation.as_ref().map(|p| &*p.machine),
+        task.allocation
+            .as_ref()
+            .map(|allocation| &*allocation.machine),
         Some("vm-000002")
     );
     assert_eq!(records.last_segment, 16);
 }
 
-/// A field that a later version adds is skipped.
+/// A later version may add fields; this version must ignore them.
 #[test]
-fn unknown_fields_of_a_later_version_are_skipped() {
+fn unknown_fields_of_a_later_version_are_ignored() {
     for Sample { name, content } in samples(PRODUCTION) {
-        let mut value: Value = serde_json::from_str(content).expect("JSON");
-        let object = value.as_object_mut().expect("an object");
+        let mut value: Value = serde_json::from_str(content).expect("the value is JSON");
+        let object = value.as_object_mut().expect("the value is an object");
         object.insert("later".to_owned(), serde_json::json!({"a": [1]}));
         let mut records = RecordCache::default();
         records.put(name, &raw(&value.to_string()), 1).expect(name);
     }
 }
 
-/// A record that is cut short, of another shape, or of a state that only a later version knows is refused,
-/// and the copy of the records stays as it was, to the last field.
+/// A record of another shape, or with a state that only a later version knows, is refused and leaves every field of the
+/// record cache unchanged.
 #[test]
-fn unreadable_records_leave_the_copy_as_it_was() {
+fn unreadable_records_leave_the_record_cache_unchanged() {
     let all = samples(PRODUCTION);
-    let mut records = view_of(&all);
+    let mut records = records_of(&all);
     let before = format!("{records:?}");
     for Sample { name, content } in &all {
-        let later = content.replace("\"active\"", "\"suspended\"");
-        let mut bad = vec!["7".to_owned(), "[]".to_owned(), "null".to_owned()];
-        bad.extend((later != *content).then_some(later));
-        for value in bad {
-            let refused = records.put(name, &raw(&value), 1_000);
-            assert!(refused.is_err(), "{name} as {value}");
-            assert_eq!(format!("{records:?}"), before, "{name} as {value}");
+        let later_state = content.replace("\"active\"", "\"suspended\"");
+        let mut unreadable = vec!["7".to_owned(), "[]".to_owned(), "null".to_owned()];
+        unreadable.extend((later_state != *content).then_some(later_state));
+        for value in unreadable {
+            let result = records.put(name, &raw(&value), 1_000);
+            assert!(result.is_err(), "{name} with the value {value} is refused");
+            assert_eq!(
+                format!("{records:?}"),
+                before,
+                "{name} with the value {value} changes nothing"
+            );
             let mut empty = RecordCache::default();
             assert!(empty.put(name, &raw(&value), 1_000).is_err());
             assert_eq!(
