--- a/crates/saltpitch-core/tests/controller.rs
+++ b/crates/saltpitch-core/tests/controller.rs
@@ -1,5 +1,5 @@
-//! The controller's state machine: what heartbeats prove, what peers of either version are told, and
-//! until when a leader may answer agents.
+//! Tests of the controller's state machine: what heartbeats between controllers prove, what the answers to peers
+//! of both protocol versions say, and until when a leader may answer agents.
 
 mod harness;
 
@@ -14,8 +14,10 @@
 use saltpitch_core::messages::{PeerStatus, PROTOCOL_VERSION};
 use saltpitch_core::records::RecordChange;
 
+/// The time at which each test begins.
 const START: Micros = Micros::from_secs(100);
-const DOWN: StoreHealth = StoreHealth {
+/// The state service has been unreachable since [`START`].
+const STORE_UNREACHABLE: StoreHealth = StoreHealth {
     reachable: false,
     last_success_at: Some(START),
 };
@@ -31,7 +33,8 @@
     }
 }
 
-/// A controller "n0" in the east with one peer "n1" in the west, and the revision of its records.
+/// Returns the controller `n0` in the zone `east`, with one peer `n1` in `west`. It has read these records at
+/// revision 1 and announced itself.
 fn controller(stored: &[(&str, &str)]) -> Controller {
     let config = ControllerConfig {
         knows_delegations: false,
@@ -46,19 +49,23 @@
     let mut controller = Controller::new(config, 7, 1);
     let mut records = RecordCache::default();
     for (key, value) in stored {
-        records.put(key, &raw(value), 1).expect("readable");
+        records
+            .put(key, &raw(value), 1)
+            .expect("the record is readable");
     }
     records.revision = 1;
     controller
         .replace_records(records, START, START)
-        .expect("the present layout");
+        .expect("the records have the present layout");
     controller.set_catalog(catalog());
-    let announcement = controller.announcement().expect("not announced");
+    let announcement = controller
+        .announcement()
+        .expect("the controller is not announced yet");
     assert!(controller.confirm_announcement(announcement.incarnation, true));
     controller
 }
 
-/// The same, elected at [`START`].
+/// Returns the same controller after it was elected at [`START`], without any records.
 fn leader() -> Controller {
     let mut controller = controller(&[]);
     let campaign = controller
@@ -76,7 +83,7 @@
 }
 
 fn raw(text: &str) -> Box<RawValue> {
-    RawValue::from_string(text.to_owned()).expect("JSON")
+    RawValue::from_string(text.to_owned()).expect("the value is JSON")
 }
 
 fn status_of_peer() -> PeerStatus {
@@ -96,86 +103,93 @@
 
 fn reachable_zones(controller: &mut Controller, now: Micros) -> Vec<String> {
     controller.poll(now);
-    let leader = controller.scheduler().expect("leads");
-    leader.reachable_zones().iter().cloned().collect()
+    let scheduler = controller.scheduler().expect("the controller leads");
+    scheduler.reachable_zones().iter().cloned().collect()
 }
 
-/// What lay in this process's sockets while it stood still is read late: an answer is as old as its
-/// request, and a heartbeat tells nothing of the time.
+/// A process that was paused reads messages late that have waited in its sockets. An answer therefore counts from
+/// the time of its request, and a peer's own heartbeat proves nothing about the present.
 #[test]
 fn an_answer_is_as_old_as_its_request() {
     let mut controller = leader();
     let epoch = controller.epoch();
-    let woke = START.plus(secs(12));
-    controller.peer_heartbeat_answered(status_of_peer(), START, epoch, woke);
-    assert_eq!(reachable_zones(&mut controller, woke), ["east"]);
-    // Nor does the peer's own heartbeat, which may have waited as long.
-    controller.peer_heartbeat_received(status_of_peer(), DOWN, woke);
-    assert_eq!(reachable_zones(&mut controller, woke), ["east"]);
-    controller.peer_heartbeat_answered(status_of_peer(), woke, epoch, woke);
-    assert_eq!(reachable_zones(&mut controller, woke), ["east", "west"]);
-    // An older answer that comes late takes nothing back.
-    let later = woke.plus(secs(1));
-    controller.peer_heartbeat_received(status_of_peer(), DOWN, later);
+    let resumed_at = START.plus(secs(12));
+    controller.peer_heartbeat_answered(status_of_peer(), START, epoch, resumed_at);
+    assert_eq!(reachable_zones(&mut controller, resumed_at), ["east"]);
+    // The peer's own heartbeat may have waited as long.
+    controller.peer_heartbeat_received(status_of_peer(), STORE_UNREACHABLE, resumed_at);
+    assert_eq!(reachable_zones(&mut controller, resumed_at), ["east"]);
+    controller.peer_heartbeat_answered(status_of_peer(), resumed_at, epoch, resumed_at);
+    assert_eq!(
+        reachable_zones(&mut controller, resumed_at),
+        ["east", "west"]
+    );
+    // A delayed message does not revoke what the answer has proven.
+    let later = resumed_at.plus(secs(1));
+    controller.peer_heartbeat_received(status_of_peer(), STORE_UNREACHABLE, later);
     assert_eq!(reachable_zones(&mut controller, later), ["east", "west"]);
 }
 
-/// An acknowledgement counts from its request, for the leadership that asked for it, and only if it comes
-/// from every peer's own list.
+/// An acknowledgement extends the time for answering agents from the time of its request, and only in the leadership
+/// that requested it. Every peer must acknowledge, each from its own list of cancellations.
 #[test]
-fn acknowledgements_extend_the_answers_of_the_leadership_that_asked() {
+fn acknowledgements_extend_the_time_for_answers_of_the_leadership_that_requested_them() {
     let bound = answer_bound(secs(44), secs(14));
     let mut peer = self::controller(&[]);
     let mut controller = leader();
     let epoch = controller.epoch();
-    let end = START.plus(bound);
-    assert!(controller.may_answer(end.since(Micros(1))));
-    assert!(!controller.may_answer(end));
-    let asked_at = START.plus(secs(10));
-    let peer_heartbeat = controller.peer_heartbeat("n1", DOWN, asked_at);
+    let bound_ends_at = START.plus(bound);
+    assert!(controller.may_answer(bound_ends_at.since(Micros(1))));
+    assert!(!controller.may_answer(bound_ends_at));
+    let requested_at = START.plus(secs(10));
+    let peer_heartbeat = controller.peer_heartbeat("n1", STORE_UNREACHABLE, requested_at);
     assert!(peer_heartbeat.ack_request.is_some());
-    let mut answer = peer.peer_heartbeat_received(peer_heartbeat, DOWN, asked_at);
+    let mut answer = peer.peer_heartbeat_received(peer_heartbeat, STORE_UNREACHABLE, requested_at);
     answer.node = "n1".to_owned();
     answer.term = 0;
     assert!(answer.ack.is_some());
-    let read_at = asked_at.plus(secs(9));
+    let read_at = requested_at.plus(secs(9));
     let other_epoch = epoch + 1;
-    controller.peer_heartbeat_answered(answer.clone(), asked_at, other_epoch, read_at);
-    assert!(!controller.may_answer(end));
-    controller.peer_heartbeat_answered(answer, asked_at, epoch, read_at);
-    assert!(controller.may_answer(asked_at.plus(bound).since(Micros(1))));
-    assert!(!controller.may_answer(asked_at.plus(bound)));
+    controller.peer_heartbeat_answered(answer.clone(), requested_at, other_epoch, read_at);
+    assert!(!controller.may_answer(bound_ends_at));
+    controller.peer_heartbeat_answered(answer, requested_at, epoch, read_at);
+    assert!(controller.may_answer(requested_at.plus(bound).since(Micros(1))));
+    assert!(!controller.may_answer(requested_at.plus(bound)));
 }
 
-/// A process that has not read the records since it started acknowledges nothing.
+/// A process that has not read the records since its start sends no acknowledgement and is no candidate. It could
+/// not list the cancellations that the leader may have missed.
 #[test]
 fn only_a_process_that_has_read_the_records_acknowledges() {
     let config = controller(&[]).config().clone();
     let mut restarted = Controller::new(config, 8, 2);
-    let request = leader().peer_heartbeat("n1", DOWN, START);
-    let answer = restarted.peer_heartbeat_received(request, DOWN, START);
+    let request = leader().peer_heartbeat("n1", STORE_UNREACHABLE, START);
+    let answer = restarted.peer_heartbeat_received(request, STORE_UNREACHABLE, START);
     assert_eq!(answer.ack, None);
     assert_eq!(restarted.candidacy(START, 0), Candidacy::No);
 }
 
-fn one_task() -> JobSpec {
+fn one_task_spec() -> JobSpec {
     harness::spec(JobKind::Array, 1, 1)
 }
 
 fn cancelled_job(revision: u64) -> RecordChange {
     let record = JobRecord {
         state: JobState::Cancelled,
-        ..JobRecord::accepted(START, Arc::new(one_task()))
+        ..JobRecord::accepted(START, Arc::new(one_task_spec()))
     };
     RecordChange {
         key: job_key("job-000001"),
-        value: Some(raw(&serde_json::to_string(&record).expect("serialisable"))),
+        value: Some(raw(
+            &serde_json::to_string(&record).expect("the record is serialisable")
+        )),
         revision,
     }
 }
 
-/// A leader of protocol version 0 answers beyond its bound while all peers say that they cannot reach the
-/// state service. A peer that may know of a cancellation which that leader missed does not say so.
+/// A leader of protocol version 0 answers agents beyond its bound while all peers report that they cannot reach the
+/// state service. A controller that may know a cancellation which that leader missed must not report this, or the
+/// cancelled job's tasks would continue to run.
 #[test]
 fn a_fresh_cancellation_is_not_hidden_from_a_leader_of_version_0() {
     let mut controller = controller(&[]);
@@ -187,22 +201,24 @@
         reachable: false,
         last_success_at: Some(last_success_at),
     };
-    // Reading the records may have brought cancellations; long after that, nothing is fresh.
+    // The initial read of the records may have included cancellations, which count as fresh until the state
+    // service has been reached long enough after it.
     let now = START.plus(secs(30));
-    let told = controller.peer_heartbeat_received(peer_heartbeat(0), store(START), now);
-    assert!(told.store_reachable);
-    let told = controller.peer_heartbeat_received(peer_heartbeat(0), store(now), now);
-    assert!(!told.store_reachable);
+    let answer = controller.peer_heartbeat_received(peer_heartbeat(0), store(START), now);
+    assert!(answer.store_reachable);
+    let answer = controller.peer_heartbeat_received(peer_heartbeat(0), store(now), now);
+    assert!(!answer.store_reachable);
     controller.apply_own_write(&cancelled_job(2), now, now);
-    let told = controller.peer_heartbeat_received(peer_heartbeat(0), store(now), now);
-    assert!(told.store_reachable);
-    // A peer of the present version is told the truth, and the cancellation itself.
-    let told = controller.peer_heartbeat_received(peer_heartbeat(1), store(now), now);
-    assert!(!told.store_reachable);
+    let answer = controller.peer_heartbeat_received(peer_heartbeat(0), store(now), now);
+    assert!(answer.store_reachable);
+    // A peer of the present version is told that the state service is unreachable, and receives the cancellation
+    // itself.
+    let answer = controller.peer_heartbeat_received(peer_heartbeat(1), store(now), now);
+    assert!(!answer.store_reachable);
 }
 
 #[test]
-fn a_newer_term_ends_the_leadership_and_is_told() {
+fn a_newer_term_ends_the_leadership_with_a_notice() {
     let mut controller = leader();
     let newer = PeerStatus {
         term: 2,
@@ -210,7 +226,7 @@
         ..status_of_peer()
     };
     let epoch = controller.epoch();
-    controller.peer_heartbeat_received(newer, DOWN, START);
+    controller.peer_heartbeat_received(newer, STORE_UNREACHABLE, START);
     assert!(!controller.may_answer(START));
     assert!(controller.scheduler_in_epoch(epoch).is_none());
     let lost = Notice::LeadershipLost {
@@ -220,9 +236,9 @@
     assert_eq!(controller.take_notices(), [lost]);
 }
 
-/// A record that this version cannot read is named once and changes nothing.
+/// A record that this version cannot read produces one notice and changes nothing else in the records.
 #[test]
-fn an_unreadable_record_is_named_and_skipped() {
+fn an_unreadable_record_produces_a_notice_and_is_skipped() {
     let mut controller = controller(&[]);
     let change = RecordChange {
         key: job_key("job-000009"),
@@ -239,10 +255,11 @@
     );
 }
 
-/// A small linear generator: the history has to be the same in each run.
-struct Draw(u64);
+/// A linear congruential generator, so that a seed always produces the same history.
+struct RandomNumbers(u64);
 
-impl Draw {
+impl RandomNumbers {
+    /// Returns the next number, which is below `bound`.
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
@@ -252,17 +269,18 @@
     }
 }
 
-/// A state service with a history of changes.
+/// The records in a state service, with all changes to them.
 #[derive(Default)]
 struct History {
+    /// The revision and value of each key.
     keys: std::collections::BTreeMap<String, (u64, String)>,
     changes: Vec<RecordChange>,
 }
 
 impl History {
     fn revision(&self) -> u64 {
-        // The records of `controller` are as of revision 1.
-        self.changes.last().map_or(1, |c| c.revision)
+        // `controller` creates its records at revision 1.
+        self.changes.last().map_or(1, |change| change.revision)
     }
 
     fn write(&mut self, key: &str, value: Option<String>) {
@@ -278,25 +296,25 @@
         });
     }
 
-    fn is_over(&self, key: &str) -> bool {
+    fn has_ended(&self, key: &str) -> bool {
         let value = self.keys.get(key).map(|(_, value)| value.as_str());
-        value.is_some_and(|v| !v.contains("active"))
+        value.is_some_and(|value| !value.contains("active"))
     }
 
-    /// A change as a leader or a user makes them: what is over stays so, a checkpoint is deleted only of
-    /// a job that is over, and no segment is overwritten that is still needed.
-    fn change(&mut self, draw: &mut Draw) {
-        let (job, machine) = (draw.below(30), draw.below(40));
+    /// Makes a random change that a leader or a user could make: a job that has ended stays so, only checkpoints of
+    /// ended jobs are deleted, and no segment is overwritten that is still needed.
+    fn make_random_change(&mut self, random: &mut RandomNumbers) {
+        let (job, machine) = (random.below(30), random.below(40));
         let job_key = format!("salt/j/job-{job:06}");
-        let over = self.is_over(&job_key);
-        match draw.below(6) {
-            0 if over => {}
-            0 => self.write(&job_key, Some(self.job(draw.below(8)))),
+        let has_ended = self.has_ended(&job_key);
+        match random.below(6) {
+            0 if has_ended => {}
+            0 => self.write(&job_key, Some(self.job(random.below(8)))),
             1 => {
-                let no = self.revision() + 1;
-                let entry = format!(r#"[0,{no},"vm-{machine:06}",1,{}]"#, draw.below(2));
-                let value = format!(r#"{{"n":{no},"e":[["job-{job:06}",[{entry}]]]}}"#);
-                self.write(&format!("salt/l/{no}"), Some(value));
+                let number = self.revision() + 1;
+                let entry = format!(r#"[0,{number},"vm-{machine:06}",1,{}]"#, random.below(2));
+                let value = format!(r#"{{"n":{number},"e":[["job-{job:06}",[{entry}]]]}}"#);
+                self.write(&format!("salt/l/{number}"), Some(value));
             }
             2 => {
                 let rows = format!(r#"["vm-{machine:06}","10.1.0.1:9000",false,5]"#);
@@ -305,34 +323,43 @@
             }
             3 => self.write(&format!("salt/b/{}", machine % 8), None),
             4 => {
-                let upto = self.revision() + 1;
-                let value = format!(r#"{{"l":{upto},"a":[1],"r":[[0,1]]}}"#);
+                let up_to_segment = self.revision() + 1;
+                let value = format!(r#"{{"l":{up_to_segment},"a":[1],"r":[[0,1]]}}"#);
                 self.write(&format!("salt/c/job-{job:06}/0"), Some(value));
             }
-            _ if over => self.write(&format!("salt/c/job-{job:06}/0"), None),
+            _ if has_ended => self.write(&format!("salt/c/job-{job:06}/0"), None),
             _ => {}
         }
     }
 
+    /// Returns the value of a job's record: 0 is done, 1 cancelled, and every other number active.
     fn job(&self, state: u64) -> String {
         match state {
             0 => r#"{"s":"done","t":0}"#.to_owned(),
             1 => r#"{"s":"cancelled","t":0}"#.to_owned(),
             _ => {
                 let change = cancelled_job(1);
-                let value = change.value.expect("a value").get().to_owned();
+                let value = change
+                    .value
+                    .expect("the change has a value")
+                    .get()
+                    .to_owned();
                 value.replace("cancelled", "active")
             }
         }
     }
 
+    /// Returns the changes after this revision.
     fn since(&self, revision: u64) -> Vec<RecordChange> {
-        let newer = self.changes.iter().filter(|c| c.revision > revision);
+        let newer = self
+            .changes
+            .iter()
+            .filter(|change| change.revision > revision);
         newer.cloned().collect()
     }
 }
 
-/// What a controller answers users and takes over from the records, in a command of its own.
+/// Returns what a controller derives from the records for users and for a new leader, in a fixed order.
 fn summary(records: &RecordCache) -> Vec<String> {
     let jobs = records.jobs.keys().map(|id| {
         let (state, counts) = (records.job_state(id), records.task_counts(id));
@@ -342,82 +369,88 @@
         .machine_blocks
         .iter()
         .map(|block| format!("{block:?}"));
-    let log = records
+    let segments = records
         .segments
         .iter()
-        .map(|(slot, s)| format!("{slot} {}", s.number));
-    let mut all: Vec<String> = jobs.chain(machine_blocks).chain(log).collect();
+        .map(|(slot, segment)| format!("{slot} {}", segment.number));
+    let mut all: Vec<String> = jobs.chain(machine_blocks).chain(segments).collect();
     all.sort();
     all.push(format!("segment {}", records.last_segment));
     all
 }
 
-/// After too many changes the records are listed page by page while they go on changing. With the changes
-/// since the first page, the copy is the same as that of a controller that followed all along.
+/// A controller that has missed too many changes lists the records page by page while they continue to change. After
+/// it has applied the changes since the first page, its records must equal those of a controller that has followed
+/// all changes.
 #[test]
-fn a_listing_in_pages_catches_up_with_changes_in_between() {
+fn a_paged_listing_catches_up_with_concurrent_changes() {
     for seed in 0..40 {
-        let mut draw = Draw(seed);
+        let mut random = RandomNumbers(seed);
         let mut history = History::default();
         let mut follower = controller(&[]);
         for _ in 0..300 {
-            history.change(&mut draw);
+            history.make_random_change(&mut random);
         }
         follower.apply_changes(1, history.since(1), history.revision(), START, START);
         let mut records = RecordCache::default();
         let first_page = history.revision();
-        let mut after = String::new();
+        let mut last_key = String::new();
         loop {
-            let later = (
-                std::ops::Bound::Excluded(after.clone()),
+            let remaining = (
+                std::ops::Bound::Excluded(last_key.clone()),
                 std::ops::Bound::Unbounded,
             );
-            let rows = history.keys.range::<String, _>(later).take(7);
+            let rows = history.keys.range::<String, _>(remaining).take(7);
             let page: Vec<(String, (u64, String))> =
                 rows.map(|(k, v)| (k.clone(), v.clone())).collect();
             let Some((last, _)) = page.last() else { break };
-            after.clone_from(last);
+            last_key.clone_from(last);
             for (key, (revision, value)) in &page {
-                records.put(key, &raw(value), *revision).expect("readable");
+                records
+                    .put(key, &raw(value), *revision)
+                    .expect("the record is readable");
             }
-            for _ in 0..draw.below(6) {
-                history.change(&mut draw);
+            for _ in 0..random.below(6) {
+                history.make_random_change(&mut random);
             }
         }
         records.revision = first_page;
-        let mut late = controller(&[]);
-        late.replace_records(records, START, START)
-            .expect("the present layout");
-        let from = late.records().revision;
-        late.apply_changes(from, history.since(from), history.revision(), START, START);
+        let mut reloaded = controller(&[]);
+        reloaded
+            .replace_records(records, START, START)
+            .expect("the records have the present layout");
+        let from = reloaded.records().revision;
+        reloaded.apply_changes(from, history.since(from), history.revision(), START, START);
         let from = follower.records().revision;
         follower.apply_changes(from, history.since(from), history.revision(), START, START);
         assert_eq!(
-            late.records().revision,
+            reloaded.records().revision,
             follower.records().revision,
             "seed {seed}"
         );
         assert_eq!(
-            summary(late.records()),
+            summary(reloaded.records()),
             summary(follower.records()),
             "seed {seed}"
         );
     }
 }
 
-/// A cancelled job's record changes again when the last of its tasks is gone, and every change may come
-/// twice: the log says once that the job ended. Found in incidents, where it stood there up to three times.
+/// The record of a cancelled job changes again when the last of its tasks is gone, and every change may arrive
+/// twice. The controller must give notice of the job's end only once; in incidents the log had it up to three times.
 #[test]
-fn the_end_of_a_job_is_told_once() {
+fn the_end_of_a_job_produces_one_notice() {
     let mut controller = leader();
-    let job = JobRecord::accepted(START, Arc::new(one_task()));
+    let job = JobRecord::accepted(START, Arc::new(one_task_spec()));
     let cancelled = JobRecord {
         state: JobState::Cancelled,
         ..job.clone()
     };
     let change = |record: &JobRecord, revision| RecordChange {
         key: job_key("job-1"),
-        value: Some(raw(&serde_json::to_string(record).expect("JSON"))),
+        value: Some(raw(
+            &serde_json::to_string(record).expect("the value is JSON")
+        )),
         revision,
     };
     let shortened = JobRecord::final_record(JobState::Cancelled, None);
@@ -427,9 +460,9 @@
         change(&cancelled, 4),
         change(&shortened, 5),
     ];
-    for one in history {
-        let revision = one.revision;
-        controller.apply_changes(revision - 1, vec![one], revision, START, START);
+    for change in history {
+        let revision = change.revision;
+        controller.apply_changes(revision - 1, vec![change], revision, START, START);
     }
     let notices = controller.take_notices();
     let ends = notices.iter().filter(|n| matches!(n, Notice::JobEnded(_)));
--- a/crates/saltpitch-core/tests/limits.rs
+++ b/crates/saltpitch-core/tests/limits.rs
@@ -1,5 +1,6 @@
-//! A store whose next limits have come into force: nothing larger is written, what was stored larger
-//! stays readable and can be changed, and whoever reads the records in between misses nothing.
+//! Tests of the scheduler with a state service whose announced next limits are in force: nothing above the limits is
+//! written, values that were stored under larger limits remain readable and can be changed, and the records are
+//! complete at any time.
 
 mod harness;
 
@@ -21,16 +22,18 @@
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
-const VALUE: usize = 1_024;
-const OPS: usize = 4;
+/// The largest value that the state service accepts.
+const MAX_VALUE_BYTES: usize = 1_024;
+/// The highest number of writes in one transaction.
+const MAX_TRANSACTION_WRITES: usize = 4;
 
 fn config() -> SchedulerConfig {
     let mut team = harness::config().teams.remove(0);
     (team.cpu, team.cpu_max) = (0, 0);
     SchedulerConfig {
-        max_transaction_writes: OPS,
+        max_transaction_writes: MAX_TRANSACTION_WRITES,
         next_write_rate: 6.0,
-        max_value_bytes: VALUE,
+        max_value_bytes: MAX_VALUE_BYTES,
         log_segments: 64,
         teams: vec![team],
         objectives: Vec::new(),
@@ -71,26 +74,31 @@
     }
 }
 
-/// A leader and a store with limits.
-struct LimitedStore {
+/// A leader's scheduler, with a state service that enforces its limits.
+struct LimitedStoreHarness {
+    /// The revision and value of each stored key.
     keys: BTreeMap<String, (u64, String)>,
-    rev: u64,
+    revision: u64,
+    /// The stored records, as a controller that follows the changes has them.
     records: RecordCache,
     scheduler: Scheduler,
     now: Micros,
+    /// The number of transactions rejected because of their size.
     rejected: usize,
+    /// The number of transactions rejected because of the rate limit.
     throttled: usize,
-    /// Changes that the store takes a second, and what it took of the present one.
-    rate: Option<usize>,
-    taken: (u64, usize),
+    /// The number of writes per second that the state service accepts, or `None` if it is unlimited.
+    write_rate: Option<usize>,
+    /// The present second, and the number of writes accepted in it.
+    accepted_writes: (u64, usize),
 }
 
-impl LimitedStore {
-    fn new(stored: &[(String, String)]) -> LimitedStore {
-        LimitedStore::with(config(), stored)
+impl LimitedStoreHarness {
+    fn new(stored: &[(String, String)]) -> LimitedStoreHarness {
+        LimitedStoreHarness::with_config(config(), stored)
     }
 
-    fn with(config: SchedulerConfig, stored: &[(String, String)]) -> LimitedStore {
+    fn with_config(config: SchedulerConfig, stored: &[(String, String)]) -> LimitedStoreHarness {
         let term = TermRecord {
             term: 5,
             node: "n0".to_owned(),
@@ -101,95 +109,116 @@
         let mut records = RecordCache::default();
         let term = (
             TERM_KEY.to_owned(),
-            serde_json::to_string(&term).expect("json"),
+            serde_json::to_string(&term).expect("the record is serialisable"),
         );
         for (key, value) in stored.iter().chain([&term]) {
             keys.insert(key.clone(), (1, value.clone()));
-            let raw = RawValue::from_string(value.clone()).expect("json");
-            records.put(key, &raw, 1).expect("readable");
+            let raw = RawValue::from_string(value.clone()).expect("the value is JSON");
+            records.put(key, &raw, 1).expect("the record is readable");
         }
         records.revision = 1;
         let now = secs(1_000);
         let scheduler = Scheduler::new(config, &records, catalog(), secs(0), now, now);
-        LimitedStore {
+        LimitedStoreHarness {
             keys,
-            rev: 1,
+            revision: 1,
             records,
             scheduler,
             now,
             rejected: 0,
             throttled: 0,
-            rate: None,
-            taken: (0, 0),
+            write_rate: None,
+            accepted_writes: (0, 0),
         }
     }
 
-    fn store(&mut self, preconditions: &[Precondition], writes: &[Write]) -> TransactionOutcome {
-        let large = |w: &Write| w.value.as_ref().is_some_and(|v| v.len() > VALUE);
-        if writes.len() > OPS || preconditions.len() > 4 * OPS || writes.iter().any(large) {
+    /// Commits a transaction if it is within the limits.
+    fn commit(&mut self, preconditions: &[Precondition], writes: &[Write]) -> TransactionOutcome {
+        let is_too_large = |write: &Write| {
+            let value = write.value.as_ref();
+            value.is_some_and(|value| value.len() > MAX_VALUE_BYTES)
+        };
+        if writes.len() > MAX_TRANSACTION_WRITES
+            || preconditions.len() > 4 * MAX_TRANSACTION_WRITES
+            || writes.iter().any(is_too_large)
+        {
             self.rejected += 1;
             return TransactionOutcome::TooLarge;
         }
         let second = self.now.0 / 1_000_000;
-        if self.taken.0 != second {
-            self.taken = (second, 0);
+        if self.accepted_writes.0 != second {
+            self.accepted_writes = (second, 0);
         }
-        if self.rate.is_some_and(|r| self.taken.1 + writes.len() > r) {
+        if self
+            .write_rate
+            .is_some_and(|rate| self.accepted_writes.1 + writes.len() > rate)
+        {
             self.throttled += 1;
             return TransactionOutcome::RateLimited;
         }
-        self.taken.1 += writes.len();
+        self.accepted_writes.1 += writes.len();
         for Precondition { key, revision } in preconditions {
-            assert_eq!(self.keys.get(key).map_or(0, |k| k.0), *revision, "{key}");
+            let stored = self.keys.get(key).map_or(0, |stored| stored.0);
+            assert_eq!(stored, *revision, "the precondition of {key} holds");
         }
-        self.rev += 1;
-        for w in writes {
-            match &w.value {
-                Some(v) => {
-                    self.keys.insert(w.key.clone(), (self.rev, v.clone()));
-                    let raw = RawValue::from_string(v.clone()).expect("json");
-                    self.records.put(&w.key, &raw, self.rev).expect("readable");
+        self.revision += 1;
+        for write in writes {
+            match &write.value {
+                Some(value) => {
+                    self.keys
+                        .insert(write.key.clone(), (self.revision, value.clone()));
+                    let raw = RawValue::from_string(value.clone()).expect("the value is JSON");
+                    self.records
+                        .put(&write.key, &raw, self.revision)
+                        .expect("the record is readable");
                 }
                 None => {
-                    self.keys.remove(&w.key);
-                    self.records.delete(&w.key, self.rev);
+                    self.keys.remove(&write.key);
+                    self.records.delete(&write.key, self.revision);
                 }
             }
         }
-        TransactionOutcome::Committed(self.rev)
+        TransactionOutcome::Committed(self.revision)
     }
 
     fn submit(&mut self, id: &str, spec: JobSpec) {
-        self.user(id, &JobRecord::accepted(self.now, Arc::new(spec)));
+        self.write_as_user(id, &JobRecord::accepted(self.now, Arc::new(spec)));
     }
 
     fn cancel(&mut self, id: &str, spec: JobSpec) {
-        let rec = JobRecord::accepted(self.now, Arc::new(spec));
+        let record = JobRecord::accepted(self.now, Arc::new(spec));
         let state = JobState::Cancelled;
-        self.user(id, &JobRecord { state, ..rec });
+        self.write_as_user(id, &JobRecord { state, ..record });
     }
 
-    fn user(&mut self, id: &str, rec: &JobRecord) {
+    /// Writes a job's record as a user's request does.
+    fn write_as_user(&mut self, id: &str, record: &JobRecord) {
         let write = Write {
             key: job_key(id),
-            value: serde_json::to_string(rec).ok(),
+            value: serde_json::to_string(record).ok(),
         };
-        // The users' part of the rate is not what is tested here.
-        (self.rate, self.taken) = (None, (0, 0));
+        // The tests concern the leader's writes, so users' writes don't count against the rate.
+        (self.write_rate, self.accepted_writes) = (None, (0, 0));
         assert!(matches!(
-            self.store(&[], &[write]),
+            self.commit(&[], &[write]),
             TransactionOutcome::Committed(_)
         ));
-        self.taken = (0, 0);
+        self.accepted_writes = (0, 0);
         self.scheduler
             .job_changed(&self.records, id, self.now, self.now);
     }
 
-    /// A second passes; these machines heartbeat. `check` is called after each write.
-    fn second(&mut self, machines: &[String], sequence: u64, check: &dyn Fn(&LimitedStore)) {
-        for m in machines {
-            let r = Heartbeat {
-                machine: m.clone(),
+    /// Lets these machines send a heartbeat and advances the time by one second. Calls `check` after each
+    /// transaction.
+    fn run_second(
+        &mut self,
+        machines: &[String],
+        sequence: u64,
+        check: &dyn Fn(&LimitedStoreHarness),
+    ) {
+        for machine in machines {
+            let status = Heartbeat {
+                machine: machine.clone(),
                 addr: "10.1.0.100:9000".to_owned(),
                 type_name: "plain".to_owned(),
                 zone: "east".to_owned(),
@@ -200,15 +229,15 @@
                 spot_notice: None,
                 tasks: Vec::new(),
             };
-            let _ = self.scheduler.heartbeat_received(r, false, self.now);
+            let _ = self.scheduler.heartbeat_received(status, false, self.now);
         }
         for _ in 0..20 {
             self.now = self.now.plus(Micros::from_millis(50));
-            for e in self.scheduler.poll(self.now) {
-                match e {
+            for effect in self.scheduler.poll(self.now) {
+                match effect {
                     Effect::Commit(transaction) => {
-                        let end = self.store(&transaction.preconditions, &transaction.writes);
-                        self.scheduler.transaction_ended(end, self.now);
+                        let outcome = self.commit(&transaction.preconditions, &transaction.writes);
+                        self.scheduler.transaction_ended(outcome, self.now);
                         check(self);
                     }
                     Effect::ReloadRecords => {
@@ -224,8 +253,8 @@
                     } => {
                         let sent =
                             SentCommands::new(machine, agent_epoch, fencing_token, &commands);
-                        let (now, end) = (self.now, CommandOutcome::NotSent);
-                        self.scheduler.command_ended(&sent, end, now);
+                        let (now, outcome) = (self.now, CommandOutcome::NotSent);
+                        self.scheduler.command_ended(&sent, outcome, now);
                     }
                     Effect::ScaleIn { names } => {
                         self.scheduler.scale_in_confirmed(&names, self.now)
@@ -237,14 +266,14 @@
     }
 }
 
-/// A block of machines stored when values could be larger is split; at no moment is a machine missing
-/// from the records, or taken for returned.
+/// A block of machines that was stored when values could be larger is split. At no time may a machine be missing from
+/// the records or count as returned, or a new leader would lose it.
 #[test]
-fn a_block_stored_larger_is_split_and_no_machine_is_lost() {
-    let names: Vec<String> = (100..160).map(|n| format!("vm-{n:06}")).collect();
+fn a_block_above_the_present_limit_is_split_without_losing_machines() {
+    let names: Vec<String> = (100..160).map(|number| format!("vm-{number:06}")).collect();
     let machines = names
         .iter()
-        .map(|n| MachineRecord(n.clone(), "10.1.0.100:9000".to_owned(), false, secs(900)))
+        .map(|name| MachineRecord(name.clone(), "10.1.0.100:9000".to_owned(), false, secs(900)))
         .collect();
     let block = MachineBlockRecord {
         type_name: "plain".to_owned(),
@@ -252,33 +281,41 @@
         spot: false,
         machines,
     };
-    let value = serde_json::to_string(&block).expect("json");
-    assert!(value.len() > 2 * VALUE);
-    let mut d = LimitedStore::new(&[(machine_block_key(1), value)]);
-    // All of them are wanted, one has failed.
-    d.submit("job-1", spec(480));
+    let value = serde_json::to_string(&block).expect("the record is serialisable");
+    assert!(value.len() > 2 * MAX_VALUE_BYTES);
+    let mut harness = LimitedStoreHarness::new(&[(machine_block_key(1), value)]);
+    // The job needs all machines; one of them has failed.
+    harness.submit("job-1", spec(480));
     let failed = names[7].clone();
-    let there = |d: &LimitedStore| {
-        for n in names.iter().filter(|n| **n != failed) {
-            let machine_blocks = d.records.machine_blocks.values();
-            let holding = machine_blocks.filter(|b| b.value.machines.iter().any(|m| m.0 == *n));
-            assert!(holding.count() >= 1, "{n} is not on record");
+    let check_machines = |harness: &LimitedStoreHarness| {
+        for name in names.iter().filter(|name| **name != failed) {
+            let machine_blocks = harness.records.machine_blocks.values();
+            let listing =
+                machine_blocks.filter(|block| block.value.machines.iter().any(|m| m.0 == *name));
+            assert!(listing.count() >= 1, "{name} is in no machine block");
             assert!(
-                !d.records.returned_machines.contains(n),
-                "{n} counts as returned"
+                !harness.records.returned_machines.contains(name),
+                "{name} counts as returned"
             );
         }
-        // Whoever takes over now has each of them once.
-        let next = Scheduler::new(config(), &d.records, catalog(), secs(0), d.now, d.now);
-        let all = next.summary();
+        // A leader that took over now would have each machine once.
+        let next = Scheduler::new(
+            config(),
+            &harness.records,
+            catalog(),
+            secs(0),
+            harness.now,
+            harness.now,
+        );
+        let summary = next.summary();
         assert!(
-            all.contains("machines 59") || all.contains("machines 60"),
-            "{all}"
+            summary.contains("machines 59") || summary.contains("machines 60"),
+            "a new leader has 59 or 60 machines: {summary}"
         );
     };
-    for s in 0..40 {
-        if s == 3 {
-            let gone = ListedMachine {
+    for second in 0..40 {
+        if second == 3 {
+            let listed = ListedMachine {
                 name: failed.clone(),
                 addr: "10.1.0.100:9000".to_owned(),
                 type_name: "plain".to_owned(),
@@ -287,135 +324,179 @@
                 failed: true,
                 age: secs(100),
             };
-            d.scheduler.machines_listed(&[gone], &|_| false, d.now);
+            harness
+                .scheduler
+                .machines_listed(&[listed], &|_| false, harness.now);
         }
-        d.second(&names, s + 1, &there);
+        harness.run_second(&names, second + 1, &check_machines);
     }
-    assert!((1..=2).contains(&d.rejected), "{} turned down", d.rejected);
-    assert!(d.records.returned_machines.contains(&failed));
-    for (key, (_, value)) in d.keys.iter().filter(|k| k.0.starts_with("salt/b/")) {
-        assert!(value.len() <= VALUE, "{key} has {} bytes", value.len());
+    assert!(
+        (1..=2).contains(&harness.rejected),
+        "{} transactions were rejected",
+        harness.rejected
+    );
+    assert!(harness.records.returned_machines.contains(&failed));
+    for (key, (_, value)) in harness
+        .keys
+        .iter()
+        .filter(|row| row.0.starts_with("salt/b/"))
+    {
+        assert!(
+            value.len() <= MAX_VALUE_BYTES,
+            "the value of {key} has {} bytes",
+            value.len()
+        );
     }
 }
 
-/// A checkpoint that does not fit in one value: its tasks are written to the log anew before the ring
-/// comes round, and whoever reads the records knows each place at any time.
+/// If a checkpoint does not fit in one value, its tasks are written to the placement log again before the ring of
+/// segments is reused. Otherwise their allocations would be overwritten. The records must contain every allocation
+/// at any time.
 #[test]
-fn what_does_not_fit_in_a_checkpoint_is_written_to_the_log_anew() {
-    let names: Vec<String> = (100..130).map(|n| format!("vm-{n:06}")).collect();
-    let mut d = LimitedStore::new(&[]);
-    d.second(&names, 1, &|_| {});
-    d.second(&names, 2, &|_| {});
-    d.submit("job-1", spec(100));
-    for s in 0..6 {
-        d.second(&names, s + 3, &|_| {});
+fn tasks_that_do_not_fit_in_a_checkpoint_are_written_to_the_log_again() {
+    let names: Vec<String> = (100..130).map(|number| format!("vm-{number:06}")).collect();
+    let mut harness = LimitedStoreHarness::new(&[]);
+    harness.run_second(&names, 1, &|_| {});
+    harness.run_second(&names, 2, &|_| {});
+    harness.submit("job-1", spec(100));
+    for second in 0..6 {
+        harness.run_second(&names, second + 3, &|_| {});
     }
-    let placed = |d: &LimitedStore| {
-        let tasks = &d.records.tasks["job-1"].tasks;
-        tasks.iter().filter(|t| t.allocation.is_some()).count()
+    let placed = |harness: &LimitedStoreHarness| {
+        let tasks = &harness.records.tasks["job-1"].tasks;
+        tasks
+            .iter()
+            .filter(|task| task.allocation.is_some())
+            .count()
     };
-    assert_eq!(placed(&d), 100);
-    let first = d.records.last_segment;
-    for s in 0..400u64 {
-        d.submit(&format!("job-{}", s + 10), spec(1));
-        if s >= 2 {
-            d.cancel(&format!("job-{}", s + 8), spec(1));
+    assert_eq!(placed(&harness), 100);
+    let first_segment = harness.records.last_segment;
+    for second in 0..400u64 {
+        harness.submit(&format!("job-{}", second + 10), spec(1));
+        if second >= 2 {
+            harness.cancel(&format!("job-{}", second + 8), spec(1));
         }
-        d.second(&names, s + 20, &|d: &LimitedStore| {
-            // Read anew from what the store holds, as a node does that has just started.
+        harness.run_second(&names, second + 20, &|harness: &LimitedStoreHarness| {
+            // Read all records from the state service, as a controller does that has just started.
             let mut fresh = RecordCache::default();
-            for (key, (rev, value)) in &d.keys {
-                let raw = RawValue::from_string(value.clone()).expect("json");
-                fresh.put(key, &raw, *rev).expect("readable");
+            for (key, (revision, value)) in &harness.keys {
+                let raw = RawValue::from_string(value.clone()).expect("the value is JSON");
+                fresh
+                    .put(key, &raw, *revision)
+                    .expect("the record is readable");
             }
             let tasks = &fresh.tasks["job-1"].tasks;
-            let known = tasks.iter().filter(|t| t.allocation.is_some()).count();
-            assert_eq!(known, 100, "places are missing");
+            let allocated = tasks
+                .iter()
+                .filter(|task| task.allocation.is_some())
+                .count();
+            assert_eq!(allocated, 100, "allocations are missing");
         });
     }
-    assert_eq!(d.rejected, 0);
-    let (last, all) = (d.records.last_segment, d.scheduler.summary());
+    assert_eq!(harness.rejected, 0);
+    let (last_segment, summary) = (harness.records.last_segment, harness.scheduler.summary());
     assert!(
-        last > first + 150,
-        "the ring stood still: {first} to {last}, {all}"
+        last_segment > first_segment + 150,
+        "the log was not written on: {first_segment} to {last_segment}, {summary}"
     );
 }
 
-/// The store takes fewer changes than before: after a few refusals the leader keeps to its next rate.
+/// The state service begins to enforce a lower rate. After a few rejected transactions the leader must keep to the
+/// announced next rate, instead of exceeding the limit again every second.
 #[test]
-fn a_lower_rate_is_learnt_from_refusals() {
-    let names: Vec<String> = (100..130).map(|n| format!("vm-{n:06}")).collect();
-    let mut d = LimitedStore::new(&[]);
-    for s in 0..3 {
-        d.second(&names, s + 1, &|_| {});
+fn a_lower_write_rate_is_detected_from_rejections() {
+    let names: Vec<String> = (100..130).map(|number| format!("vm-{number:06}")).collect();
+    let mut harness = LimitedStoreHarness::new(&[]);
+    for second in 0..3 {
+        harness.run_second(&names, second + 1, &|_| {});
     }
-    let mut late = 0;
-    for s in 0..40u64 {
-        for j in 0..9 {
-            let id = format!("job-{}", s * 10 + j);
-            d.submit(&id, spec(1));
-            d.cancel(&id, spec(1));
+    let mut late_rejections = 0;
+    for second in 0..40u64 {
+        for number in 0..9 {
+            let id = format!("job-{}", second * 10 + number);
+            harness.submit(&id, spec(1));
+            harness.cancel(&id, spec(1));
         }
-        d.rate = Some(8);
-        let before = d.throttled;
-        d.second(&names, s + 20, &|_| {});
-        if s >= 20 {
-            late += d.throttled - before;
+        harness.write_rate = Some(8);
+        let throttled_before = harness.throttled;
+        harness.run_second(&names, second + 20, &|_| {});
+        if second >= 20 {
+            late_rejections += harness.throttled - throttled_before;
         }
     }
-    assert!(d.throttled >= 5, "{}", d.throttled);
-    assert!(late <= 4, "{late} refusals after it was known");
+    assert!(
+        harness.throttled >= 5,
+        "only {} transactions were rejected",
+        harness.throttled
+    );
+    assert!(
+        late_rejections <= 4,
+        "{late_rejections} rejections after the first 20 seconds"
+    );
 }
 
-/// More places than the log's ring can carry along in such small values: that is told before the ring is
-/// full and again when it is, and whoever reads the records still knows every place.
+/// With such small values, the segments of the placement log can't hold all allocations. The leader must raise an
+/// alert before the log is full and another one when it is full.
 #[test]
-fn a_log_that_the_limits_make_too_small_is_told() {
-    let names: Vec<String> = (100..130).map(|n| format!("vm-{n:06}")).collect();
+fn a_log_that_the_limits_make_too_small_raises_alerts() {
+    let names: Vec<String> = (100..130).map(|number| format!("vm-{number:06}")).collect();
     let mut config = config();
     config.log_segments = 16;
-    let mut d = LimitedStore::with(config, &[]);
-    d.second(&names, 1, &|_| {});
-    d.second(&names, 2, &|_| {});
-    d.submit("job-1", spec(100));
-    let mut told = Vec::new();
-    for s in 0..200u64 {
-        d.submit(&format!("job-{}", s + 10), spec(1));
-        if s >= 2 {
-            d.cancel(&format!("job-{}", s + 8), spec(1));
+    let mut harness = LimitedStoreHarness::with_config(config, &[]);
+    harness.run_second(&names, 1, &|_| {});
+    harness.run_second(&names, 2, &|_| {});
+    harness.submit("job-1", spec(100));
+    let mut alerts = Vec::new();
+    for second in 0..200u64 {
+        harness.submit(&format!("job-{}", second + 10), spec(1));
+        if second >= 2 {
+            harness.cancel(&format!("job-{}", second + 8), spec(1));
         }
-        d.second(&names, s + 3, &|_| {});
-        let now = d.now;
-        told.extend(d.scheduler.take_alerts(now));
+        harness.run_second(&names, second + 3, &|_| {});
+        let now = harness.now;
+        alerts.extend(harness.scheduler.take_alerts(now));
     }
-    let nearly = told
+    let nearly_full_at = alerts
+        .iter()
+        .position(|alert| matches!(alert, Alert::LogNearlyFull { .. }));
+    let full_at = alerts
         .iter()
-        .position(|f| matches!(f, Alert::LogNearlyFull { .. }));
-    let full = told.iter().position(|f| matches!(f, Alert::LogFull { .. }));
-    assert!(nearly.is_some() && full > nearly, "{told:?}");
-    // Told twice a minute at the most.
-    assert!(told.len() <= 7, "{told:?}");
+        .position(|alert| matches!(alert, Alert::LogFull { .. }));
+    assert!(
+        nearly_full_at.is_some() && full_at > nearly_full_at,
+        "an alert is missing or in the wrong order: {alerts:?}"
+    );
+    // An alert is raised at most twice a minute.
+    assert!(alerts.len() <= 7, "too many alerts: {alerts:?}");
 }
 
-/// Found in an incident: every new leader sent a heartbeat a full log, since what checkpoints already held counted
-/// as needed until its first write. A leader that takes over a log in good order has nothing to heartbeat.
+/// Guards against a failure found in an incident: every new leader reported a full log, because entries that are
+/// already in checkpoints counted as needed until its first write. A leader that takes over a log with enough free
+/// segments must raise no alert.
 #[test]
-fn a_new_leader_does_not_report_a_log_in_good_order_as_full() {
-    let names: Vec<String> = (100..104).map(|n| format!("vm-{n:06}")).collect();
-    let mut d = LimitedStore::new(&[]);
-    for s in 0..200u64 {
-        d.submit(&format!("job-{s}"), spec(1));
-        if s >= 2 {
-            d.cancel(&format!("job-{}", s - 2), spec(1));
+fn a_new_leader_does_not_report_a_log_with_free_segments_as_full() {
+    let names: Vec<String> = (100..104).map(|number| format!("vm-{number:06}")).collect();
+    let mut harness = LimitedStoreHarness::new(&[]);
+    for second in 0..200u64 {
+        harness.submit(&format!("job-{second}"), spec(1));
+        if second >= 2 {
+            harness.cancel(&format!("job-{}", second - 2), spec(1));
         }
-        d.second(&names, s + 1, &|_| {});
+        harness.run_second(&names, second + 1, &|_| {});
     }
     assert!(
-        d.records.last_segment > 2 * config().log_segments,
-        "the ring went round"
+        harness.records.last_segment > 2 * config().log_segments,
+        "every segment of the ring was reused"
+    );
+    assert!(harness.scheduler.take_alerts(harness.now).is_empty());
+    let mut next = Scheduler::new(
+        config(),
+        &harness.records,
+        catalog(),
+        harness.now,
+        harness.now,
+        harness.now,
     );
-    assert!(d.scheduler.take_alerts(d.now).is_empty());
-    let mut next = Scheduler::new(config(), &d.records, catalog(), d.now, d.now, d.now);
-    let faults = next.take_alerts(d.now);
-    assert!(faults.is_empty(), "{faults:?}");
+    let alerts = next.take_alerts(harness.now);
+    assert!(alerts.is_empty(), "{alerts:?}");
 }
