--- a/crates/saltpitch-core/tests/scheduler.rs
+++ b/crates/saltpitch-core/tests/scheduler.rs
@@ -126,7 +126,7 @@
     );
 }
 
-/// Guards against a failure found in a simulated day with many faults: when a zone was partitioned, the
+/// Guards against a failure found on a day with many faults: when a zone was partitioned, the
 /// machines that had sent a heartbeat just before were taken as evidence that the zone was reachable, and the
 /// others in the zone were returned.
 #[test]
@@ -158,7 +158,7 @@
     );
 }
 
-/// Guards against a failure found in a simulated production day with 2,075 machines: a leader that was
+/// Guards against a failure found on a day with the operators' load and 2,075 machines: a leader that was
 /// partitioned from all its agents returned 300 busy machines, spot machines first, before it lost its
 /// leadership. While no machine is heard, nothing shows that the machines themselves have failed. The first
 /// machines that are heard again don't show it either, until the others have been probed once more.
@@ -255,7 +255,7 @@
     );
 }
 
-/// Guards against a failure found in a simulated day of constant load: low-priority work within its team's
+/// Guards against a failure found on a day of steady load: low-priority work within its team's
 /// guarantee and urgent work of another team preempted each other thousands of times.
 #[test]
 fn two_jobs_never_preempt_each_other_in_turn() {
@@ -566,7 +566,7 @@
     );
 }
 
-/// Guards against a failure found in a simulated day with 2,841 machines, where thousands of changes waited to be
+/// Guards against a failure found in the log of a day with 2,841 machines, where thousands of changes waited to be
 /// written: when few writes were available, a segment covered only a handful of jobs, since each job needs a
 /// precondition. A transaction may always have four preconditions for each write of its maximum number of writes,
 /// however few writes it may have at that time.
@@ -707,8 +707,8 @@
     is_stopped
 }
 
-/// A job is as urgent as the most urgent job that depends on it. Guards against a failure found in simulated days
-/// with many faults: the early stages of urgent pipelines were stopped up to four times for work that was no more
+/// A job is as urgent as the most urgent job that depends on it. Guards against a failure found on days with
+/// many faults: the early stages of urgent pipelines were stopped up to four times for work that was no more
 /// urgent.
 #[test]
 fn dependencies_of_an_urgent_job_are_not_preempted_for_urgent_work() {
