--- a/crates/saltpitch/src/responses.rs
+++ b/crates/saltpitch/src/responses.rs
@@ -8,7 +8,7 @@
 
 use crate::users::{Unavailable, UserReply};
 use crate::wire::users::encode_error;
-use crate::wire::MAX_BODY;
+use crate::wire::MAX_BODY_BYTES;
 
 /// How long the body of a request may take.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
@@ -52,7 +52,7 @@
 
 /// Reads a request's body, unless it is too long or too slow.
 pub async fn read_body(request: &mut Request) -> Result<Vec<u8>, RequestError> {
-    let read = request.take_body().into_bytes_limit(MAX_BODY);
+    let read = request.take_body().into_bytes_limit(MAX_BODY_BYTES);
     match tokio::time::timeout(BODY_TIMEOUT, read).await {
         Ok(Ok(body)) => Ok(body.to_vec()),
         Ok(Err(_)) => Err(RequestError::UnreadableBody),
--- a/crates/saltpitch/src/users.rs
+++ b/crates/saltpitch/src/users.rs
@@ -1,4 +1,4 @@
-//! Users' requests: submissions, queries and cancellations.
+//! Serves users' requests: submissions, queries and cancellations.
 
 mod submission;
 
@@ -18,7 +18,7 @@
 /// How long a peer may take to serve a forwarded request.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How often a cancellation is tried against a record that keeps changing.
+/// How often a cancellation is attempted when the job's record changes at the same time.
 const CANCEL_ATTEMPTS: u32 = 3;
 
 /// The answer to a user's request.
@@ -48,7 +48,8 @@
     }
 }
 
-/// The controller cannot answer now, since it cannot read the state service; the user may retry.
+/// The controller cannot answer now, usually because it cannot read or write the state service; the user
+/// may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unavailable;
 
@@ -57,37 +58,39 @@
 pub enum CancellationOutcome {
     /// The outcome of the transaction that writes it.
     Transaction(TransactionOutcome),
-    /// Another cell has the job and has yet to confirm; the record says that the user asked.
+    /// Another cell may own the job and has not confirmed the cancellation yet; the record shows that it is
+    /// requested.
     Requested,
 }
 
-/// What is known of a job.
+/// The state of a job and of its tasks, as far as the records show it.
 #[derive(Clone, Copy, Debug)]
 struct JobProgress {
     state: JobState,
     running: u64,
     done: u64,
-    /// Whether another cell has said that it runs.
-    runs_elsewhere: bool,
+    /// Whether another cell has reported that the job runs there.
+    runs_in_other_cell: bool,
 }
 
 impl JobProgress {
     fn status(self) -> JobStatus {
-        let running = self.running.max(u64::from(self.runs_elsewhere));
+        let running = self.running.max(u64::from(self.runs_in_other_cell));
         JobStatus::new(self.state, running)
     }
 }
 
 impl Node {
-    /// Serves a user's request, if need be through a peer that can reach the state service.
+    /// Serves a user's request; forwards it to a peer that can reach the state service if this controller
+    /// cannot.
     pub async fn serve_user_request(&self, request: UserRequest) -> Result<UserReply, Unavailable> {
         match self.serve_user_request_locally(&request).await {
             Ok(reply) => Ok(reply),
-            Err(Unavailable) => self.forward(request).await,
+            Err(Unavailable) => self.forward_to_peers(request).await,
         }
     }
 
-    /// Serves a user's request without the help of a peer.
+    /// Serves a user's request without forwarding it to a peer.
     pub async fn serve_user_request_locally(
         &self,
         request: &UserRequest,
@@ -99,16 +102,18 @@
         }
     }
 
-    async fn forward(&self, request: UserRequest) -> Result<UserReply, Unavailable> {
-        let able_peers: Vec<_> = {
+    /// Forwards a request to the peers that can reach the state service, one after another, until one of them
+    /// answers.
+    async fn forward_to_peers(&self, request: UserRequest) -> Result<UserReply, Unavailable> {
+        let addrs: Vec<_> = {
             let controller = self.controller();
-            let able: Vec<&str> = controller.peers_with_store(self.now()).collect();
+            let names: Vec<&str> = controller.peers_with_store(self.now()).collect();
             let peers = self.settings.peers.iter();
-            let peers = peers.filter(|peer| able.contains(&peer.node.as_str()));
+            let peers = peers.filter(|peer| names.contains(&peer.node.as_str()));
             peers.map(|peer| peer.addr).collect()
         };
         let request = PeerRequest::User(request);
-        for addr in able_peers {
+        for addr in addrs {
             let answer = self.peers.request(addr, &request, FORWARD_TIMEOUT).await;
             if let Some(PeerResponse::User { status, body }) = answer {
                 let body = serde_json::from_str(&body).unwrap_or(Value::Null);
@@ -126,17 +131,17 @@
         let running = if state.is_final() { 0 } else { running };
         let record = records.jobs.get(id).map(|entry| &entry.record);
         let delegation = record.and_then(|record| record.delegation.as_ref());
-        let runs_elsewhere = delegation.is_some_and(|d| d.state == DelegationState::Running);
+        let runs_in_other_cell = delegation.is_some_and(|d| d.state == DelegationState::Running);
         Some(JobProgress {
             state,
             running,
             done,
-            runs_elsewhere,
+            runs_in_other_cell,
         })
     }
 
-    /// A job's progress, `None` if it was never accepted. A final state never changes, so memory may
-    /// answer; anything else needs records as new as the request.
+    /// Returns a job's progress; `None` if the job was never accepted. A final state never changes, so it is
+    /// taken from memory; anything else needs records that are at least as new as the request.
     async fn progress(&self, id: &str) -> Result<Option<JobProgress>, Unavailable> {
         let in_memory = self.progress_in_memory(id);
         if in_memory.is_some_and(|progress| progress.state.is_final()) {
@@ -153,8 +158,8 @@
         let is_final = in_memory.is_some_and(|progress| progress.state.is_final());
         let permit = self.query_permits.try_acquire();
         if permit.is_err() && !is_final {
-            // Refused rather than held: more of them would only make all of them later.
-            return Ok(UserReply::error(503, "too many questions are waiting"));
+            // Refused instead of queued: more waiting queries would only delay all of them.
+            return Ok(UserReply::error(503, "too many queries are waiting"));
         }
         let Some(progress) = self.progress(id).await? else {
             return Ok(UserReply::no_such_job());
@@ -176,11 +181,11 @@
                 CancellationOutcome::Transaction(TransactionOutcome::Committed(_)) => {
                     return Ok(UserReply::status(id, JobStatus::Cancelled));
                 }
-                // The record has changed meanwhile: read it again.
+                // The record has changed since it was read: read it again.
                 CancellationOutcome::Transaction(TransactionOutcome::Conflict(_)) => {}
                 CancellationOutcome::Transaction(_) => return Err(Unavailable),
                 CancellationOutcome::Requested => {
-                    let reason = "the cell that has the job is asked to give it up; come back";
+                    let reason = "the cell that has the job is asked to cancel it; retry later";
                     return Ok(UserReply::error(503, reason));
                 }
             }
@@ -188,12 +193,12 @@
         Err(Unavailable)
     }
 
-    /// Cancels a job on record. Completion and cancellation are both written on condition of the record's
-    /// revision, so that only one of them succeeds.
+    /// Writes a job's cancellation, or the request for it, to the job's record. Completion and cancellation are
+    /// both written on condition that the record's revision is unchanged, so that only one of them succeeds.
     pub async fn write_cancellation(&self, id: &str) -> Result<CancellationOutcome, Unavailable> {
         let entry = self.controller().records().jobs.get(id).cloned();
         let entry = entry.ok_or(Unavailable)?;
-        let (record, confirms) = match entry.record.cancel_step() {
+        let (record, is_confirmed) = match entry.record.cancel_step() {
             CancelStep::Confirm(record) => (record, true),
             CancelStep::Request(record) => (record, false),
             CancelStep::Await => return Ok(CancellationOutcome::Requested),
@@ -205,22 +210,28 @@
         let TransactionOutcome::Committed(revision) = outcome else {
             return Ok(CancellationOutcome::Transaction(outcome));
         };
-        // Applied here before the user has the answer: a leader without the state service asks for it.
+        // Applied before the user is answered: a leader that cannot reach the state service asks this
+        // controller for the cancellations that it has confirmed.
         self.apply_own_write(&key, &value, revision);
-        if !confirms {
-            tracing::info!("{id} is to be cancelled, once the cell that has it has given it up");
+        if !is_confirmed {
+            tracing::info!(
+                "{id} is to be cancelled once the cell that it is delegated to confirms"
+            );
             return Ok(CancellationOutcome::Requested);
         }
         tracing::info!("{id} is cancelled");
         Ok(CancellationOutcome::Transaction(outcome))
     }
 
+    /// Encodes the record of a cancelled job, without its scheduling fields if it is longer than the present
+    /// limit on values.
     fn encode_cancelled(&self, mut record: JobRecord) -> Option<String> {
         let value = serde_json::to_string(&record).ok()?;
         if value.len() <= self.settings.store.max_value_bytes {
             return Some(value);
         }
-        // It was written under larger limits. The leader only needs to know what its tasks take.
+        // The job was accepted under a larger limit. The leader only needs to know the resources that its
+        // remaining tasks occupy.
         record.drop_scheduling_fields();
         serde_json::to_string(&record).ok()
     }
--- a/crates/saltpitch/src/users/submission.rs
+++ b/crates/saltpitch/src/users/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: checked against the site and the records, then put on record.
+//! Submissions: each is checked against the site and the records before the job's record is written.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 /// Why a submission is not accepted.
 enum SubmissionError {
-    /// The submission itself cannot be accepted.
+    /// The submission is invalid; the reply says why.
     Refused(UserReply),
     /// The controller cannot answer now.
     Unavailable,
@@ -36,7 +36,7 @@
 }
 
 impl Node {
-    /// Accepts a job. A submission is idempotent: one of a job that is known is answered with its status.
+    /// Accepts a job. Submission is idempotent: if the job is known already, the answer is its status.
     pub(super) async fn submit(&self, body: &[u8]) -> Result<UserReply, Unavailable> {
         let body: Value = match serde_json::from_slice(body) {
             Ok(body) => body,
@@ -47,11 +47,11 @@
             Err(error) => return Ok(UserReply::error(400, error)),
         };
         if self.progress_in_memory(id).is_some() {
-            return self.known_job(id).await;
+            return self.known_job_reply(id).await;
         }
         match self.check_submission(id, &body).await {
             Ok(spec) => self.create_job(id, spec).await,
-            // A job that was accepted stays accepted, whatever its repetition looks like.
+            // A job that was accepted stays accepted, even if a repeated submission of it is invalid.
             Err(SubmissionError::Refused(refusal)) => Ok(match self.progress(id).await? {
                 Some(progress) => UserReply::status(id, progress.status()),
                 None => refusal,
@@ -60,8 +60,8 @@
         }
     }
 
-    /// The answer to a submission of a job that is on record.
-    async fn known_job(&self, id: &str) -> Result<UserReply, Unavailable> {
+    /// Returns the answer to a submission of a job that has a record already.
+    async fn known_job_reply(&self, id: &str) -> Result<UserReply, Unavailable> {
         let progress = self.progress(id).await?.ok_or(Unavailable)?;
         Ok(UserReply::status(id, progress.status()))
     }
@@ -70,13 +70,13 @@
         let spec = decode_submission(body).map_err(|error| SubmissionError::refused(400, error))?;
         let catalog = self.controller().catalog().cloned().ok_or(Unavailable)?;
         spec.can_ever_run(&catalog, &self.settings.teams)
-            .map_err(|never| SubmissionError::refused(422, never))?;
+            .map_err(|reason| SubmissionError::refused(422, reason))?;
         self.check_dependencies(id, &spec).await?;
         Ok(spec)
     }
 
-    /// Checks that the jobs on which this one depends can complete. One that is not known here is looked
-    /// for in records as new as the request.
+    /// Checks that the jobs on which this one depends were accepted and can complete. If one of them is unknown,
+    /// the latest records are read first, since it may have been accepted by another controller just now.
     async fn check_dependencies(&self, id: &str, spec: &JobSpec) -> Result<(), SubmissionError> {
         if self.unknown_dependency(spec).is_some() && !self.read_latest_records().await {
             return Err(SubmissionError::Unavailable);
@@ -86,7 +86,7 @@
             return Err(SubmissionError::refused(422, reason));
         }
         if let Some(name) = self.service_dependency(spec) {
-            tracing::info!("{id} is refused: {name} is a service");
+            tracing::info!("{id} is refused: it waits on {name}, a service, which never completes");
             let reason = format!("field `waits_on` names {name}, a service, which is never done");
             return Err(SubmissionError::refused(422, reason));
         }
@@ -110,12 +110,15 @@
         spec.dependencies.iter().find(is_service).cloned()
     }
 
-    /// Puts a new job on record.
+    /// Writes the record of a new job.
     async fn create_job(&self, id: &str, spec: JobSpec) -> Result<UserReply, Unavailable> {
         let record = JobRecord::accepted(self.clock.wall_time(), Arc::new(spec));
         let value = serde_json::to_string(&record).map_err(|_| Unavailable)?;
         if value.len() > self.settings.store.max_value_bytes {
-            return Ok(UserReply::error(400, "the description is too long"));
+            return Ok(UserReply::error(
+                400,
+                "the submission is too long to be stored",
+            ));
         }
         let transaction = conditional_write(&job_key(id), &value, 0);
         match self.store.commit(&transaction, SUBMIT_TIMEOUT).await {
@@ -123,7 +126,7 @@
                 tracing::debug!("{id} is accepted");
                 Ok(UserReply::new(201, encode_status(id, JobStatus::Pending)))
             }
-            TransactionOutcome::Conflict(_) => self.known_job(id).await,
+            TransactionOutcome::Conflict(_) => self.known_job_reply(id).await,
             _ => Err(Unavailable),
         }
     }
--- a/crates/saltpitch/src/users/tests.rs
+++ b/crates/saltpitch/src/users/tests.rs
@@ -1,4 +1,4 @@
-//! What users are told when more of them ask than can be answered.
+//! Limits on the requests of users that may wait at a time.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::settings::Settings;
 
-/// A controller whose state service does not answer, and the number of questions that may wait.
+/// Returns a controller whose state service does not answer, and the number of queries that may wait.
 fn node_without_store() -> (Arc<Node>, usize) {
     let text = include_str!("../../../../docs/example-settings.json");
     let settings = Settings::parse(text).expect("the example is valid");
@@ -17,27 +17,27 @@
     (node, limit)
 }
 
-fn question(number: usize) -> UserRequest {
+fn query(number: usize) -> UserRequest {
     UserRequest::Query(format!("job-{number:06}"))
 }
 
-/// Questions beyond the bound are refused at once, not held until the state service answers; those that
-/// wait give their places back.
+/// Queries beyond the limit are refused at once instead of waiting for the state service; a waiting query
+/// releases its permit when it ends.
 #[tokio::test(flavor = "current_thread")]
-async fn questions_beyond_the_bound_are_refused_at_once() {
+async fn queries_beyond_the_limit_are_refused_at_once() {
     let (node, limit) = node_without_store();
     assert!(limit >= 16, "{limit}");
     let mut waiting = Vec::new();
     for number in 0..limit {
         let node = node.clone();
-        let ask = async move { node.serve_user_request_locally(&question(number)).await };
-        waiting.push(tokio::spawn(ask));
+        let request = async move { node.serve_user_request_locally(&query(number)).await };
+        waiting.push(tokio::spawn(request));
     }
-    // All of them begin; none is answered within this time.
+    // Long enough for all queries to begin, too short for any of them to be answered.
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(node.query_permits.available_permits(), 0);
     let asked_at = Instant::now();
-    let reply = node.serve_user_request_locally(&question(limit)).await;
+    let reply = node.serve_user_request_locally(&query(limit)).await;
     assert_eq!(reply.expect("an answer").status, 503);
     assert!(asked_at.elapsed() < Duration::from_millis(200));
     for task in waiting {
--- a/crates/saltpitch/src/wire/agents.rs
+++ b/crates/saltpitch/src/wire/agents.rs
@@ -1,12 +1,11 @@
-//! Messages of the agents: heartbeats and commands.
+//! Messages to and from the agents: heartbeats and commands.
 
 use saltpitch_core::agent::{Command, ExitCause, Heartbeat, TaskState, TaskStatus};
 use serde::{Deserialize, Serialize};
 
-use super::{span, DecodeError, FieldError};
+use super::{to_duration, DecodeError, FieldError};
 
-/// The longest name of a machine in bytes.
-const MAX_MACHINE_NAME: usize = 150;
+const MAX_MACHINE_NAME_BYTES: usize = 150;
 
 #[derive(Deserialize)]
 struct RawHeartbeat {
@@ -30,16 +29,16 @@
 struct RawTask {
     leg: String,
     launch_no: u32,
-    status: RawState,
+    status: RawTaskState,
     #[serde(default)]
-    cause: Option<RawCause>,
+    cause: Option<RawExitCause>,
     #[serde(default)]
     kept: Option<bool>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum RawState {
+enum RawTaskState {
     Fetching,
     Waiting,
     Running,
@@ -49,7 +48,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum RawCause {
+enum RawExitCause {
     Done,
     Halted,
     Peers,
@@ -60,17 +59,17 @@
     NoSuch,
 }
 
-impl From<RawCause> for ExitCause {
-    fn from(raw: RawCause) -> ExitCause {
+impl From<RawExitCause> for ExitCause {
+    fn from(raw: RawExitCause) -> ExitCause {
         match raw {
-            RawCause::Done => ExitCause::Done,
-            RawCause::Halted => ExitCause::Stopped,
-            RawCause::Peers => ExitCause::PeerLost,
-            RawCause::Incomplete => ExitCause::GangIncomplete,
-            RawCause::Error => ExitCause::Error,
-            RawCause::NoRoom => ExitCause::NoRoom,
-            RawCause::Busy => ExitCause::Busy,
-            RawCause::NoSuch => ExitCause::NotFound,
+            RawExitCause::Done => ExitCause::Done,
+            RawExitCause::Halted => ExitCause::Stopped,
+            RawExitCause::Peers => ExitCause::PeerLost,
+            RawExitCause::Incomplete => ExitCause::GangIncomplete,
+            RawExitCause::Error => ExitCause::Error,
+            RawExitCause::NoRoom => ExitCause::NoRoom,
+            RawExitCause::Busy => ExitCause::Busy,
+            RawExitCause::NoSuch => ExitCause::NotFound,
         }
     }
 }
@@ -92,7 +91,7 @@
     orders: Vec<RawCommand>,
 }
 
-/// Reads a heartbeat; a malformed one is refused as a whole.
+/// Decodes a heartbeat. If any part of it is malformed, the whole heartbeat is refused.
 pub fn decode_heartbeat(body: &[u8]) -> Result<Heartbeat, DecodeError> {
     let raw: RawHeartbeat = serde_json::from_slice(body)?;
     if !is_machine_name(&raw.bollard) {
@@ -113,13 +112,13 @@
         agent_epoch: raw.watch,
         sequence: raw.log_no,
         fencing_token: raw.helm_mark.unwrap_or(0),
-        spot_notice: raw.warning_s.and_then(span),
+        spot_notice: raw.warning_s.and_then(to_duration),
         tasks: tasks?,
     })
 }
 
 fn is_machine_name(name: &str) -> bool {
-    !name.is_empty() && name.len() <= MAX_MACHINE_NAME && !name.contains([' ', '/'])
+    !name.is_empty() && name.len() <= MAX_MACHINE_NAME_BYTES && !name.contains([' ', '/'])
 }
 
 fn decode_task(raw: RawTask) -> Result<TaskStatus, DecodeError> {
@@ -127,11 +126,11 @@
         return Err(DecodeError::TaskId(raw.leg));
     };
     let state = match raw.status {
-        RawState::Fetching => TaskState::Fetching,
-        RawState::Waiting => TaskState::Waiting,
-        RawState::Running => TaskState::Running,
-        RawState::Saving => TaskState::Saving,
-        RawState::Exited => TaskState::Exited {
+        RawTaskState::Fetching => TaskState::Fetching,
+        RawTaskState::Waiting => TaskState::Waiting,
+        RawTaskState::Running => TaskState::Running,
+        RawTaskState::Saving => TaskState::Saving,
+        RawTaskState::Exited => TaskState::Exited {
             cause: raw.cause.ok_or(DecodeError::ExitWithoutCause)?.into(),
             saved: raw.kept.unwrap_or(false),
         },
@@ -144,14 +143,14 @@
     })
 }
 
-/// Splits a task's id, `JOB/INDEX`.
+/// Splits a task's id, `JOB/INDEX`, into the job's id and the task's index.
 fn parse_task_id(id: &str) -> Option<(String, u32)> {
     let (job, index) = id.rsplit_once('/')?;
     Some((job.to_owned(), index.parse().ok()?))
 }
 
-/// The body that carries commands: the answer to a heartbeat or, with the epoch of the agent that they
-/// are for, a direct request.
+/// Encodes commands: as the answer to a heartbeat or, with the epoch of the agent for which they are meant, as
+/// the body of a direct call.
 pub fn encode_commands(
     fencing_token: u64,
     agent_epoch: Option<u64>,
@@ -160,12 +159,12 @@
     let body = RawCommands {
         helm_mark: fencing_token,
         watch: agent_epoch,
-        orders: commands.iter().map(raw_command).collect(),
+        orders: commands.iter().map(encode_command).collect(),
     };
     serde_json::to_vec(&body).unwrap_or_default()
 }
 
-fn raw_command(command: &Command) -> RawCommand {
+fn encode_command(command: &Command) -> RawCommand {
     match command {
         Command::Start { job, task, attempt } => RawCommand {
             order_kind: "launch",
@@ -193,7 +192,7 @@
     }
 }
 
-/// The answer to a heartbeat that another controller is to have: the leader's name, if it is known.
+/// Encodes the answer to a heartbeat by a controller that is not the leader: the leader's name, if it is known.
 pub fn encode_redirect(leader: Option<&str>) -> Vec<u8> {
     match leader {
         Some(leader) => serde_json::json!({ "harbour_master": leader }),
--- a/crates/saltpitch/src/wire/agents/tests.rs
+++ b/crates/saltpitch/src/wire/agents/tests.rs
@@ -1,13 +1,13 @@
-//! Which heartbeats are taken.
+//! Heartbeats that are accepted or refused, and the encoding of commands.
 
 use super::*;
 
 #[test]
 fn heartbeats_are_read_or_refused_as_a_whole() {
-    let good = br#"{"bollard":"vm-1","endpoint":"10.1.0.2:9000","hull_type":"g8","basin":"a",
+    let valid = br#"{"bollard":"vm-1","endpoint":"10.1.0.2:9000","hull_type":"g8","basin":"a",
         "watch":1,"log_no":8,"helm_mark":4,"warning_s":null,"new":1,
         "legs":[{"leg":"job-1/3","launch_no":2,"status":"exited","cause":"no_such"}]}"#;
-    let heartbeat = decode_heartbeat(good).expect("well formed");
+    let heartbeat = decode_heartbeat(valid).expect("well formed");
     assert_eq!(
         (
             heartbeat.agent_epoch,
@@ -18,7 +18,7 @@
         (1, 8, 4, false)
     );
     assert_eq!(heartbeat.tasks[0].task, 3);
-    let text = String::from_utf8_lossy(good);
+    let text = String::from_utf8_lossy(valid);
     for (from, to) in [
         ("\"log_no\":8", "\"log_no\":-8"),
         ("job-1/3", "job-1"),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn commands_are_sent_byte_for_byte_as_before() {
+fn commands_are_encoded_byte_for_byte() {
     let commands = [
         Command::Start {
             job: "job-1".into(),
--- a/crates/saltpitch/src/wire/cloud.rs
+++ b/crates/saltpitch/src/wire/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages of the cloud.
+//! Messages to and from the cloud's API.
 
 use std::sync::Arc;
 
@@ -6,14 +6,14 @@
 use saltpitch_core::scheduler::ListedMachine;
 use serde::Deserialize;
 
-use super::{milli, span, DecodeError};
+use super::{to_duration, to_thousandths, DecodeError};
 
-/// What a machine type has whose entry does not say: the rate at which images are fetched, in gigabytes
-/// a second, and the time until a machine is ready, in seconds.
+/// The rate at which machines fetch images, in gigabytes a second, if the catalogue does not say.
 const DEFAULT_FETCH_GB_PER_S: f64 = 0.1;
+/// The time until a new machine is ready, in seconds, if the catalogue does not say.
 const DEFAULT_READY_S: f64 = 60.0;
 /// The status of a machine that will never be ready.
-const FAILED: &str = "failed";
+const FAILED_STATUS: &str = "failed";
 
 #[derive(Deserialize)]
 struct RawCatalog {
@@ -66,82 +66,87 @@
     age_s: Option<f64>,
 }
 
-/// One page of the list of machines.
+/// One page of the cloud's list of machines.
 pub struct MachinePage {
     /// The machines, in the order of their names.
     pub machines: Vec<ListedMachine>,
-    /// Whether machines follow on another page.
+    /// Whether there is another page.
     pub has_next: bool,
 }
 
-/// A request for machines.
+/// An order for new machines.
 pub struct ScaleOutRequest<'a> {
-    /// Names the request: its repetition has the same outcome.
+    /// Identifies the request: a repeated request has the same outcome and orders nothing twice.
     pub id: &'a str,
     /// The machine type.
     pub type_name: &'a str,
     /// The zone.
     pub zone: &'a str,
-    /// Whether they are spot machines.
+    /// Whether to order spot machines.
     pub spot: bool,
-    /// How many.
+    /// The number of machines.
     pub count: u32,
 }
 
-/// Reads the catalogue; types whose numbers make no sense are left out.
+/// Decodes the catalogue. Types with a negative, too large or non-finite number are left out.
 pub fn decode_catalog(body: &[u8]) -> Result<Catalog, DecodeError> {
     let raw: RawCatalog = serde_json::from_slice(body)?;
-    let types = raw.hulls_list.into_iter().filter_map(machine_type);
+    let types = raw.hulls_list.into_iter().filter_map(decode_machine_type);
     Ok(Catalog {
         types: types.collect(),
     })
 }
 
-fn machine_type(raw: RawMachineType) -> Option<MachineType> {
+fn decode_machine_type(raw: RawMachineType) -> Option<MachineType> {
     Some(MachineType {
         size: Resources {
-            cpu: milli(raw.cpus)?,
-            gpu: milli(raw.accelerators.unwrap_or(0.0))?,
-            mem: milli(raw.mem_gb)?,
+            cpu: to_thousandths(raw.cpus)?,
+            gpu: to_thousandths(raw.accelerators.unwrap_or(0.0))?,
+            mem: to_thousandths(raw.mem_gb)?,
         },
-        cache_mb: milli(raw.cache_gb.unwrap_or(0.0))?,
-        fetch_mb_per_s: milli(raw.fetch_gb_per_s.unwrap_or(DEFAULT_FETCH_GB_PER_S))?.max(1),
-        price: milli(raw.rate)?,
-        spot_price: milli(raw.low_price.unwrap_or(raw.rate))?,
-        boot: span(raw.ready_s.unwrap_or(DEFAULT_READY_S))?,
+        cache_mb: to_thousandths(raw.cache_gb.unwrap_or(0.0))?,
+        fetch_mb_per_s: to_thousandths(raw.fetch_gb_per_s.unwrap_or(DEFAULT_FETCH_GB_PER_S))?
+            .max(1),
+        price: to_thousandths(raw.rate)?,
+        spot_price: to_thousandths(raw.low_price.unwrap_or(raw.rate))?,
+        boot: to_duration(raw.ready_s.unwrap_or(DEFAULT_READY_S))?,
         zones: raw.basins,
         name: raw.sku,
     })
 }
 
-/// Reads the answer to a request for machines: their names.
+/// Decodes the names of the machines in the answer to an order.
 pub fn decode_scale_out_reply(body: &[u8]) -> Result<Vec<String>, DecodeError> {
     let raw: RawScaleOutReply = serde_json::from_slice(body)?;
     Ok(raw.bollards)
 }
 
-/// Reads one page of the list of machines.
+/// Decodes one page of the cloud's list of machines.
 pub fn decode_machine_page(body: &[u8]) -> Result<MachinePage, DecodeError> {
     let raw: RawMachinePage = serde_json::from_slice(body)?;
     Ok(MachinePage {
-        machines: raw.bollards.into_iter().map(listed_machine).collect(),
+        machines: raw
+            .bollards
+            .into_iter()
+            .map(decode_listed_machine)
+            .collect(),
         has_next: raw.has_next,
     })
 }
 
-fn listed_machine(raw: RawMachine) -> ListedMachine {
+fn decode_listed_machine(raw: RawMachine) -> ListedMachine {
     ListedMachine {
-        failed: raw.status == FAILED,
+        failed: raw.status == FAILED_STATUS,
         name: raw.name,
         addr: raw.endpoint.unwrap_or_default(),
         type_name: raw.hull_type,
         zone: raw.basin,
         spot: raw.lay_by,
-        age: raw.age_s.and_then(span).unwrap_or_default(),
+        age: raw.age_s.and_then(to_duration).unwrap_or_default(),
     }
 }
 
-/// The request for machines.
+/// Encodes an order for new machines.
 pub fn encode_scale_out(request: &ScaleOutRequest<'_>) -> Vec<u8> {
     let body = serde_json::json!({
         "charter": request.id,
@@ -153,7 +158,7 @@
     body.to_string().into_bytes()
 }
 
-/// The request to return machines.
+/// Encodes the request to return machines.
 pub fn encode_scale_in(names: &[Arc<str>]) -> Vec<u8> {
     let names: Vec<&str> = names.iter().map(|name| &**name).collect();
     serde_json::json!({ "bollards": names })
--- a/crates/saltpitch/src/wire/cloud/tests.rs
+++ b/crates/saltpitch/src/wire/cloud/tests.rs
@@ -1,9 +1,9 @@
-//! The requests to the cloud, byte for byte, and its answers.
+//! The encoding of requests to the cloud, byte for byte, and the decoding of its answers.
 
 use super::*;
 
 #[test]
-fn requests_for_machines_are_sent_byte_for_byte_as_before() {
+fn requests_for_machines_are_encoded_byte_for_byte() {
     let request = ScaleOutRequest {
         id: "n1-7-3",
         type_name: "g8",
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_machine_type_has_defaults_and_one_that_makes_no_sense_is_left_out() {
+fn a_machine_type_has_defaults_and_one_with_a_negative_number_is_left_out() {
     let catalog = decode_catalog(
         br#"{"hulls_list":[
             {"sku":"plain","cpus":8,"mem_gb":32,"rate":0.4,"basins":["east"]},
--- a/crates/saltpitch/src/wire/error.rs
+++ b/crates/saltpitch/src/wire/error.rs
@@ -5,39 +5,39 @@
 /// Why a message cannot be decoded. Users read these texts; those on a field name it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is not JSON, or not of the expected structure.
+    /// The body is not JSON, or does not have the expected structure.
     #[error("{reason}")]
     Json {
-        /// What the parser says, with the position.
+        /// The parser's message, with the position.
         reason: String,
     },
-    /// A submission is JSON, but no object.
+    /// A submission is JSON, but not an object.
     #[error("the body is not a JSON object")]
     NotAnObject,
-    /// A field cannot be taken.
+    /// A field has an invalid value.
     #[error("field `{field}` {reason}")]
     Field {
         /// The field's name in the message.
         field: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         reason: FieldError,
     },
     /// A heartbeat names a task in another form than `JOB/INDEX`.
-    #[error("no task id: {0:?}")]
+    #[error("not a task id: {0:?}")]
     TaskId(String),
     /// A heartbeat does not say why a task exited.
     #[error("an exited task has no `cause`")]
     ExitWithoutCause,
-    /// The state service announces a write without the value.
-    #[error("a write without a value")]
+    /// The state service reports a write without the value.
+    #[error("a change has `write` but no value `v`")]
     WriteWithoutValue,
-    /// The state service announces a change of an unknown kind.
-    #[error("a change that is neither write nor delete")]
-    NeitherWriteNorDelete,
+    /// The state service reports a change that has neither or both of the keys `write` and `delete`.
+    #[error("a change must have either `write` or `delete`")]
+    NotOneOfWriteAndDelete,
 }
 
 impl DecodeError {
-    /// A field that cannot be taken.
+    /// Creates the error for a field with an invalid value.
     pub fn field(field: &'static str, reason: FieldError) -> DecodeError {
         DecodeError::Field { field, reason }
     }
@@ -54,25 +54,25 @@
 /// What is wrong with a field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// Not the form that job ids always have.
+    /// Not of the form of job ids.
     #[error("is not a job id")]
     NotAJobId,
-    /// Not a name that a machine can have.
+    /// Not a valid machine name.
     #[error("is not a machine's name")]
     NotAMachineName,
-    /// None of the words that the field can hold.
+    /// Not one of the values that the field can have.
     #[error("has no value {0:?}")]
     UnknownValue(String),
-    /// Not a number of tasks that a job can have.
+    /// Missing, or not a number of tasks that a job can have.
     #[error("must be an integer from 1 to 100000")]
     TaskCount,
-    /// Missing, no string, empty or too long.
+    /// Missing, not a string, empty or too long.
     #[error("must be a string of 1 to 200 bytes")]
     NotText,
-    /// Missing or no boolean.
+    /// Missing or not a boolean.
     #[error("must be true or false")]
     NotABoolean,
-    /// Missing or no number.
+    /// Missing or not a number.
     #[error("must be a number")]
     NotANumber,
     /// Negative, too large or not finite.
@@ -84,10 +84,10 @@
     /// Neither null nor a string.
     #[error("must be a string or null")]
     NotAStringOrNull,
-    /// A list of something else than names.
+    /// A list with an element that is not a string.
     #[error("must hold names")]
     NotNames,
-    /// A list of something else than job ids.
+    /// A list with an element that is not a job id.
     #[error("must hold job ids")]
     NotJobIds,
     /// More dependencies than a job can have.
--- a/crates/saltpitch/src/wire/mod.rs
+++ b/crates/saltpitch/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Messages as they are sent and received. The protocol's own field names are used in these modules
-//! only; everywhere else a message is a type of the project.
+//! Decodes and encodes the messages of the HTTP protocols. Only these modules use the protocols' field names;
+//! all other code uses the types of this crate and of the core.
 
 pub mod agents;
 pub mod cloud;
@@ -11,22 +11,22 @@
 
 pub use error::{DecodeError, FieldError};
 
-/// The longest body or line that may be sent or taken.
-pub const MAX_BODY: usize = 64 * 1024;
+/// The largest request body that may be sent or accepted.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The largest amount or number of seconds that is taken.
-const MAX_NUMBER: f64 = 1e9;
+/// The largest accepted amount of a resource or number of seconds.
+const MAX_QUANTITY: f64 = 1e9;
 
-/// An amount in thousandths; `None` if it is negative, too large or no number.
-pub fn milli(amount: f64) -> Option<u64> {
-    is_sensible(amount).then(|| (amount * 1e3).round() as u64)
+/// Converts an amount to thousandths; `None` if it is negative, too large or not finite.
+pub fn to_thousandths(amount: f64) -> Option<u64> {
+    is_in_range(amount).then(|| (amount * 1e3).round() as u64)
 }
 
-/// A span of time; `None` if it is negative, too long or no number.
-pub fn span(seconds: f64) -> Option<Micros> {
-    is_sensible(seconds).then(|| Micros::from_secs_f64(seconds))
+/// Converts a number of seconds to a duration; `None` if it is negative, too large or not finite.
+pub fn to_duration(seconds: f64) -> Option<Micros> {
+    is_in_range(seconds).then(|| Micros::from_secs_f64(seconds))
 }
 
-fn is_sensible(number: f64) -> bool {
-    number.is_finite() && (0.0..=MAX_NUMBER).contains(&number)
+fn is_in_range(number: f64) -> bool {
+    number.is_finite() && (0.0..=MAX_QUANTITY).contains(&number)
 }
--- a/crates/saltpitch/src/wire/store.rs
+++ b/crates/saltpitch/src/wire/store.rs
@@ -1,4 +1,4 @@
-//! Messages of the state service.
+//! Messages to and from the state service.
 
 use saltpitch_core::records::RecordChange;
 use saltpitch_core::scheduler::{Precondition, Transaction, Write};
@@ -55,38 +55,38 @@
 pub struct Page {
     /// The records, in the order of their keys.
     pub records: Vec<RecordChange>,
-    /// Whether records follow on another page.
+    /// Whether there is another page.
     pub has_next: bool,
     /// The revision at which the page was read.
     pub revision: u64,
 }
 
-/// Changes of records after a revision.
+/// The changes of records after a revision.
 pub struct Changes {
     /// The changes, in the order in which they were made.
     pub changes: Vec<RecordChange>,
-    /// The revision up to which they are complete.
+    /// The revision up to which the changes are complete.
     pub revision: u64,
 }
 
 /// The answer to a transaction.
 pub struct TransactionReply {
-    /// The revision of a transaction that was committed.
+    /// The transaction's revision, if it was committed.
     pub revision: u64,
-    /// The keys whose preconditions failed.
+    /// The keys whose preconditions failed; empty if the transaction was committed.
     pub failed_keys: Vec<String>,
 }
 
-/// Has a lease delete a key when it ends.
+/// Attaches a key to a lease: the state service deletes the key when the lease ends.
 #[derive(Clone, Copy)]
 pub struct LeaseAttachment<'a> {
-    /// The lease.
+    /// The lease's id.
     pub lease: u64,
-    /// The key, which the same transaction writes.
+    /// The key, which the same transaction must write.
     pub key: &'a str,
 }
 
-/// Reads one page of a listing.
+/// Decodes one page of a listing.
 pub fn decode_page(body: &[u8]) -> Result<Page, DecodeError> {
     let raw: RawPage = serde_json::from_slice(body)?;
     let record = |row: RawRow| RecordChange {
@@ -101,7 +101,7 @@
     })
 }
 
-/// Reads the answer to a watch.
+/// Decodes the answer to a watch. If one of the changes is malformed, the whole answer is refused.
 pub fn decode_changes(body: &[u8]) -> Result<Changes, DecodeError> {
     let raw: RawChanges = serde_json::from_slice(body)?;
     let changes: Result<Vec<RecordChange>, DecodeError> =
@@ -119,7 +119,7 @@
             (key, Some(value))
         }
         (None, Some(key)) => (key, None),
-        _ => return Err(DecodeError::NeitherWriteNorDelete),
+        _ => return Err(DecodeError::NotOneOfWriteAndDelete),
     };
     Ok(RecordChange {
         key,
@@ -128,7 +128,7 @@
     })
 }
 
-/// Reads the answer to a transaction.
+/// Decodes the answer to a transaction.
 pub fn decode_transaction_reply(body: &[u8]) -> Result<TransactionReply, DecodeError> {
     let raw: RawTransactionReply = serde_json::from_slice(body)?;
     Ok(TransactionReply {
@@ -137,20 +137,20 @@
     })
 }
 
-/// Reads the id of a new lease.
+/// Decodes the id of a new lease.
 pub fn decode_lease(body: &[u8]) -> Result<u64, DecodeError> {
     let raw: RawLease = serde_json::from_slice(body)?;
     Ok(raw.mooring)
 }
 
-/// The request for a lease.
+/// Encodes the request for a lease.
 pub fn encode_grant_lease(ttl_ms: u64) -> Vec<u8> {
     serde_json::json!({ "ttl_ms": ttl_ms })
         .to_string()
         .into_bytes()
 }
 
-/// The request for a transaction. It is written by hand since the values are JSON already.
+/// Encodes the request for a transaction. The text is assembled by hand because the values are JSON already.
 pub fn encode_transaction(
     transaction: &Transaction,
     lease: Option<LeaseAttachment<'_>>,
@@ -181,12 +181,12 @@
 
 fn push_precondition(body: &mut String, precondition: &Precondition) {
     let Precondition { key, revision } = precondition;
-    let key = quoted(key);
+    let key = json_string(key);
     body.push_str(&format!("{{\"path\":{key},\"entry_no\":{revision}}}"));
 }
 
 fn push_write(body: &mut String, write: &Write, lease: Option<u64>) {
-    let key = quoted(&write.key);
+    let key = json_string(&write.key);
     match &write.value {
         Some(value) => {
             body.push_str(&format!("{{\"write\":{key},\"v\":{value}"));
@@ -199,7 +199,7 @@
     }
 }
 
-fn quoted(text: &str) -> String {
+fn json_string(text: &str) -> String {
     serde_json::Value::from(text).to_string()
 }
 
--- a/crates/saltpitch/src/wire/store/tests.rs
+++ b/crates/saltpitch/src/wire/store/tests.rs
@@ -1,4 +1,4 @@
-//! The requests to the state service, byte for byte, and its answers.
+//! The encoding of requests to the state service, byte for byte, and the decoding of its answers.
 
 use super::*;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_transaction_is_sent_byte_for_byte_as_before() {
+fn transactions_are_encoded_byte_for_byte() {
     let plain = r#"{"when":[{"path":"saltpitch/leader","entry_no":0},{"path":"saltpitch/\"quoted\"","entry_no":17}],"writes":[{"write":"saltpitch/leader","v":{"node":"n1"}},{"delete":"saltpitch/old"}]}"#;
     let body = encode_transaction(&transaction(), None);
     assert_eq!(String::from_utf8_lossy(&body), plain);
@@ -53,11 +53,11 @@
         ),
         (
             r#"{"write":"a","delete":"a","v":1,"entry_no":7}"#,
-            DecodeError::NeitherWriteNorDelete,
+            DecodeError::NotOneOfWriteAndDelete,
         ),
         (
             r#"{"v":1,"entry_no":7}"#,
-            DecodeError::NeitherWriteNorDelete,
+            DecodeError::NotOneOfWriteAndDelete,
         ),
     ] {
         let body = format!(r#"{{"ledger_no":9,"news":[{change}]}}"#);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn answers_to_transactions_say_the_revision_or_the_failed_keys() {
+fn answers_to_transactions_have_the_revision_or_the_failed_keys() {
     let committed = decode_transaction_reply(br#"{"ledger_no":12}"#).expect("well formed");
     assert_eq!((committed.revision, committed.failed_keys.len()), (12, 0));
     let conflict = decode_transaction_reply(br#"{"ledger_no":12,"failed":["a"]}"#);
--- a/crates/saltpitch/src/wire/users.rs
+++ b/crates/saltpitch/src/wire/users.rs
@@ -1,4 +1,4 @@
-//! Messages of users, and of other cells in the role of users.
+//! Messages of users, and of other cells, which act as users.
 
 use saltpitch_cells::link::{HostStatus, Submission};
 use saltpitch_core::catalog::Resources;
@@ -12,32 +12,33 @@
 
 mod field;
 
-/// The most ids in `waits_on`: a body of 64 KiB could hold more, a record of the state service not.
+/// The largest number of ids in `waits_on`. A body of 64 KiB could hold more, but a record in the state service
+/// could not.
 pub const MAX_DEPENDENCIES: usize = 1_000;
 
-/// The form of job ids: this prefix and so many digits at the most.
+/// A job id is this prefix followed by one to [`MAX_JOB_ID_DIGITS`] digits.
 const JOB_ID_PREFIX: &str = "job-";
 const MAX_JOB_ID_DIGITS: usize = 40;
 
-/// Fields of requests between cells, beyond those of the users' protocol.
+/// Fields of requests between cells that the users' protocol does not have.
 const CLOSING: &str = "closing";
 const UNLESS_BEGUN: &str = "unless_begun";
 
 /// A job's status as users read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobStatus {
-    /// Accepted; no task runs.
+    /// Accepted; no task is running.
     Pending,
-    /// Tasks run.
+    /// At least one task is running.
     Running,
-    /// Completed for good.
+    /// Completed; this is final.
     Done,
-    /// Cancelled for good.
+    /// Cancelled; this is final.
     Cancelled,
 }
 
 impl JobStatus {
-    /// The status of a job in this state with so many running tasks.
+    /// Returns the status of a job in this state with this number of running tasks.
     pub fn new(state: JobState, running: u64) -> JobStatus {
         match state {
             JobState::Done => JobStatus::Done,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The word for it in messages.
+    /// Returns the name of the status in messages.
     pub fn as_str(self) -> &'static str {
         match self {
             JobStatus::Pending => "pending",
@@ -57,15 +58,15 @@
         }
     }
 
-    /// Reads the word.
-    pub fn parse(word: &str) -> Option<JobStatus> {
+    /// Parses the name of a status in messages.
+    pub fn parse(name: &str) -> Option<JobStatus> {
         let all = [
             JobStatus::Pending,
             JobStatus::Running,
             JobStatus::Done,
             JobStatus::Cancelled,
         ];
-        all.into_iter().find(|status| status.as_str() == word)
+        all.into_iter().find(|status| status.as_str() == name)
     }
 }
 
@@ -80,7 +81,7 @@
     }
 }
 
-/// A submission as it was sent, apart from its id. Unknown fields are passed over.
+/// A submission as it was sent, apart from its id. Unknown fields are ignored.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct RawSubmission {
@@ -106,7 +107,7 @@
     waits_on: Field<Vec<Field<String>>>,
 }
 
-/// Whether `id` has the form that job ids always have.
+/// Returns whether `id` has the form of a job id.
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix(JOB_ID_PREFIX).is_some_and(|number| {
         (1..=MAX_JOB_ID_DIGITS).contains(&number.len())
@@ -114,7 +115,7 @@
     })
 }
 
-/// Reads the id in a submission, whose other fields may be wrong.
+/// Decodes the job id of a submission, whose other fields may be invalid.
 pub fn decode_job_id(body: &Value) -> Result<&str, DecodeError> {
     let object = body.as_object().ok_or(DecodeError::NotAnObject)?;
     let id = object
@@ -129,7 +130,7 @@
     }
 }
 
-/// Reads a submission. The fields are checked in a fixed order; the error names the first wrong one.
+/// Decodes a submission. The fields are checked in a fixed order; the error names the first invalid one.
 pub fn decode_submission(body: &Value) -> Result<JobSpec, DecodeError> {
     if !body.is_object() {
         return Err(DecodeError::NotAnObject);
@@ -145,7 +146,7 @@
     };
     let types = raw.hulls_list.optional_names("hulls_list")?;
     let zone = raw.basin.optional_string("basin")?;
-    let deadline = raw.arrive_by_s.optional_span("arrive_by_s")?;
+    let deadline = raw.arrive_by_s.optional_duration("arrive_by_s")?;
     let dependencies = raw.waits_on.job_ids("waits_on")?;
     Ok(JobSpec {
         class: raw.berth.text("berth")?,
@@ -161,20 +162,20 @@
         spot: raw.lay_by.flag("lay_by")?,
         image: raw.hull.text("hull")?,
         image_mb: raw.image_gb.amount("image_gb")?,
-        estimate: raw.passage_s.span("passage_s")?,
-        checkpoint_interval: raw.moor_every_s.span("moor_every_s")?,
-        save_time: raw.tie_up_s.span("tie_up_s")?,
+        estimate: raw.passage_s.duration("passage_s")?,
+        checkpoint_interval: raw.moor_every_s.duration("moor_every_s")?,
+        save_time: raw.tie_up_s.duration("tie_up_s")?,
         deadline,
         dependencies,
     })
 }
 
-fn decode_kind(word: String) -> Result<JobKind, DecodeError> {
-    match word.as_str() {
+fn decode_kind(name: String) -> Result<JobKind, DecodeError> {
+    match name.as_str() {
         "sweep" => Ok(JobKind::Array),
         "ensemble" => Ok(JobKind::Gang),
         "service" => Ok(JobKind::Service),
-        _ => Err(DecodeError::field("rig", FieldError::UnknownValue(word))),
+        _ => Err(DecodeError::field("rig", FieldError::UnknownValue(name))),
     }
 }
 
@@ -186,15 +187,15 @@
     }
 }
 
-fn decode_priority(word: String) -> Result<Priority, DecodeError> {
-    match word.as_str() {
+fn decode_priority(name: String) -> Result<Priority, DecodeError> {
+    match name.as_str() {
         "production" => Ok(Priority::Production),
         "urgent" => Ok(Priority::High),
         "normal" => Ok(Priority::Normal),
         "best_effort" => Ok(Priority::Low),
         _ => Err(DecodeError::field(
             "precedence",
-            FieldError::UnknownValue(word),
+            FieldError::UnknownValue(name),
         )),
     }
 }
@@ -208,22 +209,22 @@
     }
 }
 
-/// The answer that tells a job's status.
+/// Encodes the answer with a job's status.
 pub fn encode_status(id: &str, status: JobStatus) -> Value {
     json!({"ref": id, "status": status.as_str()})
 }
 
-/// The answer that tells a job's status and how many of its tasks are done and running.
+/// Encodes the answer with a job's status and the numbers of its tasks that are done and running.
 pub fn encode_progress(id: &str, status: JobStatus, done: u64, running: u64) -> Value {
     json!({"ref": id, "status": status.as_str(), "done": done, "running": running})
 }
 
-/// The answer that tells why a request is refused.
+/// Encodes the answer that says why a request is refused.
 pub fn encode_error(reason: &str) -> Value {
     json!({ "error": reason })
 }
 
-/// A submission to another cell, which reads it with [`decode_submission`].
+/// Encodes a submission to another cell, which decodes it with [`decode_submission`].
 pub fn encode_submission(submission: &Submission) -> Value {
     let spec = &submission.spec;
     let mut body = json!({
@@ -233,11 +234,11 @@
         "rig": encode_kind(spec.kind),
         "precedence": encode_priority(spec.priority),
         "legs": spec.tasks,
-        "cpus": units(spec.need.cpu),
-        "accelerators": units(spec.need.gpu),
-        "mem_gb": units(spec.need.mem),
+        "cpus": from_thousandths(spec.need.cpu),
+        "accelerators": from_thousandths(spec.need.gpu),
+        "mem_gb": from_thousandths(spec.need.mem),
         "hull": spec.image,
-        "image_gb": units(spec.image_mb),
+        "image_gb": from_thousandths(spec.image_mb),
         "hulls_list": spec.types,
         "basin": spec.zone,
         "together": spec.one_zone,
@@ -254,12 +255,12 @@
     body
 }
 
-/// Whether a submission only closes a delegation.
+/// Returns whether a submission only closes a delegation.
 pub fn decode_closing(body: &Value) -> bool {
-    is_set(body, CLOSING)
+    is_flag_set(body, CLOSING)
 }
 
-/// The request for a cancellation at another cell.
+/// Encodes the request to another cell to cancel a job.
 pub fn encode_cancellation(unless_begun: bool) -> Value {
     if unless_begun {
         json!({ UNLESS_BEGUN: true })
@@ -268,19 +269,19 @@
     }
 }
 
-/// Whether a cancellation is only for a job of which nothing has begun. A body that cannot be read asks
-/// for nothing special.
+/// Returns whether a cancellation applies only to a job of which no task has begun. If the body cannot be
+/// decoded, the cancellation is unconditional.
 pub fn decode_unless_begun(body: &[u8]) -> bool {
     let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-    is_set(&body, UNLESS_BEGUN)
+    is_flag_set(&body, UNLESS_BEGUN)
 }
 
-fn is_set(body: &Value, flag: &str) -> bool {
+fn is_flag_set(body: &Value, flag: &str) -> bool {
     body.get(flag).and_then(Value::as_bool).unwrap_or(false)
 }
 
-/// Thousandths as an amount in messages.
-fn units(thousandths: u64) -> f64 {
+/// Converts thousandths to the amount in messages.
+fn from_thousandths(thousandths: u64) -> f64 {
     thousandths as f64 / 1e3
 }
 
--- a/crates/saltpitch/src/wire/users/field.rs
+++ b/crates/saltpitch/src/wire/users/field.rs
@@ -1,4 +1,4 @@
-//! Fields of a submission and the checks on them.
+//! The fields of a submission and the checks of their values.
 
 use saltpitch_core::job::MAX_TASKS;
 use saltpitch_core::Micros;
@@ -7,14 +7,13 @@
 use serde_json::Value;
 
 use super::{is_job_id, MAX_DEPENDENCIES};
-use crate::wire::{milli, span, DecodeError, FieldError};
+use crate::wire::{to_duration, to_thousandths, DecodeError, FieldError};
 
-/// The longest text in bytes.
-const MAX_TEXT: usize = 200;
-/// The most machine types that a submission can name.
-const MAX_NAMES: usize = 100;
+const MAX_TEXT_BYTES: usize = 200;
+/// The largest number of machine types that a submission can name.
+const MAX_TYPE_NAMES: usize = 100;
 
-/// A field as it was sent. Reading never fails, so that the fields are checked in the order of the
+/// A field as it was sent. Deserializing it never fails, so that the fields are checked in the order of the
 /// protocol and not in the order in which they were sent.
 #[derive(Default)]
 pub enum Field<T> {
@@ -38,7 +37,7 @@
 }
 
 impl<T> Field<T> {
-    /// The value; an error if it is absent or of another type.
+    /// Returns the value, or `error` if it is absent or of another type.
     fn required(self, name: &'static str, error: FieldError) -> Result<T, DecodeError> {
         match self {
             Field::Value(value) => Ok(value),
@@ -46,7 +45,7 @@
         }
     }
 
-    /// The value if there is one; an error if it is of another type.
+    /// Returns the value if there is one, or `error` if it is of another type.
     fn optional(self, name: &'static str, error: FieldError) -> Result<Option<T>, DecodeError> {
         match self {
             Field::Value(value) => Ok(Some(value)),
@@ -57,7 +56,7 @@
 }
 
 impl Field<String> {
-    /// Text of a sensible length.
+    /// Returns the string if it is neither empty nor too long.
     pub fn text(self, name: &'static str) -> Result<String, DecodeError> {
         let text = self.required(name, FieldError::NotText)?;
         if is_text(&text) {
@@ -67,21 +66,21 @@
         }
     }
 
-    /// Any string or none.
+    /// Returns the string, of any length, or `None` if it is absent.
     pub fn optional_string(self, name: &'static str) -> Result<Option<String>, DecodeError> {
         self.optional(name, FieldError::NotAStringOrNull)
     }
 }
 
 impl Field<bool> {
-    /// True or false.
+    /// Returns the boolean.
     pub fn flag(self, name: &'static str) -> Result<bool, DecodeError> {
         self.required(name, FieldError::NotABoolean)
     }
 }
 
 impl Field<u64> {
-    /// A number of tasks that a job can have.
+    /// Returns the number if a job can have this many tasks.
     pub fn task_count(self, name: &'static str) -> Result<u32, DecodeError> {
         let count = self.required(name, FieldError::TaskCount)?;
         u32::try_from(count)
@@ -92,34 +91,34 @@
 }
 
 impl Field<f64> {
-    /// An amount, in thousandths.
+    /// Returns the amount in thousandths.
     pub fn amount(self, name: &'static str) -> Result<u64, DecodeError> {
         let number = self.required(name, FieldError::NotANumber)?;
-        milli(number).ok_or(DecodeError::field(name, FieldError::OutOfRange))
+        to_thousandths(number).ok_or(DecodeError::field(name, FieldError::OutOfRange))
     }
 
-    /// A span of time.
-    pub fn span(self, name: &'static str) -> Result<Micros, DecodeError> {
+    /// Returns the duration, which is sent in seconds.
+    pub fn duration(self, name: &'static str) -> Result<Micros, DecodeError> {
         let number = self.required(name, FieldError::NotANumber)?;
-        span(number).ok_or(DecodeError::field(name, FieldError::OutOfRange))
+        to_duration(number).ok_or(DecodeError::field(name, FieldError::OutOfRange))
     }
 
-    /// A span of time or none.
-    pub fn optional_span(self, name: &'static str) -> Result<Option<Micros>, DecodeError> {
+    /// Returns the duration, or `None` if it is absent.
+    pub fn optional_duration(self, name: &'static str) -> Result<Option<Micros>, DecodeError> {
         match self {
             Field::Absent => Ok(None),
-            present => present.span(name).map(Some),
+            present => present.duration(name).map(Some),
         }
     }
 }
 
 impl Field<Vec<Field<String>>> {
-    /// Names, in the order in which they were sent, or none.
+    /// Returns the names in the order in which they were sent, or `None` if the list is absent.
     pub fn optional_names(self, name: &'static str) -> Result<Option<Vec<String>>, DecodeError> {
         let Some(list) = self.optional(name, FieldError::NotAListOrNull)? else {
             return Ok(None);
         };
-        if list.len() > MAX_NAMES {
+        if list.len() > MAX_TYPE_NAMES {
             return Err(DecodeError::field(name, FieldError::NotAListOrNull));
         }
         let item = |item: Field<String>| item.required(name, FieldError::NotNames);
@@ -127,7 +126,7 @@
         names.map(Some)
     }
 
-    /// Job ids, each once and in order; an absent list is empty.
+    /// Returns the job ids, sorted and without duplicates; an absent list is empty.
     pub fn job_ids(self, name: &'static str) -> Result<Vec<String>, DecodeError> {
         let list = self.optional(name, FieldError::NotAListOrNull)?;
         let list = list.unwrap_or_default();
@@ -148,7 +147,7 @@
     }
 }
 
-/// Whether a string is neither empty nor too long.
+/// Returns whether a string is neither empty nor too long.
 pub fn is_text(text: &str) -> bool {
-    (1..=MAX_TEXT).contains(&text.len())
+    (1..=MAX_TEXT_BYTES).contains(&text.len())
 }
--- a/crates/saltpitch/src/wire/users/tests.rs
+++ b/crates/saltpitch/src/wire/users/tests.rs
@@ -1,8 +1,8 @@
-//! What submissions are refused for: every field missing, of the wrong type, and out of range.
+//! Submissions that are refused because a field is missing, of the wrong type or out of range.
 
 use super::*;
 
-fn good() -> Value {
+fn valid_submission() -> Value {
     json!({"ref":"job-000412","berth":"train","crew":"vision","rig":"ensemble",
         "precedence":"urgent","legs":16,"cpus":8.0,"accelerators":1.0,"mem_gb":64.0,
         "hull":"img-07","image_gb":6.2,"hulls_list":["g8"],"basin":null,"together":true,
@@ -10,61 +10,61 @@
         "arrive_by_s":900.0})
 }
 
-/// Fields that may be null, and so be left out.
-const MAY_BE_NULL: [&str; 3] = ["hulls_list", "basin", "arrive_by_s"];
+/// Fields that may be null or left out.
+const OPTIONAL_FIELDS: [&str; 3] = ["hulls_list", "basin", "arrive_by_s"];
 
-fn refused(body: &Value, field: &str) {
-    let end = decode_job_id(body).and_then(|_| decode_submission(body));
-    let reason = end.expect_err(field).to_string();
+fn assert_refused(body: &Value, field: &str) {
+    let outcome = decode_job_id(body).and_then(|_| decode_submission(body));
+    let reason = outcome.expect_err(field).to_string();
     assert!(reason.contains(field), "{field}: {reason}");
 }
 
 #[test]
 fn a_field_that_is_missing_or_null_is_named() {
-    assert!(decode_submission(&good()).is_ok());
-    let fields: Vec<String> = (good().as_object().expect("object").keys())
+    assert!(decode_submission(&valid_submission()).is_ok());
+    let fields: Vec<String> = (valid_submission().as_object().expect("object").keys())
         .cloned()
         .collect();
     assert_eq!(fields.len(), 20);
     for field in fields {
-        let mut without = good();
+        let mut without = valid_submission();
         without.as_object_mut().expect("object").remove(&field);
-        let mut null = good();
+        let mut null = valid_submission();
         null[&field] = Value::Null;
-        if MAY_BE_NULL.contains(&&*field) {
+        if OPTIONAL_FIELDS.contains(&&*field) {
             assert!(decode_submission(&without).is_ok(), "{field}");
             assert!(decode_submission(&null).is_ok(), "{field}");
         } else {
-            refused(&without, &field);
-            refused(&null, &field);
+            assert_refused(&without, &field);
+            assert_refused(&null, &field);
         }
     }
 }
 
 #[test]
 fn a_field_of_the_wrong_type_is_named() {
-    for field in good().as_object().expect("object").keys() {
+    for field in valid_submission().as_object().expect("object").keys() {
         for wrong in [
             json!({"a": 1}),
             json!([[1]]),
             json!("\u{0}nonsense"),
             json!(-7.25),
         ] {
-            // A name is any text.
+            // Names may be any text.
             let text = matches!(&**field, "berth" | "crew" | "hull" | "basin");
             if text && wrong.is_string() {
                 continue;
             }
-            let mut body = good();
+            let mut body = valid_submission();
             body[field] = wrong;
-            refused(&body, field);
+            assert_refused(&body, field);
         }
-        let number = good()[field].is_number();
+        let number = valid_submission()[field].is_number();
         for wrong in [json!("8"), json!(true)] {
             if number {
-                let mut body = good();
+                let mut body = valid_submission();
                 body[field] = wrong;
-                refused(&body, field);
+                assert_refused(&body, field);
             }
         }
     }
@@ -97,14 +97,14 @@
         ("hulls_list", json!([1])),
         ("hulls_list", json!(["g8", null])),
     ] {
-        let mut body = good();
+        let mut body = valid_submission();
         body[field] = bad;
-        refused(&body, field);
+        assert_refused(&body, field);
     }
 }
 
 #[test]
-fn what_is_not_an_object_is_refused() {
+fn a_body_that_is_not_an_object_is_refused() {
     for body in [
         json!([1]),
         json!("job-000412"),
@@ -114,20 +114,20 @@
     ] {
         assert!(decode_job_id(&body).is_err() && decode_submission(&body).is_err());
     }
-    assert_eq!(decode_job_id(&good()).ok(), Some("job-000412"));
+    assert_eq!(decode_job_id(&valid_submission()).ok(), Some("job-000412"));
 }
 
 #[test]
 fn waits_on_holds_job_ids_or_is_left_out() {
     let with = |dependencies: Value| {
-        let mut body = good();
+        let mut body = valid_submission();
         body["waits_on"] = dependencies;
         decode_submission(&body)
     };
     for none in [json!(null), json!([])] {
         assert!(with(none).expect("accepted").dependencies.is_empty());
     }
-    // Named twice is named.
+    // Duplicates are removed.
     let two = with(json!(["job-000405", "job-000398", "job-000405"])).expect("accepted");
     assert_eq!(two.dependencies, ["job-000398", "job-000405"]);
     for bad in [
@@ -156,16 +156,16 @@
         Ok(MAX_DEPENDENCIES)
     );
     assert!(with(json!(many(MAX_DEPENDENCIES + 1))).is_err());
-    // The bound lies within what a body may hold.
-    let mut body = good();
+    // A body can hold the largest accepted number of dependencies.
+    let mut body = valid_submission();
     body["waits_on"] = json!(many(MAX_DEPENDENCIES));
-    assert!(body.to_string().len() < crate::wire::MAX_BODY);
+    assert!(body.to_string().len() < crate::wire::MAX_BODY_BYTES);
 }
 
-/// What is sent to another cell is read there as the job that it is.
+/// A submission that is encoded for another cell is decoded there as the same job.
 #[test]
 fn a_submission_to_another_cell_is_read_as_the_same_job() {
-    let mut body = good();
+    let mut body = valid_submission();
     for rig in ["sweep", "ensemble", "service"] {
         for precedence in ["production", "urgent", "normal", "best_effort"] {
             body["rig"] = json!(rig);
@@ -183,14 +183,14 @@
             assert_eq!(decode_closing(&encoded), sent.closing);
         }
     }
-    let abort =
-        |wanted: bool| decode_unless_begun(encode_cancellation(wanted).to_string().as_bytes());
-    assert!(abort(true) && !abort(false));
+    let decoded =
+        |flag: bool| decode_unless_begun(encode_cancellation(flag).to_string().as_bytes());
+    assert!(decoded(true) && !decoded(false));
     assert!(!decode_unless_begun(b"") && !decode_unless_begun(b"[1]"));
 }
 
-/// Values that a field is tried with.
-fn tried_values() -> Vec<Value> {
+/// The values that every field is set to.
+fn test_values() -> Vec<Value> {
     let names = |count: usize| vec!["g8"; count];
     let ids = |count: usize| -> Vec<String> { (0..count).map(|n| format!("job-{n}")).collect() };
     let mut values = vec![
@@ -229,36 +229,37 @@
     values
 }
 
-/// What becomes of a submission, as one line; of one that is taken, how `field` was read.
+/// Returns the outcome of a submission as one line: the error or, if it is accepted, how `field` was decoded.
 fn outcome(body: &Value, field: Option<&str>) -> String {
     let spec = match decode_job_id(body).and_then(|_| decode_submission(body)) {
         Ok(spec) => spec,
         Err(reason) => return reason.to_string(),
     };
     let dependencies = spec.dependencies.len();
-    let read = encode_submission(&Submission {
-        id: decode_job_id(body).expect("read above").to_owned(),
+    let encoded = encode_submission(&Submission {
+        id: decode_job_id(body).expect("decoded above").to_owned(),
         deadline: spec.deadline,
         spec: std::sync::Arc::new(spec),
         closing: false,
     });
     match field {
         Some("waits_on") => format!("taken with {dependencies} ids"),
-        Some(field) => format!("taken as {}", abridged(&read[field])),
+        Some(field) => format!("taken as {}", abridged(&encoded[field])),
         None => "taken".to_owned(),
     }
 }
 
-/// The beginning of a value; the long ones differ in their length.
+/// Returns the beginning of a value and its length, which tells long values apart.
 fn abridged(value: &Value) -> String {
     let text = value.to_string();
     let start: String = text.chars().take(24).collect();
     format!("{start} ({} bytes)", text.len())
 }
 
-/// What becomes of every field with every value, and of every two fields that are missing or wrong.
+/// Returns the outcomes of submissions with each field set to each value, and with each pair of fields missing
+/// or of the wrong type.
 fn outcomes() -> String {
-    let mut fields: Vec<String> = good()
+    let mut fields: Vec<String> = valid_submission()
         .as_object()
         .expect("object")
         .keys()
@@ -267,8 +268,8 @@
     fields.push("waits_on".to_owned());
     let mut lines = Vec::new();
     for field in &fields {
-        for value in tried_values() {
-            let mut body = good();
+        for value in test_values() {
+            let mut body = valid_submission();
             body[field] = value.clone();
             lines.push(format!(
                 "{field} = {}: {}",
@@ -279,7 +280,7 @@
     }
     for (index, first) in fields.iter().enumerate() {
         for second in &fields[index + 1..] {
-            let mut without = good();
+            let mut without = valid_submission();
             let object = without.as_object_mut().expect("object");
             object.remove(first);
             object.remove(second);
@@ -287,7 +288,7 @@
                 "without {first}, {second}: {}",
                 outcome(&without, None)
             ));
-            let mut wrong = good();
+            let mut wrong = valid_submission();
             wrong[first] = json!({});
             wrong[second] = json!({});
             lines.push(format!(
@@ -299,9 +300,9 @@
     lines.join("\n") + "\n"
 }
 
-/// Users and other programs see these texts: which field is named first, and what is said about it.
+/// Users and other programs read these texts, so the field that is named first and the reason must not change.
 #[test]
-fn every_refusal_has_its_recorded_text() {
+fn every_outcome_has_its_recorded_text() {
     let recorded = include_str!("outcomes.txt");
     let present = outcomes();
     for (recorded, present) in recorded.lines().zip(present.lines()) {
