--- a/crates/saltpitch/src/settings.rs
+++ b/crates/saltpitch/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of a controller: the platform's file, the operators' policy and their file on cells, read
-//! once at start and checked field by field.
+//! The settings of a controller: the platform's file, the operators' policy and their file on cells. They are
+//! read once at start and checked field by field.
 
 pub mod contradictions;
 mod error;
@@ -24,15 +24,16 @@
 
 pub use error::SettingsError;
 
-/// Segments of the placement log: about three minutes of it, a few megabytes in the store. All
-/// controllers of a site must agree on it.
+/// The number of segments of the placement log. They hold about three minutes of it and take a few megabytes in
+/// the state service. All controllers of a site must use the same number.
 const LOG_SEGMENTS: u64 = 2_048;
-/// The most bytes of one transaction.
+/// The largest size of a transaction, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
 
-/// Commands to machines that may be in flight at a time: one for so many sockets, so that a site with more
-/// machines, and hence more sockets, reaches all of them in the same time; and at least.
+/// The number of sockets for each command to a machine that may be in flight. The limit grows with the sockets,
+/// so that a site with more machines, and hence more sockets, reaches all of them in the same time.
 const SOCKETS_PER_COMMAND: usize = 40;
+/// The least number of commands to machines that may be in flight.
 const MIN_COMMANDS_IN_FLIGHT: usize = 24;
 
 /// The settings of a controller.
@@ -40,11 +41,11 @@
 pub struct Settings {
     /// This controller's name.
     pub node: String,
-    /// Its zone.
+    /// This controller's zone.
     pub zone: String,
-    /// Where it listens for users and agents.
+    /// The address on which it listens for users and agents.
     pub api_addr: SocketAddr,
-    /// Where it listens for the other controllers.
+    /// The address on which it listens for the other controllers.
     pub peer_bind: SocketAddr,
     /// The other controllers.
     pub peers: Vec<Peer>,
@@ -54,50 +55,50 @@
     pub store_addr: SocketAddr,
     /// The site's zones.
     pub zones: Vec<String>,
-    /// The number of controllers.
+    /// The number of the site's controllers, this one included.
     pub controller_count: usize,
     /// The teams' guarantees and quotas.
     pub teams: Vec<TeamLimits>,
-    /// What the agents keep to.
+    /// The intervals and timeouts of the agents.
     pub agents: AgentTimings,
     /// The state service's limits.
     pub store: StoreLimits,
-    /// Requests a second that the cloud takes from the site.
+    /// Requests a second that the cloud accepts from the site.
     pub cloud_rps: f64,
-    /// How long after a change the cloud's list of machines shows it at the latest.
+    /// The longest time until a change appears in the cloud's list of machines.
     pub max_list_lag: Micros,
-    /// Sockets that this process may have open.
+    /// The most sockets that this process may have open.
     pub max_sockets: usize,
-    /// The service-level objectives of classes.
+    /// The service-level objectives of job classes.
     pub objectives: Vec<Objective>,
-    /// How soon work within a team's guarantee is to start.
+    /// The time within which work that is covered by a team's guarantee should start.
     pub guarantee_start_target: Micros,
-    /// The operators' own rules, on top of the built-in ones.
+    /// The built-in policy, with the operators' own rules on top if there are any.
     pub policy: Policy,
-    /// The operators' file on cells.
+    /// The operators' settings on other cells, if there are any.
     pub cells: Option<CellsSettings>,
 }
 
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The controller's name.
     pub node: String,
-    /// Its zone.
+    /// The controller's zone.
     #[serde(default, rename = "location")]
     pub zone: String,
-    /// Where it listens for other controllers.
+    /// The address on which it listens for other controllers.
     pub addr: SocketAddr,
 }
 
-/// What the agents keep to.
+/// The intervals and timeouts of the agents.
 #[derive(Clone, Debug)]
 pub struct AgentTimings {
     /// The time between two heartbeats of an agent.
     pub heartbeat_interval: Micros,
-    /// How long after its last answer an agent stops its tasks.
+    /// How long an agent keeps its tasks running after the last answer to one of its heartbeats.
     pub agent_lease: Micros,
-    /// How long a gang's tasks run on without one of them.
+    /// How long a gang's tasks keep running after one of them is gone.
     pub gang_peer_timeout: Micros,
     /// The time within which the tasks of a cancelled job must have ended.
     pub cancel_timeout: Micros,
@@ -110,14 +111,14 @@
     pub rps: f64,
     /// Changes a second.
     pub write_rps: f64,
-    /// The longest value that is written: the smaller one of the present and the next limits, since the
-    /// latter come into force without notice.
+    /// The longest value that is written, in bytes: the smaller of the present and the next limit, since the
+    /// next one comes into force without notice.
     pub max_value_bytes: usize,
-    /// The most writes of a transaction, in the same way.
+    /// The most writes in one transaction: likewise the smaller of the present and the next limit.
     pub max_transaction_writes: usize,
-    /// Requests a second of the next limits, or of the present ones if there are none.
+    /// Requests a second under the next limits: at most `rps`, and equal to it if no next limit is given.
     pub next_rps: f64,
-    /// Changes a second of the next limits, or of the present ones if there are none.
+    /// Changes a second under the next limits: at most `write_rps`, and equal to it if no next limit is given.
     pub next_write_rps: f64,
 }
 
@@ -125,7 +126,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} requests and {} changes a second, next {} and {}; nothing above {} bytes a value and {} changes a transaction is written",
+            "{} requests and {} changes a second, next {} and {}; writes are limited to {} bytes a value and {} changes a transaction",
             self.rps,
             self.write_rps,
             self.next_rps,
@@ -137,13 +138,14 @@
 }
 
 impl Settings {
-    /// Reads the platform's file and, if there are any, the operators' policy and their file on cells.
+    /// Reads and checks the platform's file and, if their paths are given, the operators' policy and their file
+    /// on cells.
     pub fn load(
         path: &Path,
         policy: Option<&Path>,
         cells: Option<&Path>,
     ) -> Result<Settings, SettingsError> {
-        let mut settings = Settings::parse(&read("settings", path)?)?;
+        let mut settings = Settings::parse(&read_file("settings", path)?)?;
         if let Some(path) = policy {
             settings.policy = load_policy(path)?;
         }
@@ -154,7 +156,7 @@
     }
 
     fn load_cells(&self, path: &Path) -> Result<CellsSettings, SettingsError> {
-        let text = read("cells", path)?;
+        let text = read_file("cells", path)?;
         let context = ControllerContext {
             node: &self.node,
             listens: &[("api_addr", self.api_addr), ("peer_bind", self.peer_bind)],
@@ -165,8 +167,8 @@
         Ok(CellsSettings::parse(&text, &context)?)
     }
 
-    /// Reads the platform's settings. Fields are checked in a fixed order; the error names the first
-    /// wrong one.
+    /// Parses the platform's settings. The fields are checked in a fixed order; the error names the first invalid
+    /// one.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let root: Value = serde_json::from_str(text).map_err(SettingsError::NotJson)?;
         if !root.is_object() {
@@ -187,25 +189,25 @@
             agents: sections::agent_timings(&fields)?,
             store: sections::store_limits(&fields)?,
             cloud_rps: fields.number("cluster.cloud.rps", 0.1, 1e5)?,
-            max_list_lag: fields.span("cluster.cloud.list_lag_s")?,
+            max_list_lag: fields.duration("cluster.cloud.list_lag_s")?,
             objectives: sections::objectives(&fields)?,
             max_sockets: fields.number("cluster.limits.sockets", 32.0, 1e7)? as usize,
             guarantee_start_target: sections::guarantee_start_target(&fields),
             policy: Policy::default(),
             cells: None,
         };
-        // No guarantee depends on the time of day, so the value is not used; it is checked all the same.
+        // Nothing that the scheduler guarantees depends on the time of day, so this value is checked but not used.
         fields.number("cluster.clock_error_ms", 0.0, 1e6)?;
         contradictions::check(&settings)?;
         Ok(settings)
     }
 
-    /// Everything in these settings that works but is worth a look.
+    /// Returns the warnings about settings that work, but with a disadvantage.
     pub fn warnings(&self) -> Vec<contradictions::Warning> {
         contradictions::warnings(self)
     }
 
-    /// What the state machine of a controller has to know about itself and the site.
+    /// Returns the configuration of the controller's state machine.
     pub fn controller_config(&self) -> ControllerConfig {
         let identity = |peer: &Peer| PeerIdentity {
             name: peer.node.clone(),
@@ -245,8 +247,8 @@
     }
 }
 
-/// Reads a file; `file` says in errors which one it is.
-fn read(file: &'static str, path: &Path) -> Result<String, SettingsError> {
+/// Reads a file; `file` says in an error which of the files it is.
+fn read_file(file: &'static str, path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
         file,
         path: path.to_owned(),
@@ -255,7 +257,7 @@
 }
 
 fn load_policy(path: &Path) -> Result<Policy, SettingsError> {
-    let text = read("policy", path)?;
+    let text = read_file("policy", path)?;
     Policy::parse(&text).map_err(|error| SettingsError::Policy {
         path: path.to_owned(),
         reason: error.to_string(),
--- a/crates/saltpitch/src/settings/contradictions.rs
+++ b/crates/saltpitch/src/settings/contradictions.rs
@@ -1,4 +1,4 @@
-//! Settings that are valid one by one and contradict each other.
+//! Checks of settings that are valid by themselves but contradict each other.
 
 use std::fmt;
 
@@ -7,25 +7,25 @@
 
 use super::Settings;
 
-/// A heartbeat is sent up to a quarter later than the interval says.
-const HEARTBEAT_JITTER: f64 = 1.25;
-/// Heartbeats that a lease should span, so that the loss of one costs nothing.
-const HEARTBEATS_PER_LEASE: f64 = 3.0;
+/// The longest time between two heartbeats, as a multiple of the interval: agents send up to a quarter later.
+const MAX_HEARTBEAT_INTERVAL_FACTOR: f64 = 1.25;
+/// The number of heartbeat intervals that a lease should span, so that the loss of one heartbeat has no effect.
+const MIN_HEARTBEATS_PER_LEASE: f64 = 3.0;
 /// Requests a second that each controller needs to follow the records at all.
-const REQUESTS_PER_CONTROLLER: f64 = 0.5;
-/// Requests a second that the leader needs to renew its lease and to write.
-const REQUESTS_OF_LEADER: f64 = 2.5;
-/// Changes in one transaction of an election.
+const CONTROLLER_REQUESTS_PER_S: f64 = 0.5;
+/// Requests a second that the leader needs in addition to renew its lease and to write.
+const LEADER_REQUESTS_PER_S: f64 = 2.5;
+/// The number of changes in the transaction of an election.
 const ELECTION_CHANGES: f64 = 2.0;
-/// Changes a second below which placements wait for their turn on all but the smallest sites.
-const FEW_CHANGES: f64 = 10.0;
-/// Bytes of a value below which one placement record holds only a few dozen tasks.
-const SMALL_VALUE: usize = 2 * 1024;
+/// The rate of changes below which the records of placements are delayed on all but the smallest sites.
+const LOW_CHANGES_PER_S: f64 = 10.0;
+/// The limit on values below which one placement record holds only a few dozen tasks.
+const SMALL_VALUE_BYTES: usize = 2 * 1024;
 
-/// A combination of settings on which the service cannot run.
+/// A combination of settings with which the service cannot run.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Contradiction {
-    /// A task can outlive the time that a cancellation allows it.
+    /// A task of a cancelled job could run longer than the time allowed for cancellations.
     #[error("settings: field `cluster.workers.cancel_s` must exceed `lease_s`")]
     CancelWithinLease,
     /// Every lease would expire between two heartbeats.
@@ -36,37 +36,37 @@
         /// The lease, in seconds.
         lease_s: f64,
     },
-    /// This controller is named among the others.
+    /// The list of the other controllers contains this one.
     #[error("settings: field `seeds` names this node itself")]
     OwnNameAmongPeers,
     /// Two other controllers have the same name.
     #[error("settings: field `seeds` names {0} twice")]
     DuplicatePeer(String),
-    /// The state service takes fewer requests than the controllers need to lead and follow.
+    /// The state service accepts fewer requests than the controllers need to lead and to follow the records.
     #[error("settings: field `{field}` is {rate} requests a second, and {controllers} controllers need {needed}")]
     TooFewRequests {
-        /// Which field.
+        /// The field's path.
         field: &'static str,
-        /// What it says.
+        /// The field's value.
         rate: f64,
-        /// How many controllers share it.
+        /// The number of controllers that share it.
         controllers: usize,
-        /// What they need.
+        /// The requests a second that they need.
         needed: f64,
     },
-    /// The state service takes fewer changes in a burst than an election writes at once.
+    /// The state service accepts fewer changes in a burst than an election writes at once.
     #[error("settings: field `{field}` is {rate} changes a second, and an election writes {needed} at once")]
     TooFewChanges {
-        /// Which field.
+        /// The field's path.
         field: &'static str,
-        /// What it says.
+        /// The field's value.
         rate: f64,
-        /// What an election needs.
+        /// The number of changes that an election writes at once.
         needed: f64,
     },
 }
 
-/// The first contradiction in these settings.
+/// Returns an error for the first contradiction in the settings.
 pub fn check(settings: &Settings) -> Result<(), Contradiction> {
     check_agents(settings)?;
     check_peers(settings)?;
@@ -78,7 +78,11 @@
     if agents.cancel_timeout <= agents.agent_lease {
         return Err(Contradiction::CancelWithinLease);
     }
-    if agents.heartbeat_interval.times(HEARTBEAT_JITTER) >= agents.agent_lease {
+    if agents
+        .heartbeat_interval
+        .times(MAX_HEARTBEAT_INTERVAL_FACTOR)
+        >= agents.agent_lease
+    {
         return Err(Contradiction::HeartbeatsOutlastLease {
             report_s: agents.heartbeat_interval.as_secs_f64(),
             lease_s: agents.agent_lease.as_secs_f64(),
@@ -102,7 +106,7 @@
 fn check_rates(settings: &Settings) -> Result<(), Contradiction> {
     let store = &settings.store;
     let controllers = settings.controller_count;
-    let needed = REQUESTS_OF_LEADER + REQUESTS_PER_CONTROLLER * controllers as f64;
+    let needed = LEADER_REQUESTS_PER_S + CONTROLLER_REQUESTS_PER_S * controllers as f64;
     let requests = [
         ("cluster.state.rps", store.rps),
         ("cluster.state.next.rps", store.next_rps),
@@ -133,14 +137,15 @@
     Ok(())
 }
 
-/// A combination on which the service runs, at a price.
+/// A combination of settings with which the service runs, but with a disadvantage.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Warning {
-    /// The loss of a single heartbeat or two costs a machine its tasks.
+    /// The loss of one or two heartbeats lets an agent's lease expire and ends the tasks on its machine.
     FewHeartbeatsPerLease,
-    /// A leader without the state service may answer for so short a time that any outage costs leases.
+    /// A leader that cannot reach the state service may answer agents only for so short a time that every outage
+    /// lets leases expire.
     ShortAnswerBound(Micros),
-    /// Placements wait for their turn to be written.
+    /// The rate of changes is so low that the records of placements are delayed.
     FewChanges(f64),
     /// Placement records hold few tasks, so that more changes are needed for the same work.
     SmallValues(usize),
@@ -151,7 +156,7 @@
         match self {
             Warning::FewHeartbeatsPerLease => write!(
                 f,
-                "`cluster.workers.lease_s` spans fewer than {HEARTBEATS_PER_LEASE} heartbeats: the loss of one may cost a machine its tasks"
+                "`cluster.workers.lease_s` spans fewer than {MIN_HEARTBEATS_PER_LEASE} heartbeats: the loss of one may let a lease expire and end a machine's tasks"
             ),
             Warning::ShortAnswerBound(bound) => write!(
                 f,
@@ -160,7 +165,7 @@
             ),
             Warning::FewChanges(rate) => write!(
                 f,
-                "`cluster.state.write_rps` is, now or next, {rate} changes a second: placements will wait for their turn"
+                "`cluster.state.write_rps` is, now or next, {rate} changes a second: placements will be delayed"
             ),
             Warning::SmallValues(bytes) => write!(
                 f,
@@ -170,16 +175,17 @@
     }
 }
 
-/// Everything in these settings that is worth a look.
+/// Returns the warnings about the settings.
 pub fn warnings(settings: &Settings) -> Vec<Warning> {
     let (agents, store) = (&settings.agents, &settings.store);
     let bound = answer_bound(agents.cancel_timeout, agents.agent_lease);
     let found = [
-        (agents.heartbeat_interval.times(HEARTBEATS_PER_LEASE) > agents.agent_lease)
+        (agents.heartbeat_interval.times(MIN_HEARTBEATS_PER_LEASE) > agents.agent_lease)
             .then_some(Warning::FewHeartbeatsPerLease),
         (bound < agents.heartbeat_interval.times(2.0)).then_some(Warning::ShortAnswerBound(bound)),
-        (store.next_write_rps < FEW_CHANGES).then_some(Warning::FewChanges(store.next_write_rps)),
-        (store.max_value_bytes < SMALL_VALUE)
+        (store.next_write_rps < LOW_CHANGES_PER_S)
+            .then_some(Warning::FewChanges(store.next_write_rps)),
+        (store.max_value_bytes < SMALL_VALUE_BYTES)
             .then_some(Warning::SmallValues(store.max_value_bytes)),
     ];
     found.into_iter().flatten().collect()
--- a/crates/saltpitch/src/settings/error.rs
+++ b/crates/saltpitch/src/settings/error.rs
@@ -10,79 +10,79 @@
     /// A file cannot be read.
     #[error("{file}: cannot read {}", path.display())]
     Unreadable {
-        /// Which of the files.
+        /// Which of the files: `settings`, `policy` or `cells`.
         file: &'static str,
-        /// Where it was looked for.
+        /// The file's path.
         path: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: std::io::Error,
     },
     /// The settings file is not JSON.
     #[error("settings: not valid JSON")]
     NotJson(#[source] serde_json::Error),
-    /// The settings file is JSON, but no object.
+    /// The settings file is JSON, but not an object.
     #[error("settings: not a JSON object")]
     NotAnObject,
     /// A field is missing.
     #[error("settings: field `{path}` is missing")]
     Missing {
-        /// The field.
+        /// The field's path.
         path: String,
     },
     /// A field has the wrong type.
     #[error("settings: field `{path}` is invalid: {reason}")]
     Invalid {
-        /// The field.
+        /// The field's path.
         path: String,
-        /// What the reader says.
+        /// The parser's message.
         reason: serde_json::Error,
     },
-    /// A field that may be left out is neither null nor an object.
+    /// An optional field is neither null nor an object.
     #[error("settings: field `{path}` must be an object")]
     NotAnObjectField {
-        /// The field.
+        /// The field's path.
         path: String,
     },
     /// A number is out of its range.
     #[error("settings: field `{path}` must lie between {min} and {max}, not {number}")]
     OutOfRange {
-        /// The field.
+        /// The field's path.
         path: String,
-        /// The least that is allowed.
+        /// The smallest allowed value.
         min: f64,
-        /// The most that is allowed.
+        /// The largest allowed value.
         max: f64,
-        /// What the file says.
+        /// The value in the file.
         number: f64,
     },
     /// A text is empty or too long.
     #[error("settings: field `{path}` must have 1 to 200 characters")]
     TextLength {
-        /// The field.
+        /// The field's path.
         path: String,
     },
-    /// An element of a list cannot be used.
+    /// An element of a list is invalid.
     #[error("settings: field `{list}[{index}]`")]
     Element {
-        /// The list.
+        /// The list's path.
         list: &'static str,
-        /// Which element, counted from zero.
+        /// The element's index, counted from zero.
         index: usize,
-        /// What is wrong with it.
+        /// The error in the element.
         source: Box<SettingsError>,
     },
-    /// Fields that are valid one by one contradict each other.
+    /// Fields that are valid by themselves contradict each other.
     #[error(transparent)]
     Contradiction(#[from] Contradiction),
-    /// The operators' policy cannot be used.
+    /// The operators' policy is invalid.
     #[error("policy: {}:{reason}", path.display())]
     Policy {
-        /// The file.
+        /// The file's path.
         path: PathBuf,
-        /// What is wrong with it, with the position.
+        /// The error, with its position.
         reason: String,
     },
-    /// The operators' file on cells cannot be used.
+    /// The operators' file on cells is invalid.
     #[error(transparent)]
     Cells(#[from] saltpitch_cells::settings::SettingsError),
 }
--- a/crates/saltpitch/src/settings/fields.rs
+++ b/crates/saltpitch/src/settings/fields.rs
@@ -1,4 +1,4 @@
-//! Looking up fields by their path, so that every error names one.
+//! Access to fields by their path, so that every error names the field.
 
 use saltpitch_core::Micros;
 use serde::de::DeserializeOwned;
@@ -6,17 +6,15 @@
 
 use super::error::SettingsError;
 
-/// The longest text in bytes.
-const MAX_TEXT: usize = 200;
-/// Bounds of a span of time in seconds.
-const MIN_SPAN_S: f64 = 0.001;
-const MAX_SPAN_S: f64 = 1e6;
+const MAX_TEXT_BYTES: usize = 200;
+const MIN_DURATION_S: f64 = 0.001;
+const MAX_DURATION_S: f64 = 1e6;
 
-/// The fields of a JSON object; paths are separated by dots.
+/// The fields of a JSON object. A path is the names of nested fields, separated by dots.
 pub struct Fields<'a>(pub &'a Value);
 
 impl Fields<'_> {
-    /// The value at a path, null or not.
+    /// Returns the value at a path, which may be null.
     pub fn value(&self, path: &str) -> Result<&Value, SettingsError> {
         let mut value = self.0;
         for name in path.split('.') {
@@ -27,12 +25,12 @@
         Ok(value)
     }
 
-    /// Whether there is a value other than null at a path.
+    /// Returns whether there is a value other than null at a path.
     pub fn is_present(&self, path: &str) -> bool {
         self.value(path).is_ok_and(|value| !value.is_null())
     }
 
-    /// A value of some type.
+    /// Returns the value at a path as a `T`.
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, SettingsError> {
         T::deserialize(self.value(path)?).map_err(|reason| SettingsError::Invalid {
             path: path.to_owned(),
@@ -40,7 +38,7 @@
         })
     }
 
-    /// A number from `min` to `max`.
+    /// Returns a number, which must lie between `min` and `max`.
     pub fn number(&self, path: &str, min: f64, max: f64) -> Result<f64, SettingsError> {
         let number: f64 = self.get(path)?;
         if !number.is_finite() || number < min || number > max {
@@ -54,16 +52,16 @@
         Ok(number)
     }
 
-    /// A span of time, given in seconds.
-    pub fn span(&self, path: &str) -> Result<Micros, SettingsError> {
-        let seconds = self.number(path, MIN_SPAN_S, MAX_SPAN_S)?;
+    /// Returns a duration, which the file gives in seconds.
+    pub fn duration(&self, path: &str) -> Result<Micros, SettingsError> {
+        let seconds = self.number(path, MIN_DURATION_S, MAX_DURATION_S)?;
         Ok(Micros::from_secs_f64(seconds))
     }
 
-    /// Text of a sensible length.
+    /// Returns a string, which must be neither empty nor too long.
     pub fn text(&self, path: &str) -> Result<String, SettingsError> {
         let text: String = self.get(path)?;
-        if text.is_empty() || text.len() > MAX_TEXT {
+        if text.is_empty() || text.len() > MAX_TEXT_BYTES {
             return Err(SettingsError::TextLength {
                 path: path.to_owned(),
             });
--- a/crates/saltpitch/src/settings/tests.rs
+++ b/crates/saltpitch/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Which settings are refused, and what is said about them.
+//! The settings that are refused, and the texts of the errors.
 
 use serde_json::{json, Value};
 
@@ -6,7 +6,7 @@
 
 const EXAMPLE: &str = include_str!("../../../../docs/example-settings.json");
 
-/// The example with every optional field.
+/// Returns the example settings with every optional field.
 fn example() -> Value {
     let mut settings: Value = serde_json::from_str(EXAMPLE).expect("JSON");
     settings["seeds"] = json!([
@@ -21,8 +21,8 @@
     settings
 }
 
-/// The JSON pointers of everything in a value.
-fn pointers(value: &Value, at: &str) -> Vec<String> {
+/// Returns the JSON pointers of all values inside a value.
+fn pointers(value: &Value, parent: &str) -> Vec<String> {
     let children: Vec<(String, &Value)> = match value {
         Value::Object(fields) => fields.iter().map(|(k, v)| (k.clone(), v)).collect(),
         Value::Array(items) => (0..).map(|i: usize| i.to_string()).zip(items).collect(),
@@ -30,14 +30,14 @@
     };
     let mut all = Vec::new();
     for (name, child) in children {
-        let pointer = format!("{at}/{name}");
+        let pointer = format!("{parent}/{name}");
         all.extend(pointers(child, &pointer));
         all.push(pointer);
     }
     all
 }
 
-fn tried_values() -> Vec<Value> {
+fn test_values() -> Vec<Value> {
     vec![
         json!(null),
         json!(true),
@@ -90,9 +90,9 @@
     for pointer in pointers(&example, "") {
         let removed = without(&example, &pointer);
         lines.push(format!("{pointer} removed: {}", outcome(&removed)));
-        for value in tried_values() {
+        for value in test_values() {
             let mut changed = example.clone();
-            *changed.pointer_mut(&pointer).expect("it is there") = value.clone();
+            *changed.pointer_mut(&pointer).expect("the pointer exists") = value.clone();
             let value: String = value.to_string().chars().take(16).collect();
             lines.push(format!("{pointer} = {value}: {}", outcome(&changed)));
         }
@@ -104,9 +104,9 @@
     lines.join("\n") + "\n"
 }
 
-/// Operators read these texts: which field is named first, and what is said about it.
+/// Operators read these texts, so the field that is named first and the reason must not change.
 #[test]
-fn every_refusal_has_its_recorded_text() {
+fn every_outcome_has_its_recorded_text() {
     let recorded = include_str!("outcomes.txt");
     let present = outcomes();
     for (recorded, present) in recorded.lines().zip(present.lines()) {
