--- a/crates/saltpitch/src/api.rs
+++ b/crates/saltpitch/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface: users, agents and health checks.
+//! The HTTP interface for users, agents and health checks.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 use saltpitch_core::messages::UserRequest;
 
 use crate::node::Node;
-use crate::responses::{healthy, not_ready, raw, read_body, reply, RequestError};
+use crate::responses::{encoded_json, healthy, not_ready, read_body, user_response, RequestError};
 use crate::wire::users::is_job_id;
 
-/// The paths and methods of the interface.
+/// Routes requests by path and method.
 pub struct Api(pub Arc<Node>);
 
 impl Endpoint for Api {
@@ -34,16 +34,16 @@
                 Ok(self.health())
             }
             "/v1/report" => {
-                require(&method, Method::POST)?;
+                require_method(&method, Method::POST)?;
                 self.heartbeat(&mut request).await
             }
             "/v2/runs" => {
-                require(&method, Method::POST)?;
+                require_method(&method, Method::POST)?;
                 let body = read_body(&mut request).await?;
                 Ok(self.user_request(UserRequest::Submit(body)).await)
             }
             _ => match path.strip_prefix("/v2/runs/") {
-                Some(rest) => self.one_job(rest, &method).await,
+                Some(path) => self.job_request(path, &method).await,
                 None => Err(RequestError::NoSuchPath),
             },
         }
@@ -64,7 +64,7 @@
         }
         let body = read_body(request).await?;
         let reply = self.0.answer_heartbeat(&body);
-        let mut response = raw(reply.status, reply.body);
+        let mut response = encoded_json(reply.status, reply.body);
         if connections.is_nearly_full() {
             response
                 .headers_mut()
@@ -73,14 +73,14 @@
         Ok(response)
     }
 
-    /// A query or cancellation of one job; `rest` is the path after `/v2/runs/`.
-    async fn one_job(&self, rest: &str, method: &Method) -> Result<Response, RequestError> {
-        let (id, operation) = match rest.split_once('/') {
-            None => (rest, JobOperation::Query),
+    /// Serves a query or cancellation of one job; `path` is the part after `/v2/runs/`.
+    async fn job_request(&self, path: &str, method: &Method) -> Result<Response, RequestError> {
+        let (id, operation) = match path.split_once('/') {
+            None => (path, JobOperation::Query),
             Some((id, "abort")) => (id, JobOperation::Cancel),
             Some(_) => return Err(RequestError::NoSuchPath),
         };
-        require(method, operation.method())?;
+        require_method(method, operation.method())?;
         if !is_job_id(id) {
             return Err(RequestError::NoSuchJob);
         }
@@ -89,11 +89,11 @@
     }
 
     async fn user_request(&self, request: UserRequest) -> Response {
-        reply(self.0.serve_user_request(request).await)
+        user_response(self.0.serve_user_request(request).await)
     }
 }
 
-/// What users can ask of one job.
+/// The operations of users on one job.
 enum JobOperation {
     Query,
     Cancel,
@@ -115,8 +115,8 @@
     }
 }
 
-/// Refuses a request by any other method.
-fn require(method: &Method, expected: Method) -> Result<(), RequestError> {
+/// Refuses a request with any other method than the expected one.
+fn require_method(method: &Method, expected: Method) -> Result<(), RequestError> {
     if *method == expected {
         Ok(())
     } else {
--- a/crates/saltpitch/src/cli.rs
+++ b/crates/saltpitch/src/cli.rs
@@ -15,24 +15,24 @@
     about = "A cluster scheduler for small sites"
 )]
 pub struct Arguments {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What the program does.
+/// The commands of the program.
 #[derive(Subcommand)]
 pub enum Command {
     /// Runs one controller until it is killed.
     Serve(SettingsFiles),
-    /// Checks a settings file and prints what it holds.
+    /// Checks the settings files and prints a summary of them.
     Check(SettingsFiles),
-    /// Shows the jobs delegated to other cells, and takes them back from a cell that is lost.
+    /// Lists the jobs delegated to other cells, and takes jobs back from a cell that is lost.
     Cells {
         /// The platform's settings file (JSON).
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// What to do.
+        /// The command to run.
         #[command(subcommand)]
         command: CellsCommand,
     },
@@ -44,10 +44,10 @@
     /// The platform's settings file (JSON).
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
-    /// The operators' policy file; the built-in policy if there is none.
+    /// The operators' policy file; without it, the built-in policy applies.
     #[arg(long, value_name = "FILE")]
     pub policy: Option<PathBuf>,
-    /// The operators' file on other cells; no job is delegated if there is none.
+    /// The operators' settings file on other cells (TOML); without it, no job is delegated.
     #[arg(long, value_name = "FILE")]
     pub cells: Option<PathBuf>,
 }
--- a/crates/saltpitch/src/main.rs
+++ b/crates/saltpitch/src/main.rs
@@ -1,4 +1,4 @@
-//! saltpitch: a cluster scheduler for small sites.
+//! The `saltpitch` program: a cluster scheduler for small sites.
 
 mod agents;
 mod api;
@@ -49,7 +49,7 @@
         Command::Serve(files) => serve(&files),
         Command::Check(files) => check(&files),
         Command::Cells { config, command } => {
-            runtime()?.block_on(command::run(&config, &command))?;
+            build_runtime()?.block_on(command::run(&config, &command))?;
             Ok(())
         }
     }
@@ -57,11 +57,11 @@
 
 fn serve(files: &SettingsFiles) -> anyhow::Result<()> {
     let settings = files.load()?;
-    start_log();
+    start_logging();
     for warning in settings.warnings() {
         tracing::info!("settings: {warning}");
     }
-    runtime()?.block_on(server::serve(settings))
+    build_runtime()?.block_on(server::serve(settings))
 }
 
 fn check(files: &SettingsFiles) -> anyhow::Result<()> {
@@ -90,15 +90,16 @@
     Ok(())
 }
 
-/// One thread: the state machine is shared by all tasks, and the rest is waiting.
-fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
+/// Builds a single-threaded runtime: all tasks share the state machine, and otherwise they wait for I/O.
+fn build_runtime() -> std::io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
 }
 
-/// Logs to standard error at the level that LOG_LEVEL names; `info` when it names none.
-fn start_log() {
+/// Starts logging to standard error at the level in `LOG_LEVEL`: `error`, `info` or `debug`. The level is `info`
+/// if the variable is unset or has another value.
+fn start_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => tracing::Level::ERROR,
         Ok("debug") => tracing::Level::DEBUG,
--- a/crates/saltpitch/src/responses.rs
+++ b/crates/saltpitch/src/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of the listeners for users, agents and peer cells.
+//! The HTTP responses to users, agents and peer cells.
 
 use std::time::Duration;
 
@@ -10,28 +10,28 @@
 use crate::wire::users::encode_error;
 use crate::wire::MAX_BODY_BYTES;
 
-/// How long the body of a request may take.
+/// The time within which the body of a request must arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// When to come back after a 503 that says nothing else, in seconds.
+/// The `Retry-After` of a 503 for which no other time is given, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Why a request is refused before it is served.
+/// Why a request is refused before it is processed.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// Nothing is served at this path.
+    /// The path is not part of the interface.
     #[error("no such path")]
     NoSuchPath,
-    /// The path does not name a job.
+    /// The path contains no valid job id.
     #[error("no such job")]
     NoSuchJob,
-    /// The path takes another method.
-    #[error("use {0}")]
+    /// The path requires this method.
+    #[error("method not allowed; use {0}")]
     WrongMethod(Method),
     /// The body cannot be read, or is too long.
     #[error("the body is unreadable or longer than 64 KiB")]
     UnreadableBody,
     /// The body did not arrive in time.
-    #[error("the body took too long")]
+    #[error("the body did not arrive in time")]
     SlowBody,
 }
 
@@ -44,13 +44,13 @@
         }
     }
 
-    /// The response that says so.
+    /// Returns the response with this error.
     pub fn response(&self) -> Response {
         refusal(self.status(), &self.to_string())
     }
 }
 
-/// Reads a request's body, unless it is too long or too slow.
+/// Reads a request's body; fails if it is too long or does not arrive in time.
 pub async fn read_body(request: &mut Request) -> Result<Vec<u8>, RequestError> {
     let read = request.take_body().into_bytes_limit(MAX_BODY_BYTES);
     match tokio::time::timeout(BODY_TIMEOUT, read).await {
@@ -60,8 +60,8 @@
     }
 }
 
-/// A response whose body is JSON already.
-pub fn raw(status: u16, body: Vec<u8>) -> Response {
+/// Returns a response whose body is encoded as JSON already.
+pub fn encoded_json(status: u16, body: Vec<u8>) -> Response {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     Response::builder()
         .status(status)
@@ -69,21 +69,21 @@
         .body(body)
 }
 
-/// A response in JSON. A 503 says when to come back.
+/// Returns a response in JSON. A 503 gets a `Retry-After` header.
 pub fn json(status: StatusCode, body: &Value) -> Response {
-    let mut response = raw(status.as_u16(), body.to_string().into_bytes());
+    let mut response = encoded_json(status.as_u16(), body.to_string().into_bytes());
     if status == StatusCode::SERVICE_UNAVAILABLE {
         set_retry_after(&mut response, RETRY_AFTER_S);
     }
     response
 }
 
-/// A refusal with its reason.
+/// Returns a refusal with its reason.
 pub fn refusal(status: StatusCode, reason: &str) -> Response {
     json(status, &encode_error(reason))
 }
 
-/// A refusal with its reason and the number of seconds after which to come back.
+/// Returns a refusal with its reason and the number of seconds after which to retry.
 pub fn refusal_with_retry(status: StatusCode, reason: &str, seconds: u64) -> Response {
     let mut response = refusal(status, reason);
     set_retry_after(&mut response, seconds);
@@ -96,8 +96,8 @@
         .insert("retry-after", HeaderValue::from(seconds));
 }
 
-/// The answer to a user's request.
-pub fn reply(result: Result<UserReply, Unavailable>) -> Response {
+/// Returns the response to a user's request.
+pub fn user_response(result: Result<UserReply, Unavailable>) -> Response {
     match result {
         Ok(reply) => {
             let status = StatusCode::from_u16(reply.status);
@@ -110,18 +110,21 @@
     }
 }
 
-/// The answer to a request that the controller cannot serve now. It comes at once, so that the user
-/// retries instead of waiting.
+/// Returns the response to a request that the controller cannot serve now. It is sent without delay, so that the
+/// user retries instead of waiting.
 pub fn unavailable() -> Response {
-    refusal(StatusCode::SERVICE_UNAVAILABLE, "the state service is away")
+    refusal(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "the state service is unavailable",
+    )
 }
 
-/// The answer to a health check that passes.
+/// Returns the response to a health check that passes.
 pub fn healthy() -> Response {
     json(StatusCode::OK, &json!({"status": "up"}))
 }
 
-/// The answer to a health check before the controller can take requests.
+/// Returns the response to a health check while the controller cannot accept requests.
 pub fn not_ready() -> Response {
     refusal(StatusCode::SERVICE_UNAVAILABLE, "not ready")
 }
--- a/crates/saltpitch/src/settings/contradictions.rs
+++ b/crates/saltpitch/src/settings/contradictions.rs
@@ -160,7 +160,7 @@
             ),
             Warning::ShortAnswerBound(bound) => write!(
                 f,
-                "`cluster.workers.cancel_s` exceeds `lease_s` by little: a leader without the state service answers agents for {:.1} s only",
+                "`cluster.workers.cancel_s` exceeds `lease_s` by little: a leader that cannot reach the state service answers agents for only {:.1} s",
                 bound.as_secs_f64()
             ),
             Warning::FewChanges(rate) => write!(
--- a/crates/saltpitch/tests/check.rs
+++ b/crates/saltpitch/tests/check.rs
@@ -1,4 +1,4 @@
-//! `saltpitch check`: what it shows of the store's limits, and which field it names.
+//! `saltpitch check`: its summary of the state service's limits, and the fields that its errors name.
 
 use std::process::Command;
 
@@ -6,7 +6,8 @@
 
 const EXAMPLE: &str = include_str!("../../../docs/example-settings.json");
 
-/// The program's verdict on the example with this as `cluster.state.next`: all that it prints.
+/// Checks the example settings with this value of `cluster.state.next`. Returns whether they are valid, and all
+/// that the program prints.
 fn check(name: &str, next: Option<Value>) -> (bool, String) {
     check_with(name, |settings| {
         if let Some(next) = next {
@@ -15,37 +16,37 @@
     })
 }
 
-/// The program's verdict on the example, changed by `change`.
+/// Checks the example settings after `change`. Returns whether they are valid, and all that the program prints.
 fn check_with(name: &str, change: impl FnOnce(&mut Value)) -> (bool, String) {
     let mut settings: Value = serde_json::from_str(EXAMPLE).expect("JSON");
     change(&mut settings);
     let file = std::env::temp_dir().join(format!("saltpitch-{}-{name}.json", std::process::id()));
     std::fs::write(&file, settings.to_string()).expect("a file");
-    let end = Command::new(env!("CARGO_BIN_EXE_saltpitch"))
+    let process = Command::new(env!("CARGO_BIN_EXE_saltpitch"))
         .args(["check", "--config"])
         .arg(&file)
         .output()
         .expect("the program runs");
     let _ = std::fs::remove_file(&file);
-    let said = [end.stdout, end.stderr].concat();
+    let output = [process.stdout, process.stderr].concat();
     (
-        end.status.success(),
-        String::from_utf8_lossy(&said).into_owned(),
+        process.status.success(),
+        String::from_utf8_lossy(&output).into_owned(),
     )
 }
 
 #[test]
-fn settings_without_next_limits_work_as_before() {
+fn settings_without_next_limits_use_the_present_ones() {
     for next in [None, Some(Value::Null), Some(json!({}))] {
-        let (ok, said) = check("without", next);
-        assert!(ok, "{said}");
+        let (ok, output) = check("without", next);
+        assert!(ok, "{output}");
         assert!(
-            said.contains("100 requests and 40 changes a second, next 100 and 40"),
-            "{said}"
+            output.contains("100 requests and 40 changes a second, next 100 and 40"),
+            "{output}"
         );
         assert!(
-            said.contains("16384 bytes a value and 16 changes"),
-            "{said}"
+            output.contains("16384 bytes a value and 16 changes"),
+            "{output}"
         );
     }
 }
@@ -53,15 +54,18 @@
 #[test]
 fn next_limits_are_shown_and_the_smaller_sizes_count() {
     let next = json!({"write_rps": 24.0, "value_kb": 2.0, "txn_ops": 4, "later": true});
-    let (ok, said) = check("with", Some(next));
-    assert!(ok, "{said}");
-    assert!(said.contains("next 100 and 24"), "{said}");
-    assert!(said.contains("2048 bytes a value and 4 changes"), "{said}");
-    // Limits that rise don't count before they are there.
-    let (ok, said) = check("larger", Some(json!({"value_kb": 64.0, "txn_ops": 99})));
+    let (ok, output) = check("with", Some(next));
+    assert!(ok, "{output}");
+    assert!(output.contains("next 100 and 24"), "{output}");
     assert!(
-        ok && said.contains("16384 bytes a value and 16 changes"),
-        "{said}"
+        output.contains("2048 bytes a value and 4 changes"),
+        "{output}"
+    );
+    // Higher limits are not used before they are in force.
+    let (ok, output) = check("larger", Some(json!({"value_kb": 64.0, "txn_ops": 99})));
+    assert!(
+        ok && output.contains("16384 bytes a value and 16 changes"),
+        "{output}"
     );
 }
 
@@ -73,17 +77,17 @@
         ("value_kb", json!(0)),
         ("txn_ops", json!(1)),
     ] {
-        let (ok, said) = check("bad", Some(json!({ field: bad })));
+        let (ok, output) = check("bad", Some(json!({ field: bad })));
         assert!(
-            !ok && said.contains(&format!("cluster.state.next.{field}")),
-            "{said}"
+            !ok && output.contains(&format!("cluster.state.next.{field}")),
+            "{output}"
         );
     }
-    let (ok, said) = check("list", Some(json!([1])));
-    assert!(!ok && said.contains("cluster.state.next"), "{said}");
+    let (ok, output) = check("list", Some(json!([1])));
+    assert!(!ok && output.contains("cluster.state.next"), "{output}");
 }
 
-/// Settings that are valid one by one and contradict each other: the field is named and the start refused.
+/// Settings that are valid by themselves but contradict each other are refused, and the error names the field.
 #[test]
 fn contradicting_settings_are_refused_by_name() {
     let cases: [(&str, Value, &str); 7] = [
@@ -112,14 +116,14 @@
         ),
     ];
     for (at, bad, field) in cases {
-        let (ok, said) = check_with("contradiction", |settings| set(settings, at, bad));
-        assert!(!ok && said.contains(field), "{at}: {said}");
+        let (ok, output) = check_with("contradiction", |settings| set(settings, at, bad));
+        assert!(!ok && output.contains(field), "{at}: {output}");
     }
 }
 
-/// What still works is at most a warning.
+/// Settings that work with a disadvantage are accepted with a warning.
 #[test]
-fn what_works_at_a_price_is_a_warning() {
+fn settings_that_work_with_a_disadvantage_are_warned_about() {
     let cases: [(&str, Value, &str); 4] = [
         (
             "/cluster/workers/report_s",
@@ -143,15 +147,15 @@
         ),
     ];
     for (at, odd, warning) in cases {
-        let (ok, said) = check_with("warning", |settings| set(settings, at, odd));
-        let told = said.contains("warning: ") && said.contains(warning);
-        assert!(ok && told, "{at}: {said}");
+        let (ok, output) = check_with("warning", |settings| set(settings, at, odd));
+        let warned = output.contains("warning: ") && output.contains(warning);
+        assert!(ok && warned, "{at}: {output}");
     }
-    let (ok, said) = check("plain", None);
-    assert!(ok && !said.contains("warning"), "{said}");
+    let (ok, output) = check("plain", None);
+    assert!(ok && !output.contains("warning"), "{output}");
 }
 
-/// Sets what stands at this JSON pointer, as a new field if need be.
+/// Sets the value at this JSON pointer; adds the field if it does not exist.
 fn set(settings: &mut Value, pointer: &str, value: Value) {
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
     let parent = settings.pointer_mut(parent).expect("the parent");
@@ -161,7 +165,8 @@
     }
 }
 
-/// The program's verdict on the example with a file on cells.
+/// Checks the example settings together with a file on cells. Returns whether they are valid, and all that the
+/// program prints.
 fn check_cells(name: &str, cells: &str) -> (bool, String) {
     let folder = std::env::temp_dir().join(format!("saltpitch-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -172,7 +177,7 @@
     teams.expect("a list").push(guests);
     std::fs::write(folder.join("settings.json"), settings.to_string()).expect("a file");
     std::fs::write(folder.join("cells.toml"), cells).expect("a file");
-    let end = Command::new(env!("CARGO_BIN_EXE_saltpitch"))
+    let process = Command::new(env!("CARGO_BIN_EXE_saltpitch"))
         .args(["check", "--config"])
         .arg(folder.join("settings.json"))
         .arg("--cells")
@@ -180,20 +185,20 @@
         .output()
         .expect("the program runs");
     let _ = std::fs::remove_dir_all(&folder);
-    let said = [end.stdout, end.stderr].concat();
-    let said = String::from_utf8_lossy(&said).into_owned();
-    (end.status.success(), said)
+    let output = [process.stdout, process.stderr].concat();
+    let output = String::from_utf8_lossy(&output).into_owned();
+    (process.status.success(), output)
 }
 
 #[test]
-fn the_example_on_cells_is_valid_and_a_mistake_in_it_is_named() {
+fn the_example_on_cells_is_valid_and_an_invalid_field_in_it_is_named() {
     let example = include_str!("../../../deploy/cells.toml");
-    let (ok, said) = check_cells("cells", example);
+    let (ok, output) = check_cells("cells", example);
     assert!(
-        ok && said.contains("cell north: neighbours south"),
-        "{said}"
+        ok && output.contains("cell north: neighbours south"),
+        "{output}"
     );
-    let mistakes = [
+    let changes = [
         (
             "max_jobs = 20",
             "max_jobs = 0",
@@ -207,9 +212,9 @@
         ("127.0.0.1:8180", "127.0.0.1:8081", "peer_bind"),
         ("cell = \"north\"", "cell = 7", "line 7"),
     ];
-    for (right, wrong, named) in mistakes {
+    for (right, wrong, named) in changes {
         assert!(example.contains(right), "{right}");
-        let (ok, said) = check_cells("cells-bad", &example.replacen(right, wrong, 1));
-        assert!(!ok && said.contains(named), "{wrong}: {said}");
+        let (ok, output) = check_cells("cells-bad", &example.replacen(right, wrong, 1));
+        assert!(!ok && output.contains(named), "{wrong}: {output}");
     }
 }
