--- a/crates/saltpitch-testkit/src/agents.rs
+++ b/crates/saltpitch-testkit/src/agents.rs
@@ -57,9 +57,9 @@
     /// It stands still until then.
     pub hung_until: Micros,
     /// Until then its heartbeats go out, and nothing reaches it.
-    pub inbound_cut_until: Micros,
+    pub inbound_partition_until: Micros,
     /// Until then it opens no connection to any controller, while direct commands reach it.
-    pub outbound_cut_until: Micros,
+    pub outbound_partition_until: Micros,
     /// Counts the agent's starts and lease expiries.
     pub agent_epoch: u64,
     /// The sequence number of its newest heartbeat in this epoch.
--- a/crates/saltpitch-testkit/src/cells/controller.rs
+++ b/crates/saltpitch-testkit/src/cells/controller.rs
@@ -60,7 +60,7 @@
         } = &mut self.cells[cell];
         let (now, cancel) = (simulation.now, simulation.times.cancel);
         let process = &mut simulation.nodes[node];
-        let stands_still = !process.is_up(now) || process.frozen(now) > Micros::ZERO;
+        let stands_still = !process.is_up(now) || process.remaining_pause(now) > Micros::ZERO;
         if stands_still || !process.knows_delegations {
             return;
         }
@@ -95,7 +95,7 @@
     fn write(&mut self, requester: Requester, write: RecordWrite) {
         let cell = &self.cells[requester.cell];
         let reaches_store = cell.serves(requester.node);
-        let losses = cell.simulation.faults.losses;
+        let losses = cell.simulation.faults.lost_answers;
         if !reaches_store || (losses && self.random_below(20) == 0) {
             return self.after(REFUSAL_DELAY, move |cells| {
                 cells.written(requester, &write, TransactionOutcome::Unavailable);
@@ -119,8 +119,8 @@
     /// Draws whether a write's answer is lost; such a write is applied up to nine seconds later.
     fn draw_write_fate(&mut self, cell: usize) -> WriteFate {
         let faults = self.cells[cell].simulation.faults;
-        let answer_lost = (faults.losses && self.random_below(10) == 0)
-            || (faults.late_writes && self.random_below(12) == 0);
+        let answer_lost = (faults.lost_answers && self.random_below(10) == 0)
+            || (faults.delayed_writes && self.random_below(12) == 0);
         let applied_after = if answer_lost {
             Micros::from_millis(self.random_below(9_000))
         } else {
--- a/crates/saltpitch-testkit/src/cells/host.rs
+++ b/crates/saltpitch-testkit/src/cells/host.rs
@@ -16,7 +16,7 @@
             nodes, store, now, ..
         } = &self.simulation;
         let node = &nodes[node];
-        let runs = node.is_up(*now) && node.started && node.frozen(*now) == Micros::ZERO;
+        let runs = node.is_up(*now) && node.started && node.remaining_pause(*now) == Micros::ZERO;
         runs && node.controller.is_synced() && node.reaches_store(store, *now)
     }
 
--- a/crates/saltpitch-testkit/src/nodes.rs
+++ b/crates/saltpitch-testkit/src/nodes.rs
@@ -40,13 +40,13 @@
     /// What a leader of protocol version 0 goes by when it loses the state service.
     pub common_outage: previous_version::CommonOutage,
     /// Cut from the state service until then.
-    pub no_store_until: Micros,
+    pub store_partition_until: Micros,
     /// Cut from the agents until then.
-    pub no_workers_until: Micros,
+    pub agent_partition_until: Micros,
     /// Cut from the other controllers until then.
-    pub no_peers_until: Micros,
+    pub peer_partition_until: Micros,
     /// The process stands still until then, while its clocks run on: what arrives is read afterwards.
-    pub frozen_until: Micros,
+    pub paused_until: Micros,
     /// Since when the leadership has been vacant.
     pub leaderless_since: Option<Micros>,
     /// A bid for the leadership is under way.
@@ -93,10 +93,10 @@
             controller: Controller::new(config, 0, 0),
             started: false,
             common_outage: previous_version::CommonOutage::default(),
-            no_store_until: Micros::ZERO,
-            no_workers_until: Micros::ZERO,
-            no_peers_until: Micros::ZERO,
-            frozen_until: Micros::ZERO,
+            store_partition_until: Micros::ZERO,
+            agent_partition_until: Micros::ZERO,
+            peer_partition_until: Micros::ZERO,
+            paused_until: Micros::ZERO,
             leaderless_since: None,
             bidding: false,
             store_success_at: None,
@@ -119,9 +119,9 @@
             old: self.old,
             knows_delegations: self.knows_delegations,
             process: self.process + 1,
-            no_store_until: self.no_store_until,
-            no_workers_until: self.no_workers_until,
-            no_peers_until: self.no_peers_until,
+            store_partition_until: self.store_partition_until,
+            agent_partition_until: self.agent_partition_until,
+            peer_partition_until: self.peer_partition_until,
             ..Node::new(&self.name, &self.zone, scheduler)
         };
     }
@@ -132,8 +132,8 @@
     }
 
     /// How long it will yet stand still.
-    pub fn frozen(&self, now: Micros) -> Micros {
-        self.frozen_until.since(now)
+    pub fn remaining_pause(&self, now: Micros) -> Micros {
+        self.paused_until.since(now)
     }
 
     /// The copy of the records.
@@ -202,7 +202,7 @@
 
     /// Whether the state service can be reached and serves.
     pub fn reaches_store(&self, store: &Store, now: Micros) -> bool {
-        !store.down && now >= self.no_store_until
+        !store.down && now >= self.store_partition_until
     }
 
     /// How the state service has served this process.
--- a/crates/saltpitch-testkit/src/simulation/agents.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -58,7 +58,7 @@
     }
 
     fn send_agent_heartbeat(&mut self, name: &str, target: usize, heartbeat: Heartbeat) {
-        if self.agents[name].outbound_cut_until > self.now {
+        if self.agents[name].outbound_partition_until > self.now {
             // No connection: nothing of it ever arrives, and the agent tries the next controller.
             let name = name.to_owned();
             let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
@@ -69,7 +69,7 @@
         // A partition holds packets back and delivers them when it ends.
         let held = self.partitioned_for(target, name);
         let wait = held.plus(self.delay());
-        if self.chance(self.faults.copies, 1.5) {
+        if self.chance(self.faults.delayed_duplicates, 1.5) {
             self.send_late_copy(heartbeat.clone(), wait);
         }
         self.after(wait, move |simulation| {
@@ -89,7 +89,7 @@
     /// Delivers a copy of an old heartbeat. The answer goes nowhere: no agent waits for it.
     pub fn deliver_copy(&mut self, node_index: usize, heartbeat: Heartbeat) {
         let now = self.now;
-        let frozen = self.nodes[node_index].frozen(now);
+        let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
             return self.after(frozen, move |simulation| {
                 simulation.deliver_copy(node_index, heartbeat)
@@ -104,7 +104,7 @@
 
     fn deliver(&mut self, node_index: usize, heartbeat: Heartbeat) {
         let now = self.now;
-        let frozen = self.nodes[node_index].frozen(now);
+        let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
             return self.after(frozen, move |simulation| {
                 simulation.deliver(node_index, heartbeat)
@@ -143,7 +143,8 @@
         leader: Option<usize>,
     ) {
         let now = self.now;
-        let is_reachable = |agent: &&mut Agent| agent.is_up(now) && now >= agent.inbound_cut_until;
+        let is_reachable =
+            |agent: &&mut Agent| agent.is_up(now) && now >= agent.inbound_partition_until;
         let Some(agent) = self.agents.get_mut(name).filter(is_reachable) else {
             return;
         };
--- a/crates/saltpitch-testkit/src/simulation/cloud.rs
+++ b/crates/saltpitch-testkit/src/simulation/cloud.rs
@@ -55,7 +55,7 @@
     fn provision_machine(&mut self, request: &ScaleOutRequest) -> String {
         self.next_machine += 1;
         let name = format!("vm-{:06}", self.next_machine);
-        let faulty = self.faults.machines && self.now < self.quiet_from;
+        let faulty = self.faults.machine_failures && self.now < self.quiet_from;
         let provisioning = match self.random_below(12) {
             0 if faulty => NEVER,
             1 if faulty => LATE_PROVISIONING,
@@ -75,8 +75,8 @@
             boots_at,
             gone: false,
             hung_until: Micros::ZERO,
-            inbound_cut_until: Micros::ZERO,
-            outbound_cut_until: Micros::ZERO,
+            inbound_partition_until: Micros::ZERO,
+            outbound_partition_until: Micros::ZERO,
             agent_epoch: 1,
             sequence: 0,
             fencing_token: 0,
--- a/crates/saltpitch-testkit/src/simulation/controllers.rs
+++ b/crates/saltpitch-testkit/src/simulation/controllers.rs
@@ -40,23 +40,25 @@
         let apart = if zone == Some(node.zone.as_str()) {
             Micros::ZERO
         } else {
-            self.apart_until
+            self.zone_partition_until
         };
-        node.no_workers_until.max(apart).since(self.now)
+        node.agent_partition_until.max(apart).since(self.now)
     }
 
     /// How long what is sent to this machine is held back.
     pub(super) fn inbound_partitioned_for(&self, machine: &str) -> Micros {
         let agent = self.agents.get(machine);
         agent.map_or(Micros::ZERO, |agent| {
-            agent.inbound_cut_until.since(self.now)
+            agent.inbound_partition_until.since(self.now)
         })
     }
 
     /// What a controller's process does in one tick.
     pub(super) fn node_tick(&mut self, node_index: usize) {
         let now = self.now;
-        if !self.nodes[node_index].is_up(now) || self.nodes[node_index].frozen(now) > Micros::ZERO {
+        if !self.nodes[node_index].is_up(now)
+            || self.nodes[node_index].remaining_pause(now) > Micros::ZERO
+        {
             return;
         }
         if !self.nodes[node_index].started {
@@ -137,7 +139,7 @@
             self.nodes[node_index].bidding = false;
             return;
         };
-        let lost = self.faults.losses && self.random_below(5) == 0;
+        let lost = self.faults.lost_answers && self.random_below(5) == 0;
         let delay = if lost {
             self.random_below(4_000)
         } else {
@@ -182,7 +184,7 @@
         }
         node.bidding = false;
         // Read when nobody waits for it any more, or without the state service: the lease runs out.
-        if node.frozen(now) > Micros::ZERO || !node.reaches_store(&self.store, now) {
+        if node.remaining_pause(now) > Micros::ZERO || !node.reaches_store(&self.store, now) {
             return;
         }
         let PendingAttempt {
@@ -250,12 +252,12 @@
     fn heartbeat_arrives(&mut self, exchange: Exchange, peer_heartbeat: PeerStatus) {
         let now = self.now;
         let (from, to) = (&self.nodes[exchange.from], &self.nodes[exchange.to]);
-        let apart = from.zone != to.zone && now < self.apart_until;
-        let cut = apart || now < from.no_peers_until || now < to.no_peers_until;
+        let apart = from.zone != to.zone && now < self.zone_partition_until;
+        let cut = apart || now < from.peer_partition_until || now < to.peer_partition_until;
         if cut || !to.is_up(now) || !to.started {
             return;
         }
-        let frozen = to.frozen(now);
+        let frozen = to.remaining_pause(now);
         if frozen > Micros::ZERO {
             return self.after(frozen, move |simulation| {
                 simulation.heartbeat_arrives(exchange, peer_heartbeat)
@@ -275,7 +277,7 @@
     fn peer_heartbeat_answered(&mut self, exchange: Exchange, answer: PeerStatus) {
         let now = self.now;
         let node_index = exchange.from;
-        let frozen = self.nodes[node_index].frozen(now);
+        let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
             return self.after(frozen, move |simulation| {
                 simulation.peer_heartbeat_answered(exchange, answer)
@@ -327,7 +329,7 @@
         deliver: impl FnOnce(&mut Scheduler, Micros) + 'static,
     ) {
         let now = self.now;
-        let frozen = self.nodes[node_index].frozen(now);
+        let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
             return self.after(frozen, move |simulation| {
                 simulation.notify_scheduler(node_index, epoch, deliver)
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -119,7 +119,7 @@
 
     /// The cloud's answer to a scale-out request may be lost after the machines are provisioned.
     fn send_scale_out(&mut self, node_index: usize, epoch: u64, request: ScaleOutRequest) {
-        let lost = self.faults.losses && self.random_below(8) == 0;
+        let lost = self.faults.lost_answers && self.random_below(8) == 0;
         let delay = self.delay();
         self.after(delay, move |simulation| {
             let outcome = simulation.scale_out(&request);
@@ -181,7 +181,7 @@
     fn reload_records(&mut self, node_index: usize, epoch: u64) {
         let now = self.now;
         let node = &mut self.nodes[node_index];
-        let frozen = node.frozen(now);
+        let frozen = node.remaining_pause(now);
         if frozen > Micros::ZERO {
             return self.after(frozen, move |simulation| {
                 simulation.reload_records(node_index, epoch)
@@ -201,7 +201,7 @@
 
     /// A transaction may be applied late, and its answer may be lost.
     fn send_transaction(&mut self, node_index: usize, epoch: u64, transaction: Transaction) {
-        let cut_until = self.nodes[node_index].no_store_until;
+        let cut_until = self.nodes[node_index].store_partition_until;
         if self.now < cut_until {
             let cut_ends_in = cut_until.since(self.now);
             self.after(cut_ends_in, move |simulation| {
@@ -213,7 +213,7 @@
             });
             return self.transaction_outcome_unknown(node_index, epoch);
         }
-        if self.faults.losses && self.random_below(20) == 0 {
+        if self.faults.lost_answers && self.random_below(20) == 0 {
             // Above its rate the store refuses.
             return self.after(REFUSAL_DELAY, move |simulation| {
                 simulation.transaction_answered(node_index, epoch, TransactionOutcome::Unavailable)
@@ -242,10 +242,10 @@
 
     /// Draws whether a transaction is overtaken by newer ones and whether its answer is lost.
     fn draw_transaction_fate(&mut self) -> TransactionFate {
-        let drawn_late = self.faults.late_writes && self.now < self.quiet_from;
+        let drawn_late = self.faults.delayed_writes && self.now < self.quiet_from;
         let overtaken =
-            self.now < self.late_writes_until || (drawn_late && self.random_below(12) == 0);
-        let answer_lost = overtaken || (self.faults.losses && self.random_below(15) == 0);
+            self.now < self.delayed_writes_until || (drawn_late && self.random_below(12) == 0);
+        let answer_lost = overtaken || (self.faults.lost_answers && self.random_below(15) == 0);
         let applied_after = if overtaken {
             2_000 + self.random_below(10_000)
         } else if answer_lost {
@@ -295,7 +295,7 @@
         let inbound = self.inbound_partitioned_for(&direct.machine);
         let agent = self.agents.get(&*direct.machine);
         let hung = agent.map_or(Micros::ZERO, |agent| agent.hung_until.since(self.now));
-        let lost = self.faults.losses && self.random_below(15) == 0;
+        let lost = self.faults.lost_answers && self.random_below(15) == 0;
         let travel = if lost {
             Micros::from_millis(self.random_below(20_000))
         } else {
--- a/crates/saltpitch-testkit/src/simulation/fault_injection.rs
+++ b/crates/saltpitch-testkit/src/simulation/fault_injection.rs
@@ -48,7 +48,7 @@
 
     /// A controller is cut from the store, from the agents, or from both.
     fn inject_controller_partition(&mut self) {
-        if !self.chance(self.faults.cuts, 0.02) {
+        if !self.chance(self.faults.controller_partitions, 0.02) {
             return;
         }
         let node_index = self.random_below(3) as usize;
@@ -56,30 +56,30 @@
         let kind = self.random_below(3);
         let node = &mut self.nodes[node_index];
         match kind {
-            0 => node.no_store_until = until,
-            1 => node.no_workers_until = until,
+            0 => node.store_partition_until = until,
+            1 => node.agent_partition_until = until,
             _ => {
-                node.no_store_until = until;
-                node.no_workers_until = until;
+                node.store_partition_until = until;
+                node.agent_partition_until = until;
             }
         }
     }
 
     fn inject_zone_partition(&mut self) {
-        if self.chance(self.faults.zone_cuts, 0.02) && self.now >= self.apart_until {
-            self.apart_until = self.draw_time(3, 30);
+        if self.chance(self.faults.zone_partitions, 0.02) && self.now >= self.zone_partition_until {
+            self.zone_partition_until = self.draw_time(3, 30);
         }
     }
 
     fn inject_freeze(&mut self) {
-        if self.chance(self.faults.freezes, 0.02) {
+        if self.chance(self.faults.process_pauses, 0.02) {
             let node_index = self.random_below(3) as usize;
-            self.nodes[node_index].frozen_until = self.draw_time(1, 45);
+            self.nodes[node_index].paused_until = self.draw_time(1, 45);
         }
     }
 
     fn inject_store_outage(&mut self) {
-        if self.chance(self.faults.outages, 0.01) {
+        if self.chance(self.faults.store_outages, 0.01) {
             self.store.down = true;
             let wait = Micros::from_secs(2 + self.random_below(25));
             self.after(wait, |simulation| simulation.store.down = false);
@@ -87,22 +87,22 @@
     }
 
     fn inject_inbound_partition(&mut self) {
-        if self.chance(self.faults.inbound_partition, 0.03) && !self.agents.is_empty() {
+        if self.chance(self.faults.inbound_partitions, 0.03) && !self.agents.is_empty() {
             let until = self.draw_time(3, 60);
-            self.for_up_to_three_agents(|agent| agent.inbound_cut_until = until);
+            self.for_up_to_three_agents(|agent| agent.inbound_partition_until = until);
         }
     }
 
     fn inject_outbound_partition(&mut self) {
-        if self.chance(self.faults.outbound_partition, 0.03) && !self.agents.is_empty() {
+        if self.chance(self.faults.outbound_partitions, 0.03) && !self.agents.is_empty() {
             let until = self.draw_time(3, 60);
-            self.for_up_to_three_agents(|agent| agent.outbound_cut_until = until);
+            self.for_up_to_three_agents(|agent| agent.outbound_partition_until = until);
         }
     }
 
     /// A machine disappears, hangs, or is a spot machine that is taken back.
     fn inject_machine_fault(&mut self) {
-        if !self.chance(self.faults.machines, 0.05) || self.agents.is_empty() {
+        if !self.chance(self.faults.machine_failures, 0.05) || self.agents.is_empty() {
             return;
         }
         let now = self.now;
--- a/crates/saltpitch-testkit/src/simulation/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -49,46 +49,50 @@
     /// Controllers whose processes end, one or all of them.
     pub crashes: bool,
     /// Controllers that are cut from the store or from the agents.
-    pub cuts: bool,
+    pub controller_partitions: bool,
     /// Zones that can't reach each other.
-    pub zone_cuts: bool,
+    pub zone_partitions: bool,
     /// A store that serves nobody.
-    pub outages: bool,
+    pub store_outages: bool,
     /// Machines that disappear, hang, come up late or never, are slow, or are taken back.
-    pub machines: bool,
+    pub machine_failures: bool,
     /// Messages whose answers are lost, and transactions that are refused.
-    pub losses: bool,
+    pub lost_answers: bool,
     /// Machines whose heartbeats arrive while answers and commands don't reach them.
-    pub inbound_partition: bool,
+    pub inbound_partitions: bool,
     /// Copies of heartbeats that come again, seconds to several leases later, at any node.
-    pub copies: bool,
+    pub delayed_duplicates: bool,
     /// Controllers that stand still, for longer than any lease at times, while their clocks run on.
-    pub freezes: bool,
+    pub process_pauses: bool,
     /// Machines that reach no controller while direct commands reach them.
-    pub outbound_partition: bool,
+    pub outbound_partitions: bool,
     /// Transactions without an answer that are carried out 2 to 12 s later, after newer ones.
-    pub late_writes: bool,
+    pub delayed_writes: bool,
 }
 
 impl Faults {
-    fn any(&self) -> bool {
-        self.crashes || self.cuts || self.zone_cuts || self.outages || self.freezes
+    fn has_controller_faults(&self) -> bool {
+        self.crashes
+            || self.controller_partitions
+            || self.zone_partitions
+            || self.store_outages
+            || self.process_pauses
     }
 
     /// Every kind of fault.
     pub fn all() -> Faults {
         Faults {
             crashes: true,
-            cuts: true,
-            zone_cuts: true,
-            outages: true,
-            machines: true,
-            losses: true,
-            inbound_partition: true,
-            copies: true,
-            freezes: true,
-            outbound_partition: true,
-            late_writes: true,
+            controller_partitions: true,
+            zone_partitions: true,
+            store_outages: true,
+            machine_failures: true,
+            lost_answers: true,
+            inbound_partitions: true,
+            delayed_duplicates: true,
+            process_pauses: true,
+            outbound_partitions: true,
+            delayed_writes: true,
         }
     }
 }
@@ -165,9 +169,9 @@
     /// The faults that occur until the history's quiet part.
     pub faults: Faults,
     /// The two zones can't reach each other until then.
-    pub apart_until: Micros,
+    pub zone_partition_until: Micros,
     /// Until then no transaction of a leader is answered, and each is carried out later.
-    pub late_writes_until: Micros,
+    pub delayed_writes_until: Micros,
     /// The store's next limits, as the settings give them.
     pub next_limits: Option<(usize, usize, u32)>,
     /// Until then every message takes a fifth of a second to more than a second.
@@ -287,12 +291,12 @@
             jobs: BTreeMap::new(),
             done: BTreeMap::new(),
             faults,
-            apart_until: Micros::ZERO,
+            zone_partition_until: Micros::ZERO,
             done_elsewhere: BTreeSet::new(),
             machine_limit: 3,
             returned_alive: 0,
             trace: Trace::default(),
-            late_writes_until: Micros::ZERO,
+            delayed_writes_until: Micros::ZERO,
             slow_links_until: Micros::ZERO,
             next_limits: None,
             started_late: None,
--- a/crates/saltpitch-testkit/src/simulation/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -28,7 +28,7 @@
         self.note_calm();
         let now = self.now;
         for node in &mut self.nodes {
-            let awake = node.is_up(now) && node.frozen(now) == Micros::ZERO;
+            let awake = node.is_up(now) && node.remaining_pause(now) == Micros::ZERO;
             if node.started && node.reaches_store(&self.store, now) && awake {
                 node.follow(&self.store, now);
             }
@@ -64,7 +64,7 @@
         if controllers_or_store || machines_or_links || any_drawn {
             self.still_since = now;
         }
-        if controllers_or_store || (faults_ahead && self.faults.any()) {
+        if controllers_or_store || (faults_ahead && self.faults.has_controller_faults()) {
             self.calm_since = now;
         }
     }
@@ -73,13 +73,13 @@
     fn has_controller_fault(&self) -> bool {
         let now = self.now;
         let is_faulty = |node: &Node| {
-            now < node.no_store_until
-                || now < node.no_workers_until
-                || now < node.no_peers_until
+            now < node.store_partition_until
+                || now < node.agent_partition_until
+                || now < node.peer_partition_until
                 || !node.is_up(now)
-                || node.frozen(now) > Micros::ZERO
+                || node.remaining_pause(now) > Micros::ZERO
         };
-        self.store.down || now < self.apart_until || self.nodes.iter().any(is_faulty)
+        self.store.down || now < self.zone_partition_until || self.nodes.iter().any(is_faulty)
     }
 
     /// Whether a machine hangs or is partitioned now, or messages take long.
@@ -88,10 +88,10 @@
         let is_faulty = |agent: &Agent| {
             !agent.gone
                 && (now < agent.hung_until
-                    || now < agent.inbound_cut_until
-                    || now < agent.outbound_cut_until)
+                    || now < agent.inbound_partition_until
+                    || now < agent.outbound_partition_until)
         };
-        now < self.late_writes_until
+        now < self.delayed_writes_until
             || now < self.slow_links_until
             || self.agents.values().any(is_faulty)
     }
@@ -161,8 +161,8 @@
     fn takes_tasks(&self, agent: &Agent) -> bool {
         let now = self.now;
         agent.is_up(now)
-            && now >= agent.inbound_cut_until
-            && now >= agent.outbound_cut_until
+            && now >= agent.inbound_partition_until
+            && now >= agent.outbound_partition_until
             && agent.notice.is_none()
             && now.since(agent.boots_at) > SETTLED_AFTER
     }
--- a/crates/saltpitch-testkit/src/simulation/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -75,7 +75,7 @@
         let serves = |node: &Node| {
             node.is_up(now)
                 && node.controller.is_synced()
-                && node.frozen(now) == Micros::ZERO
+                && node.remaining_pause(now) == Micros::ZERO
                 && node.reaches_store(store, now)
         };
         let serving: Vec<usize> = (0..self.nodes.len())
--- a/crates/saltpitch-testkit/tests/cells.rs
+++ b/crates/saltpitch-testkit/tests/cells.rs
@@ -389,7 +389,7 @@
     // The host cannot tell its machines.
     let inbound_cut_until = cells.now.plus(seconds(120));
     for machine in cells.cells[HOST].simulation.agents.values_mut() {
-        machine.inbound_cut_until = inbound_cut_until;
+        machine.inbound_partition_until = inbound_cut_until;
     }
     let simulation = &mut cells.cells[HOME].simulation;
     let follower = (0..3)
@@ -445,8 +445,8 @@
 fn random_link_and_controller_faults_break_no_invariant() {
     let faults = Faults {
         crashes: true,
-        cuts: true,
-        losses: true,
+        controller_partitions: true,
+        lost_answers: true,
         ..Faults::default()
     };
     histories(100..106, faults);
--- a/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
@@ -10,7 +10,7 @@
 fn cancellation_by_a_follower_holds_when_the_leader_loses_the_store_before_an_outage() {
     for seed in 10..16 {
         let (mut w, ids, leader) = at_work(seed, 4);
-        w.nodes[leader].no_store_until = w.now.plus(secs(14));
+        w.nodes[leader].store_partition_until = w.now.plus(secs(14));
         run(&mut w, seed, 41);
         for id in &ids[..2] {
             assert!(w.cancel_by(other(leader), id), "seed {seed}");
@@ -33,8 +33,8 @@
     for seed in 150..158 {
         let (mut w, ids, old) = at_work(seed, 4);
         let until = w.now.plus(secs(90));
-        w.nodes[old].no_store_until = until;
-        w.nodes[old].no_peers_until = until;
+        w.nodes[old].store_partition_until = until;
+        w.nodes[old].peer_partition_until = until;
         run(&mut w, seed, 41 + seed % 8);
         for id in &ids[..3] {
             assert!(w.cancel(id), "seed {seed}");
@@ -56,7 +56,7 @@
 fn cancellation_holds_when_the_store_refuses_the_leader_and_then_all() {
     for seed in 250..258 {
         let (mut w, ids, leader) = at_work(seed, 4);
-        w.nodes[leader].no_store_until = w.now.plus(secs(14));
+        w.nodes[leader].store_partition_until = w.now.plus(secs(14));
         for id in &ids[..2] {
             assert!(w.cancel_by(other(leader), id), "seed {seed}");
         }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
@@ -121,8 +121,8 @@
         }
         played += 1;
         let until = w.now.plus(secs(34));
-        w.apart_until = until;
-        w.nodes[first].no_store_until = until;
+        w.zone_partition_until = until;
+        w.nodes[first].store_partition_until = until;
         let at = w.now.plus(secs(12));
         while w.now < at && (0..3).all(|n| n == first || !w.nodes[n].may_answer(w.now)) {
             w.step().expect("no rule is broken");
--- a/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
@@ -32,7 +32,7 @@
         for (i, m) in w.agents.values_mut().enumerate() {
             match i % 4 {
                 0 => m.hung_until = until,
-                1 => m.inbound_cut_until = until.plus(secs(30)),
+                1 => m.inbound_partition_until = until.plus(secs(30)),
                 _ => {}
             }
         }
@@ -71,7 +71,7 @@
             .collect();
         for name in &busy {
             let m = w.agents.get_mut(name).expect("a machine");
-            m.outbound_cut_until = secs(100_000);
+            m.outbound_partition_until = secs(100_000);
         }
         run(&mut w, seed, 62);
         for name in &busy {
@@ -94,11 +94,11 @@
     for seed in 200..208 {
         let (mut w, ids, _) = at_work(seed, 4);
         let until = w.now.plus(secs(40));
-        w.apart_until = until;
+        w.zone_partition_until = until;
         // Store and cloud belong to no zone; a zone cut off from everything loses them as well.
         let zone = if seed % 2 == 0 { "west" } else { "east" };
         for n in w.nodes.iter_mut().filter(|n| n.zone == zone) {
-            n.no_store_until = until;
+            n.store_partition_until = until;
         }
         run(&mut w, seed, 46);
         w.cancel(&ids[0]);
@@ -190,10 +190,10 @@
         let until = w.now.plus(secs(8 + (seed % 5) * 12));
         for (i, m) in w.agents.values_mut().enumerate() {
             match i % 3 {
-                0 => m.inbound_cut_until = until,
+                0 => m.inbound_partition_until = until,
                 1 => {
-                    m.inbound_cut_until = until;
-                    m.outbound_cut_until = until;
+                    m.inbound_partition_until = until;
+                    m.outbound_partition_until = until;
                 }
                 _ => {}
             }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
@@ -10,7 +10,7 @@
 fn late_writes_after_newer_ones_of_the_same_leader_break_no_invariant() {
     for seed in 140..148 {
         let (mut w, ids, leader) = at_work(seed, 3);
-        w.late_writes_until = w.now.plus(secs(40));
+        w.delayed_writes_until = w.now.plus(secs(40));
         for round in 0..6 {
             disturb(&mut w, seed, round);
             run(&mut w, seed, 45 + round * 7);
@@ -32,7 +32,7 @@
 fn failover_after_late_writes_breaks_no_invariant() {
     for seed in 400..424 {
         let (mut w, _, leader) = at_work(seed, 2);
-        w.late_writes_until = w.now.plus(secs(5));
+        w.delayed_writes_until = w.now.plus(secs(5));
         for round in 0..5 {
             disturb(&mut w, seed, round);
             let spec = plain(&mut w, JobKind::Array, 3, 40);
@@ -57,7 +57,10 @@
             .expect("one at work");
         let old = w.agents[&name].copy();
         // Its lease runs out and its tasks go elsewhere, or it is cancelled, or both.
-        w.agents.get_mut(&name).expect("there").inbound_cut_until = w.now.plus(secs(17));
+        w.agents
+            .get_mut(&name)
+            .expect("there")
+            .inbound_partition_until = w.now.plus(secs(17));
         if seed % 2 == 0 {
             w.cancel(&ids[0]);
         }
@@ -100,7 +103,7 @@
 fn commands_executed_after_their_timeout_break_no_invariant() {
     for seed in 430..446 {
         let losses = Faults {
-            losses: true,
+            lost_answers: true,
             ..Faults::default()
         };
         let mut w = Simulation::new(seed, losses, Micros::ZERO);
@@ -135,12 +138,12 @@
 fn cancellations_while_the_store_is_slow_then_refuses_the_leader_then_all_hold() {
     for seed in 180..188 {
         let (mut w, ids, leader) = at_work(seed, 5);
-        w.late_writes_until = w.now.plus(secs(6));
+        w.delayed_writes_until = w.now.plus(secs(6));
         w.cancel(&ids[0]);
         disturb(&mut w, seed, 0);
         run(&mut w, seed, 45);
         w.cancel(&ids[1]);
-        w.nodes[leader].no_store_until = w.now.plus(secs(2 + seed % 12));
+        w.nodes[leader].store_partition_until = w.now.plus(secs(2 + seed % 12));
         run(&mut w, seed, 46);
         w.cancel(&ids[2]);
         run(&mut w, seed, 47);
--- a/crates/saltpitch-testkit/tests/operations.rs
+++ b/crates/saltpitch-testkit/tests/operations.rs
@@ -68,7 +68,7 @@
 fn machines_provisioned_late_or_never_in_a_partitioned_zone_break_no_invariant() {
     for seed in 910..915 {
         let faults = Faults {
-            machines: true,
+            machine_failures: true,
             ..Faults::default()
         };
         let mut simulation = Simulation::new(seed, faults, secs(100));
@@ -81,7 +81,7 @@
             assert!(simulation.submit(&id, spec));
             ids.push(id);
             if round == 1 {
-                simulation.apart_until = simulation.now.plus(secs(50));
+                simulation.zone_partition_until = simulation.now.plus(secs(50));
             }
             run(&mut simulation, seed, 10 + round * 8);
         }
--- a/crates/saltpitch-testkit/tests/simulation.rs
+++ b/crates/saltpitch-testkit/tests/simulation.rs
@@ -31,7 +31,7 @@
 #[test]
 fn controllers_partitioned_from_store_or_agents_break_no_invariant() {
     let f = Faults {
-        cuts: true,
+        controller_partitions: true,
         ..Faults::default()
     };
     many(200..212, f, 100, 300);
@@ -42,7 +42,7 @@
 #[test]
 fn frozen_controllers_break_no_invariant() {
     let f = Faults {
-        freezes: true,
+        process_pauses: true,
         ..Faults::default()
     };
     many(240..252, f, 100, 300);
@@ -52,10 +52,10 @@
 #[test]
 fn frozen_controllers_during_store_outages_break_no_invariant() {
     let f = Faults {
-        freezes: true,
-        outages: true,
-        losses: true,
-        copies: true,
+        process_pauses: true,
+        store_outages: true,
+        lost_answers: true,
+        delayed_duplicates: true,
         ..Faults::default()
     };
     many(260..272, f, 100, 300);
@@ -64,7 +64,7 @@
 #[test]
 fn store_outages_break_no_invariant() {
     let f = Faults {
-        outages: true,
+        store_outages: true,
         ..Faults::default()
     };
     many(300..312, f, 100, 300);
@@ -73,7 +73,7 @@
 #[test]
 fn failing_hanging_and_preempted_machines_break_no_invariant() {
     let f = Faults {
-        machines: true,
+        machine_failures: true,
         ..Faults::default()
     };
     many(400..412, f, 100, 300);
@@ -82,7 +82,7 @@
 #[test]
 fn lost_answers_late_transactions_and_late_commands_break_no_invariant() {
     let f = Faults {
-        losses: true,
+        lost_answers: true,
         ..Faults::default()
     };
     many(500..512, f, 100, 300);
@@ -91,7 +91,7 @@
 #[test]
 fn zone_partitions_break_no_invariant_and_return_no_busy_machine() {
     let f = Faults {
-        zone_cuts: true,
+        zone_partitions: true,
         ..Faults::default()
     };
     for seed in 700..712 {
@@ -111,7 +111,7 @@
 #[test]
 fn inbound_partitions_break_no_invariant() {
     let f = Faults {
-        inbound_partition: true,
+        inbound_partitions: true,
         ..Faults::default()
     };
     many(800..812, f, 100, 300);
@@ -140,7 +140,7 @@
         let group: Vec<String> = there.map(|m| m.name.clone()).take(4).collect();
         for name in &group {
             let m = w.agents.get_mut(name).expect("a machine");
-            m.inbound_cut_until = Micros::from_secs(100_000);
+            m.inbound_partition_until = Micros::from_secs(100_000);
         }
         run(&mut w, 160);
         assert_eq!(w.running("job-000001"), 6, "seed {seed}: went on elsewhere");
@@ -154,9 +154,9 @@
 #[test]
 fn late_copies_of_heartbeats_break_no_invariant() {
     let f = Faults {
-        copies: true,
+        delayed_duplicates: true,
         crashes: true,
-        machines: true,
+        machine_failures: true,
         ..Faults::default()
     };
     many(900..916, f, 100, 300);
@@ -175,7 +175,7 @@
         }
         run(&mut w, 30);
         let old = w.leader().expect("a leader");
-        w.nodes[old].no_store_until = w.now.plus(Micros::from_secs(120));
+        w.nodes[old].store_partition_until = w.now.plus(Micros::from_secs(120));
         run(&mut w, 34);
         for i in 0..4 {
             w.cancel(&format!("job-84{i:04}"));
--- a/crates/saltpitch-testkit/tests/upgrade.rs
+++ b/crates/saltpitch-testkit/tests/upgrade.rs
@@ -96,7 +96,7 @@
 fn crashes_into_the_old_version_during_an_upgrade_break_no_invariant() {
     let f = Faults {
         crashes: true,
-        machines: true,
+        machine_failures: true,
         ..Faults::default()
     };
     many(20..30, f);
@@ -105,10 +105,10 @@
 #[test]
 fn outages_partitions_and_lost_answers_during_an_upgrade_break_no_invariant() {
     let f = Faults {
-        cuts: true,
-        outages: true,
-        losses: true,
-        late_writes: true,
+        controller_partitions: true,
+        store_outages: true,
+        lost_answers: true,
+        delayed_writes: true,
         ..Faults::default()
     };
     many(40..50, f);
@@ -191,7 +191,7 @@
 fn a_leader_of_version_0_does_not_outlast_a_cancellation_that_it_missed() {
     for seed in 80..86 {
         let (mut w, ids, leader) = led_by_version_0(seed);
-        w.nodes[leader].no_store_until = w.now.plus(Micros::from_secs(14));
+        w.nodes[leader].store_partition_until = w.now.plus(Micros::from_secs(14));
         run(&mut w, seed, 61);
         let peer = (leader + 1) % 3;
         for id in &ids[..2] {
