--- a/crates/saltpitch-testkit/src/agents.rs
+++ b/crates/saltpitch-testkit/src/agents.rs
@@ -253,7 +253,7 @@
 
     /// The lease: without an answer in time, everything is killed and a new epoch begins.
     pub fn check_lease(&mut self, times: &Times, now: Micros) {
-        if now.since(self.lease_from) > times.lease {
+        if now.since(self.lease_from) > times.agent_lease {
             self.tasks.clear();
             self.agent_epoch += 1;
             self.sequence = 0;
--- a/crates/saltpitch-testkit/src/cells/controller.rs
+++ b/crates/saltpitch-testkit/src/cells/controller.rs
@@ -58,7 +58,7 @@
             leading,
             ..
         } = &mut self.cells[cell];
-        let (now, cancel) = (simulation.now, simulation.times.cancel);
+        let (now, cancel) = (simulation.now, simulation.times.cancel_timeout);
         let process = &mut simulation.nodes[node];
         let stands_still = !process.is_up(now) || process.remaining_pause(now) > Micros::ZERO;
         if stands_still || !process.knows_delegations {
--- a/crates/saltpitch-testkit/src/cells/history.rs
+++ b/crates/saltpitch-testkit/src/cells/history.rs
@@ -77,18 +77,21 @@
     for (job, ids) in delegated_ids {
         let whole = |id: &String| {
             let tasks = there.jobs.get(id).map_or(0, |job| job.spec.tasks as usize);
-            there.done.get(id).is_some_and(|done| done.len() == tasks)
+            there
+                .completed_tasks
+                .get(id)
+                .is_some_and(|done| done.len() == tasks)
         };
         if ids.iter().any(whole) {
             complete.push(job.clone());
         }
     }
     let here = &mut cells.cells[origin].simulation;
-    here.done_elsewhere.extend(complete);
+    here.completed_in_other_cell.extend(complete);
     for job in delegated_ids.keys() {
         let delegated = record(here, job).is_some_and(|record| record.is_delegated());
         if let Some(job) = here.jobs.get_mut(job) {
-            job.elsewhere = delegated;
+            job.is_delegated = delegated;
         }
     }
 }
@@ -138,7 +141,7 @@
         let Some(confirmed_at) = confirmed_at else {
             continue;
         };
-        let late = here.now.since(confirmed_at) > here.times.cancel;
+        let late = here.now.since(confirmed_at) > here.times.cancel_timeout;
         if late && ids.iter().any(|id| !held(there, id).is_empty()) {
             return violation(Invariant::RanCancelled, job, format!("{job} at the host"));
         }
@@ -176,7 +179,8 @@
             .jobs
             .iter()
             .filter(|(id, _)| id.starts_with("job-"));
-        for (id, job) in own.filter(|(_, job)| job.accepted && job.spec.kind != JobKind::Service) {
+        for (id, job) in own.filter(|(_, job)| job.is_accepted && job.spec.kind != JobKind::Service)
+        {
             let record = record(&cell.simulation, id);
             let state = record.as_ref().map(|record| record.state);
             let expected = match job.cancelled_at {
--- a/crates/saltpitch-testkit/src/histories.rs
+++ b/crates/saltpitch-testkit/src/histories.rs
@@ -36,7 +36,7 @@
         if spec.kind != JobKind::Service && simulation.random_below(3) == 0 {
             for _ in 0..1 + simulation.random_below(2) {
                 let at = simulation.random_below(ids.len() as u64) as usize;
-                let named = ids.get(at).filter(|id| simulation.jobs[*id].accepted);
+                let named = ids.get(at).filter(|id| simulation.jobs[*id].is_accepted);
                 let named = named.filter(|id| simulation.jobs[*id].spec.kind != JobKind::Service);
                 spec.dependencies.extend(named.cloned());
             }
@@ -67,7 +67,7 @@
     // jobs that fail everywhere.
     for id in &ids {
         let job = &simulation.jobs[id];
-        if job.spec.kind == JobKind::Service || job.mistaken {
+        if job.spec.kind == JobKind::Service || job.always_fails {
             simulation.cancel(id);
         }
     }
@@ -82,8 +82,8 @@
         Err(violation.of_job(id))
     };
     for (id, job) in &simulation.jobs {
-        let is_cancelled = job.cancelled_at.or(job.withdrawn_at).is_some();
-        if is_cancelled && simulation.running(id) > 0 {
+        let is_cancelled = job.cancelled_at.or(job.dependency_cancelled_at).is_some();
+        if is_cancelled && simulation.running_tasks(id) > 0 {
             return violation(id, format!("{id} was cancelled and still runs"));
         }
         let kind = job.spec.kind;
--- a/crates/saltpitch-testkit/src/invariants.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -39,7 +39,7 @@
             check_task(simulation, &mut running, agent, id, held)?;
         }
     }
-    for violation in [&simulation.too_early, &simulation.started_late] {
+    for violation in [&simulation.early_start, &simulation.late_start] {
         violation.clone().map_or(Ok(()), Err)?;
     }
     check_quotas(simulation, &running)?;
@@ -78,7 +78,7 @@
     *used = used.plus(&job.spec.need);
     // On a machine that hangs as well: it may go on with the task when it resumes.
     let cancelled_for = job.cancelled_at.map(|at| simulation.now.since(at));
-    if let Some(late) = cancelled_for.filter(|late| *late > simulation.times.cancel) {
+    if let Some(late) = cancelled_for.filter(|late| *late > simulation.times.cancel_timeout) {
         let late = late.as_secs_f64();
         let text = format!("{job_id}/{task} on {machine} {late:.1} s after");
         return violation(Invariant::RanCancelled, text);
@@ -129,25 +129,27 @@
     let can_run = job
         .spec
         .can_ever_run(simulation.catalog(), &simulation.teams);
-    if job.accepted && can_run.is_err() {
+    if job.is_accepted && can_run.is_err() {
         return violation(Invariant::Accepted, format!("{id} can never run"));
     }
-    if let Some(since) = job.waits_since {
-        let waited = simulation.now.since(since.max(simulation.still_since));
+    if let Some(since) = job.waiting_since {
+        let waited = simulation
+            .now
+            .since(since.max(simulation.site_healthy_since));
         if waited > WAIT {
             return violation(Invariant::Waits, format!("{id} beside room that fits"));
         }
     }
-    if job.accepted {
-        for (node, answered_at) in simulation.nodes.iter().zip(&job.answered) {
-            let since = (*answered_at).max(simulation.calm_since);
+    if job.is_accepted {
+        for (node, answered_at) in simulation.nodes.iter().zip(&job.last_answered_at) {
+            let since = (*answered_at).max(simulation.controllers_healthy_since);
             if simulation.now.since(since) > ANSWER_WITHIN {
                 return violation(Invariant::Forgotten, format!("{id} by {}", node.name));
             }
         }
     }
     let Some(entry) = simulation.store.keys.get(&job_key(id)) else {
-        if job.accepted {
+        if job.is_accepted {
             return violation(Invariant::Forgotten, id.to_owned());
         }
         return Ok(());
@@ -158,7 +160,7 @@
             return violation(Invariant::Unreadable, format!("{id}: unreadable: {error}"));
         }
     };
-    if let Some(at) = job.withdrawn_at {
+    if let Some(at) = job.dependency_cancelled_at {
         check_withdrawn(simulation, id, at)?;
     }
     check_state(simulation, id, job, record.state)
@@ -179,7 +181,9 @@
             return violation(format!("{id} by {}", node.name));
         }
     }
-    if simulation.now.since(at) > simulation.times.cancel && simulation.running(id) > 0 {
+    if simulation.now.since(at) > simulation.times.cancel_timeout
+        && simulation.running_tasks(id) > 0
+    {
         return violation(format!("{id} still runs"));
     }
     Ok(())
@@ -193,14 +197,14 @@
     state: JobState,
 ) -> Result<(), InvariantViolation> {
     let violation = |invariant, text| Err(InvariantViolation::new(invariant, text).of_job(id));
-    let is_cancelled = job.cancelled_at.or(job.withdrawn_at).is_some();
+    let is_cancelled = job.cancelled_at.or(job.dependency_cancelled_at).is_some();
     match state {
         JobState::Done => {
             let tasks = job.spec.tasks;
-            let done = if simulation.done_elsewhere.contains(id) {
+            let done = if simulation.completed_in_other_cell.contains(id) {
                 tasks
             } else {
-                simulation.done.get(id).map_or(0, BTreeSet::len) as u32
+                simulation.completed_tasks.get(id).map_or(0, BTreeSet::len) as u32
             };
             if done < tasks {
                 return violation(Invariant::NotDone, format!("{id} with {done} of {tasks}"));
@@ -242,7 +246,7 @@
     }
     for (name, jobs) in groups {
         let is_served = |(id, job): &&(&str, &UserJob)| match job.spec.kind {
-            JobKind::Service => job.begun_at.is_some(),
+            JobKind::Service => job.started_at.is_some(),
             _ => simulation.is_done(id),
         };
         let served = jobs.iter().filter(is_served).count();
@@ -261,8 +265,8 @@
         let JobSpec { class, team, .. } = &job.spec;
         // Spread over zones and bound to one, a job can't run whole.
         let impossible = job.spec.spread && job.spec.zone.is_some() && job.spec.tasks > 1;
-        let is_cancelled = job.cancelled_at.or(job.withdrawn_at).is_some();
-        if job.accepted && !job.mistaken && !impossible && !is_cancelled {
+        let is_cancelled = job.cancelled_at.or(job.dependency_cancelled_at).is_some();
+        if job.is_accepted && !job.always_fails && !impossible && !is_cancelled {
             for name in [format!("class {class}"), format!("team {team}")] {
                 groups.entry(name).or_default().push((id, job));
             }
@@ -277,7 +281,7 @@
     id: &str,
     job: &UserJob,
 ) -> Result<(), InvariantViolation> {
-    let begun_at = job.begun_at.unwrap_or(simulation.now);
+    let begun_at = job.started_at.unwrap_or(simulation.now);
     let waited = begun_at.since(job.submitted_at);
     if waited <= BEGIN {
         return Ok(());
--- a/crates/saltpitch-testkit/src/simulation/agents.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -50,7 +50,7 @@
         let heartbeat = due.then(|| begin_heartbeat(agent, times.heartbeat_interval, now));
         let target = agent.target;
         for (job, task) in completed {
-            self.done.entry(job).or_default().insert(task);
+            self.completed_tasks.entry(job).or_default().insert(task);
         }
         if let Some(heartbeat) = heartbeat {
             self.send_agent_heartbeat(name, target, heartbeat);
@@ -62,37 +62,37 @@
             // No connection: nothing of it ever arrives, and the agent tries the next controller.
             let name = name.to_owned();
             let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
-            return self.after(CONNECTION_FAILURE, move |simulation| {
-                simulation.answered(&name, agent_epoch, sequence, None, None)
+            return self.schedule_after(CONNECTION_FAILURE, move |simulation| {
+                simulation.heartbeat_answered(&name, agent_epoch, sequence, None, None)
             });
         }
         // A partition holds packets back and delivers them when it ends.
         let held = self.partitioned_for(target, name);
-        let wait = held.plus(self.delay());
-        if self.chance(self.faults.delayed_duplicates, 1.5) {
-            self.send_late_copy(heartbeat.clone(), wait);
+        let wait = held.plus(self.draw_delay());
+        if self.draw_fault(self.faults.delayed_duplicates, 1.5) {
+            self.send_delayed_duplicate(heartbeat.clone(), wait);
         }
-        self.after(wait, move |simulation| {
-            simulation.deliver(target, heartbeat)
+        self.schedule_after(wait, move |simulation| {
+            simulation.deliver_heartbeat(target, heartbeat)
         });
     }
 
     /// Delivers a copy of a heartbeat to a random controller, up to a minute after the heartbeat itself.
-    fn send_late_copy(&mut self, copy: Heartbeat, wait: Micros) {
+    fn send_delayed_duplicate(&mut self, copy: Heartbeat, wait: Micros) {
         let node_index = self.random_below(3) as usize;
         let late = Micros::from_millis(1_000 + self.random_below(60_000));
-        self.after(wait.plus(late), move |simulation| {
-            simulation.deliver_copy(node_index, copy)
+        self.schedule_after(wait.plus(late), move |simulation| {
+            simulation.deliver_duplicate(node_index, copy)
         });
     }
 
     /// Delivers a copy of an old heartbeat. The answer goes nowhere: no agent waits for it.
-    pub fn deliver_copy(&mut self, node_index: usize, heartbeat: Heartbeat) {
+    pub fn deliver_duplicate(&mut self, node_index: usize, heartbeat: Heartbeat) {
         let now = self.now;
         let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
-                simulation.deliver_copy(node_index, heartbeat)
+            return self.schedule_after(frozen, move |simulation| {
+                simulation.deliver_duplicate(node_index, heartbeat)
             });
         }
         if self.nodes[node_index].may_answer(now) {
@@ -102,12 +102,12 @@
         }
     }
 
-    fn deliver(&mut self, node_index: usize, heartbeat: Heartbeat) {
+    fn deliver_heartbeat(&mut self, node_index: usize, heartbeat: Heartbeat) {
         let now = self.now;
         let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
-                simulation.deliver(node_index, heartbeat)
+            return self.schedule_after(frozen, move |simulation| {
+                simulation.deliver_heartbeat(node_index, heartbeat)
             });
         }
         if !self.nodes[node_index].is_up(now) || !self.nodes[node_index].started {
@@ -127,14 +127,16 @@
         self.poll(node_index);
         let leader = leader.and_then(|name| self.nodes.iter().position(|node| node.name == name));
         // A partition that began meanwhile holds the answer back, and the agent drops it then.
-        let wait = self.partitioned_for(node_index, &name).plus(self.delay());
-        self.after(wait, move |simulation| {
-            simulation.answered(&name, agent_epoch, sequence, answer, leader)
+        let wait = self
+            .partitioned_for(node_index, &name)
+            .plus(self.draw_delay());
+        self.schedule_after(wait, move |simulation| {
+            simulation.heartbeat_answered(&name, agent_epoch, sequence, answer, leader)
         });
     }
 
     /// An agent takes in the answer to its heartbeat, if it still waits for that one.
-    pub(super) fn answered(
+    pub(super) fn heartbeat_answered(
         &mut self,
         name: &str,
         agent_epoch: u64,
@@ -169,7 +171,7 @@
     }
 
     /// Gangs start when all members of an attempt wait, and end together.
-    pub(super) fn gangs(&mut self) {
+    pub(super) fn advance_gangs(&mut self) {
         let gangs: Vec<String> = self
             .jobs
             .iter()
@@ -212,7 +214,7 @@
         attempts: &BTreeMap<u32, GangMembers>,
     ) -> bool {
         let now = self.now;
-        let (gang_wait, gang_peer) = (self.times.gang_wait, self.times.gang_peer);
+        let (gang_wait, gang_peer) = (self.times.gang_wait_timeout, self.times.gang_peer_timeout);
         let mut finished = false;
         for member in self.members(id) {
             let counts = attempts[&member.attempt];
@@ -245,7 +247,10 @@
                 member.state = exited(ExitCause::Done);
             }
         }
-        self.done.entry(id.to_owned()).or_default().extend(0..size);
+        self.completed_tasks
+            .entry(id.to_owned())
+            .or_default()
+            .extend(0..size);
         for agent in self.agents.values_mut() {
             agent.changed = true;
         }
@@ -278,7 +283,7 @@
         let Some(job) = jobs.get(&id.0) else {
             continue;
         };
-        if job.mistaken && held.state == TaskState::Running {
+        if job.always_fails && held.state == TaskState::Running {
             held.state = exited(ExitCause::Error);
             agent.changed = true;
             continue;
--- a/crates/saltpitch-testkit/src/simulation/cloud.rs
+++ b/crates/saltpitch-testkit/src/simulation/cloud.rs
@@ -27,7 +27,7 @@
 impl Simulation {
     /// Provisions what the cloud has of the machines requested.
     pub(super) fn scale_out(&mut self, request: &ScaleOutRequest) -> ScaleOutOutcome {
-        if let Some(names) = self.requests.get(&request.id) {
+        if let Some(names) = self.machines_by_request.get(&request.id) {
             return ScaleOutOutcome::Machines(names.clone());
         }
         let in_pool = |agent: &&Agent| {
@@ -46,7 +46,8 @@
         let names: Vec<String> = (0..count)
             .map(|_| self.provision_machine(request))
             .collect();
-        self.requests.insert(request.id.clone(), names.clone());
+        self.machines_by_request
+            .insert(request.id.clone(), names.clone());
         ScaleOutOutcome::Machines(names)
     }
 
@@ -55,7 +56,7 @@
     fn provision_machine(&mut self, request: &ScaleOutRequest) -> String {
         self.next_machine += 1;
         let name = format!("vm-{:06}", self.next_machine);
-        let faulty = self.faults.machine_failures && self.now < self.quiet_from;
+        let faulty = self.faults.machine_failures && self.now < self.faults_end_at;
         let provisioning = match self.random_below(12) {
             0 if faulty => NEVER,
             1 if faulty => LATE_PROVISIONING,
@@ -107,7 +108,7 @@
         let list: Vec<ListedMachine> = present.map(listed).collect();
         let epoch = self.nodes[node_index].epoch();
         let lag = Micros::from_secs(self.random_below(12));
-        self.after(lag, move |simulation| {
+        self.schedule_after(lag, move |simulation| {
             let records = simulation.nodes[node_index].records();
             let returned = records.returned_machines.clone();
             simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
--- a/crates/saltpitch-testkit/src/simulation/controllers.rs
+++ b/crates/saltpitch-testkit/src/simulation/controllers.rs
@@ -145,7 +145,7 @@
         } else {
             self.random_below(300)
         };
-        self.after(Micros::from_millis(delay), move |simulation| {
+        self.schedule_after(Micros::from_millis(delay), move |simulation| {
             // Sent is sent: it is carried out whether or not the process still lives.
             let attached = Some((store_lease, LEADER_KEY));
             let outcome = simulation.store.txn(
@@ -164,7 +164,7 @@
                 store_lease,
                 opened_at: now,
             };
-            simulation.after(delay, move |simulation| {
+            simulation.schedule_after(delay, move |simulation| {
                 simulation.attempt_answered(node_index, epoch, pending, outcome)
             });
         });
@@ -208,7 +208,10 @@
     /// What a node's version makes of the settings.
     fn scheduler_config(&self, node_index: usize) -> SchedulerConfig {
         let mut config = self.config.clone();
-        if let Some((bytes, ops, rate)) = self.next_limits.filter(|_| !self.nodes[node_index].old) {
+        if let Some((bytes, ops, rate)) = self
+            .next_store_limits
+            .filter(|_| !self.nodes[node_index].old)
+        {
             config.max_value_bytes = config.max_value_bytes.min(bytes);
             config.max_transaction_writes = config.max_transaction_writes.min(ops);
             config.next_write_rate = f64::from(rate) * 0.7;
@@ -242,8 +245,8 @@
                 asked_at,
                 epoch,
             };
-            let delay = self.delay();
-            self.after(delay, move |simulation| {
+            let delay = self.draw_delay();
+            self.schedule_after(delay, move |simulation| {
                 simulation.heartbeat_arrives(exchange, peer_heartbeat)
             });
         }
@@ -259,7 +262,7 @@
         }
         let frozen = to.remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
+            return self.schedule_after(frozen, move |simulation| {
                 simulation.heartbeat_arrives(exchange, peer_heartbeat)
             });
         }
@@ -268,8 +271,8 @@
         if now.since(exchange.asked_at) > HEARTBEAT_TIMEOUT {
             return;
         }
-        let delay = self.delay();
-        self.after(delay, move |simulation| {
+        let delay = self.draw_delay();
+        self.schedule_after(delay, move |simulation| {
             simulation.peer_heartbeat_answered(exchange, answer)
         });
     }
@@ -279,7 +282,7 @@
         let node_index = exchange.from;
         let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
+            return self.schedule_after(frozen, move |simulation| {
                 simulation.peer_heartbeat_answered(exchange, answer)
             });
         }
@@ -331,7 +334,7 @@
         let now = self.now;
         let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
+            return self.schedule_after(frozen, move |simulation| {
                 simulation.notify_scheduler(node_index, epoch, deliver)
             });
         }
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -47,8 +47,8 @@
         match effect {
             Effect::Commit(transaction) => self.send_transaction(node_index, epoch, transaction),
             Effect::ReloadRecords => {
-                let delay = self.delay();
-                self.after(delay, move |simulation| {
+                let delay = self.draw_delay();
+                self.schedule_after(delay, move |simulation| {
                     simulation.reload_records(node_index, epoch)
                 });
             }
@@ -68,8 +68,8 @@
                 self.send_commands(node_index, epoch, direct);
             }
             Effect::Probe { machine, .. } => {
-                let delay = self.delay();
-                self.after(delay, move |simulation| {
+                let delay = self.draw_delay();
+                self.schedule_after(delay, move |simulation| {
                     simulation.probe(node_index, epoch, machine)
                 });
             }
@@ -109,8 +109,8 @@
                 scheduler.probe_failed(&machine, now)
             });
         };
-        let delay = self.delay();
-        self.after(delay, move |simulation| {
+        let delay = self.draw_delay();
+        self.schedule_after(delay, move |simulation| {
             simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
                 scheduler.probe_answered(heartbeat, now)
             });
@@ -120,15 +120,15 @@
     /// The cloud's answer to a scale-out request may be lost after the machines are provisioned.
     fn send_scale_out(&mut self, node_index: usize, epoch: u64, request: ScaleOutRequest) {
         let lost = self.faults.lost_answers && self.random_below(8) == 0;
-        let delay = self.delay();
-        self.after(delay, move |simulation| {
+        let delay = self.draw_delay();
+        self.schedule_after(delay, move |simulation| {
             let outcome = simulation.scale_out(&request);
             let (outcome, wait) = if lost {
                 (ScaleOutOutcome::Unknown, CLOUD_TIMEOUT)
             } else {
                 (outcome, CLOUD_ANSWER_DELAY)
             };
-            simulation.after(wait, move |simulation| {
+            simulation.schedule_after(wait, move |simulation| {
                 simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
                     scheduler.scale_out_ended(&request.id, outcome, now)
                 });
@@ -138,12 +138,12 @@
 
     fn send_scale_in(&mut self, node_index: usize, epoch: u64, names: Vec<Arc<str>>) {
         let delay = Micros::from_millis(100 + self.random_below(3_000));
-        self.after(delay, move |simulation| {
+        self.schedule_after(delay, move |simulation| {
             let now = simulation.now;
             for name in &names {
                 if let Some(agent) = simulation.agents.get_mut(&**name) {
                     let busy = agent.tasks.values().any(Held::on);
-                    simulation.returned_alive += u64::from(agent.is_up(now) && busy);
+                    simulation.busy_machines_returned += u64::from(agent.is_up(now) && busy);
                     agent.gone = true;
                 }
             }
@@ -167,8 +167,8 @@
         } else {
             TransactionOutcome::Unavailable
         };
-        let delay = self.delay();
-        self.after(delay, move |simulation| {
+        let delay = self.draw_delay();
+        self.schedule_after(delay, move |simulation| {
             simulation.notify_scheduler(node_index, epoch, move |scheduler, _| match outcome {
                 TransactionOutcome::Committed(revision) => {
                     scheduler.term_raised(increment.term, revision)
@@ -183,7 +183,7 @@
         let node = &mut self.nodes[node_index];
         let frozen = node.remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
+            return self.schedule_after(frozen, move |simulation| {
                 simulation.reload_records(node_index, epoch)
             });
         }
@@ -204,7 +204,7 @@
         let cut_until = self.nodes[node_index].store_partition_until;
         if self.now < cut_until {
             let cut_ends_in = cut_until.since(self.now);
-            self.after(cut_ends_in, move |simulation| {
+            self.schedule_after(cut_ends_in, move |simulation| {
                 let Transaction {
                     preconditions,
                     writes,
@@ -215,7 +215,7 @@
         }
         if self.faults.lost_answers && self.random_below(20) == 0 {
             // Above its rate the store refuses.
-            return self.after(REFUSAL_DELAY, move |simulation| {
+            return self.schedule_after(REFUSAL_DELAY, move |simulation| {
                 simulation.transaction_answered(node_index, epoch, TransactionOutcome::Unavailable)
             });
         }
@@ -223,7 +223,7 @@
         if fate.answer_lost {
             self.transaction_outcome_unknown(node_index, epoch);
         }
-        self.after(fate.applied_after, move |simulation| {
+        self.schedule_after(fate.applied_after, move |simulation| {
             let Transaction {
                 preconditions,
                 writes,
@@ -232,8 +232,8 @@
             if fate.answer_lost {
                 return;
             }
-            let delay = simulation.delay();
-            simulation.after(delay, move |simulation| {
+            let delay = simulation.draw_delay();
+            simulation.schedule_after(delay, move |simulation| {
                 simulation.note_term_conflict(node_index, epoch, &outcome);
                 simulation.transaction_answered(node_index, epoch, outcome);
             });
@@ -242,7 +242,7 @@
 
     /// Draws whether a transaction is overtaken by newer ones and whether its answer is lost.
     fn draw_transaction_fate(&mut self) -> TransactionFate {
-        let drawn_late = self.faults.delayed_writes && self.now < self.quiet_from;
+        let drawn_late = self.faults.delayed_writes && self.now < self.faults_end_at;
         let overtaken =
             self.now < self.delayed_writes_until || (drawn_late && self.random_below(12) == 0);
         let answer_lost = overtaken || (self.faults.lost_answers && self.random_below(15) == 0);
@@ -260,7 +260,7 @@
     }
 
     fn transaction_outcome_unknown(&mut self, node_index: usize, epoch: u64) {
-        self.after(ANSWER_TIMEOUT, move |simulation| {
+        self.schedule_after(ANSWER_TIMEOUT, move |simulation| {
             simulation.transaction_answered(node_index, epoch, TransactionOutcome::Unknown)
         });
     }
@@ -299,25 +299,25 @@
         let travel = if lost {
             Micros::from_millis(self.random_below(20_000))
         } else {
-            self.delay()
+            self.draw_delay()
         };
         let arrives_after = partitioned.max(inbound).max(hung).plus(travel);
         let unanswered = lost || arrives_after > ANSWER_TIMEOUT;
         if unanswered {
             let sent = sent.clone();
-            self.after(ANSWER_TIMEOUT, move |simulation| {
+            self.schedule_after(ANSWER_TIMEOUT, move |simulation| {
                 simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
                     scheduler.command_ended(&sent, CommandOutcome::Unknown, now);
                 });
             });
         }
-        self.after(arrives_after, move |simulation| {
+        self.schedule_after(arrives_after, move |simulation| {
             let outcome = simulation.commands_arrive(&direct);
             let Some(outcome) = outcome.filter(|_| !unanswered) else {
                 return;
             };
-            let delay = simulation.delay();
-            simulation.after(delay, move |simulation| {
+            let delay = simulation.draw_delay();
+            simulation.schedule_after(delay, move |simulation| {
                 simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
                     scheduler.command_ended(&sent, outcome, now);
                 });
@@ -367,17 +367,17 @@
             return;
         };
         for dependency in &known.spec.dependencies {
-            if !is_complete(&self.jobs, &self.done, dependency) {
+            if !is_complete(&self.jobs, &self.completed_tasks, dependency) {
                 let text = format!("{job}/{task}, which needs {dependency}");
                 let violation = InvariantViolation::new(Invariant::TooEarly, text);
-                self.too_early = Some(violation.of_job(job).on_machine(machine));
+                self.early_start = Some(violation.of_job(job).on_machine(machine));
             }
         }
-        let cancelled_at = known.cancelled_at.or(known.withdrawn_at);
-        if cancelled_at.is_some_and(|at| self.now.since(at) > self.times.cancel) {
+        let cancelled_at = known.cancelled_at.or(known.dependency_cancelled_at);
+        if cancelled_at.is_some_and(|at| self.now.since(at) > self.times.cancel_timeout) {
             let text = format!("{job}/{task} on {machine} started after its time");
             let violation = InvariantViolation::new(Invariant::RanCancelled, text);
-            self.started_late = Some(violation.of_job(job).on_machine(machine));
+            self.late_start = Some(violation.of_job(job).on_machine(machine));
         }
     }
 }
--- a/crates/saltpitch-testkit/src/simulation/fault_injection.rs
+++ b/crates/saltpitch-testkit/src/simulation/fault_injection.rs
@@ -17,8 +17,8 @@
 
 impl Simulation {
     /// Whether a fault that occurs `per_s` times a second occurs in this tick.
-    pub(super) fn chance(&mut self, enabled: bool, per_s: f64) -> bool {
-        enabled && self.now < self.quiet_from && self.rng.random_bool(per_s * TICK_S)
+    pub(super) fn draw_fault(&mut self, enabled: bool, per_s: f64) -> bool {
+        enabled && self.now < self.faults_end_at && self.rng.random_bool(per_s * TICK_S)
     }
 
     /// Draws which faults begin in this tick.
@@ -35,11 +35,11 @@
 
     /// One controller's process ends, or all of them at once.
     fn inject_crashes(&mut self) {
-        if self.chance(self.faults.crashes, 0.02) {
+        if self.draw_fault(self.faults.crashes, 0.02) {
             let node_index = self.random_below(3) as usize;
             self.crash(node_index);
         }
-        if self.chance(self.faults.crashes, 0.004) {
+        if self.draw_fault(self.faults.crashes, 0.004) {
             for node_index in 0..3 {
                 self.crash(node_index);
             }
@@ -48,7 +48,7 @@
 
     /// A controller is cut from the store, from the agents, or from both.
     fn inject_controller_partition(&mut self) {
-        if !self.chance(self.faults.controller_partitions, 0.02) {
+        if !self.draw_fault(self.faults.controller_partitions, 0.02) {
             return;
         }
         let node_index = self.random_below(3) as usize;
@@ -66,35 +66,37 @@
     }
 
     fn inject_zone_partition(&mut self) {
-        if self.chance(self.faults.zone_partitions, 0.02) && self.now >= self.zone_partition_until {
+        if self.draw_fault(self.faults.zone_partitions, 0.02)
+            && self.now >= self.zone_partition_until
+        {
             self.zone_partition_until = self.draw_time(3, 30);
         }
     }
 
     fn inject_freeze(&mut self) {
-        if self.chance(self.faults.process_pauses, 0.02) {
+        if self.draw_fault(self.faults.process_pauses, 0.02) {
             let node_index = self.random_below(3) as usize;
             self.nodes[node_index].paused_until = self.draw_time(1, 45);
         }
     }
 
     fn inject_store_outage(&mut self) {
-        if self.chance(self.faults.store_outages, 0.01) {
+        if self.draw_fault(self.faults.store_outages, 0.01) {
             self.store.down = true;
             let wait = Micros::from_secs(2 + self.random_below(25));
-            self.after(wait, |simulation| simulation.store.down = false);
+            self.schedule_after(wait, |simulation| simulation.store.down = false);
         }
     }
 
     fn inject_inbound_partition(&mut self) {
-        if self.chance(self.faults.inbound_partitions, 0.03) && !self.agents.is_empty() {
+        if self.draw_fault(self.faults.inbound_partitions, 0.03) && !self.agents.is_empty() {
             let until = self.draw_time(3, 60);
             self.for_up_to_three_agents(|agent| agent.inbound_partition_until = until);
         }
     }
 
     fn inject_outbound_partition(&mut self) {
-        if self.chance(self.faults.outbound_partitions, 0.03) && !self.agents.is_empty() {
+        if self.draw_fault(self.faults.outbound_partitions, 0.03) && !self.agents.is_empty() {
             let until = self.draw_time(3, 60);
             self.for_up_to_three_agents(|agent| agent.outbound_partition_until = until);
         }
@@ -102,7 +104,7 @@
 
     /// A machine disappears, hangs, or is a spot machine that is taken back.
     fn inject_machine_fault(&mut self) {
-        if !self.chance(self.faults.machine_failures, 0.05) || self.agents.is_empty() {
+        if !self.draw_fault(self.faults.machine_failures, 0.05) || self.agents.is_empty() {
             return;
         }
         let now = self.now;
@@ -119,7 +121,7 @@
                 agent.notice = Some(SPOT_NOTICE);
                 agent.changed = true;
                 let name = agent.name.clone();
-                self.after(SPOT_NOTICE, move |simulation| {
+                self.schedule_after(SPOT_NOTICE, move |simulation| {
                     if let Some(agent) = simulation.agents.get_mut(&name) {
                         agent.gone = true;
                     }
--- a/crates/saltpitch-testkit/src/simulation/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -34,13 +34,13 @@
     /// How often an agent sends a heartbeat.
     pub heartbeat_interval: Micros,
     /// How long an agent keeps its tasks without an answer.
-    pub lease: Micros,
+    pub agent_lease: Micros,
     /// How long a gang's member waits for the others to be ready.
-    pub gang_wait: Micros,
+    pub gang_wait_timeout: Micros,
     /// How long a running member goes on without the others.
-    pub gang_peer: Micros,
+    pub gang_peer_timeout: Micros,
     /// How long after a cancellation a task may still run.
-    pub cancel: Micros,
+    pub cancel_timeout: Micros,
 }
 
 /// Which faults a history may have; each is drawn from the seed.
@@ -102,24 +102,24 @@
     /// What was submitted.
     pub spec: JobSpec,
     /// The store has confirmed the submission.
-    pub accepted: bool,
+    pub is_accepted: bool,
     /// When its cancellation was confirmed.
     pub cancelled_at: Option<Micros>,
     /// When it was first submitted.
     pub submitted_at: Micros,
     /// When all of its tasks first ran at the same time (of an array: any task).
-    pub begun_at: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// When each node last could answer a question about it.
-    pub answered: Vec<Micros>,
+    pub last_answered_at: Vec<Micros>,
     /// When a job that it depends on, directly or through others, was cancelled.
-    pub withdrawn_at: Option<Micros>,
+    pub dependency_cancelled_at: Option<Micros>,
     /// Submitted with a mistake: it fails on every machine until its user cancels it.
-    pub mistaken: bool,
+    pub always_fails: bool,
     /// Another cell may own it.
-    pub elsewhere: bool,
+    pub is_delegated: bool,
     /// Since when, in calm, nothing of it runs although a machine that fits has room and its team
     /// is under its limit.
-    pub waits_since: Option<Micros>,
+    pub waiting_since: Option<Micros>,
 }
 
 type Action = Box<dyn FnOnce(&mut Simulation)>;
@@ -165,7 +165,7 @@
     /// The jobs by id, as their users know them.
     pub jobs: BTreeMap<String, UserJob>,
     /// Tasks whose result is kept.
-    pub done: BTreeMap<String, BTreeSet<u32>>,
+    pub completed_tasks: BTreeMap<String, BTreeSet<u32>>,
     /// The faults that occur until the history's quiet part.
     pub faults: Faults,
     /// The two zones can't reach each other until then.
@@ -173,36 +173,36 @@
     /// Until then no transaction of a leader is answered, and each is carried out later.
     pub delayed_writes_until: Micros,
     /// The store's next limits, as the settings give them.
-    pub next_limits: Option<(usize, usize, u32)>,
+    pub next_store_limits: Option<(usize, usize, u32)>,
     /// Until then every message takes a fifth of a second to more than a second.
     pub slow_links_until: Micros,
     /// A task that started before all jobs that its job depends on were done.
-    pub too_early: Option<InvariantViolation>,
+    pub early_start: Option<InvariantViolation>,
     /// A command that started a task after the time that a cancellation may take.
-    pub started_late: Option<InvariantViolation>,
+    pub late_start: Option<InvariantViolation>,
     /// Since when nothing has been wrong with nodes, store and network.
-    pub calm_since: Micros,
+    pub controllers_healthy_since: Micros,
     /// The same, machines included.
-    pub still_since: Micros,
+    pub site_healthy_since: Micros,
     /// How often the leadership was given up for want of heartbeats.
     pub resignations: u64,
     /// Jobs that another cell has completed.
-    pub done_elsewhere: BTreeSet<String>,
+    pub completed_in_other_cell: BTreeSet<String>,
     /// The most machines that the cloud has of one type, zone and kind.
     pub machine_limit: u32,
     /// Machines that were up and reachable from somewhere when the service returned them.
-    pub returned_alive: u64,
+    pub busy_machines_returned: u64,
     /// The fingerprint of what the controllers did and answered.
     pub trace: Trace,
     config: SchedulerConfig,
     catalog: Arc<Catalog>,
-    requests: BTreeMap<String, Vec<String>>,
+    machines_by_request: BTreeMap<String, Vec<String>>,
     next_machine: u32,
     rng: SmallRng,
     queue: BinaryHeap<Event>,
     next_event: u64,
     next_tick: Micros,
-    quiet_from: Micros,
+    faults_end_at: Micros,
 }
 
 const TICK: Micros = Micros::from_millis(100);
@@ -210,10 +210,10 @@
 fn site_times() -> Times {
     Times {
         heartbeat_interval: Micros::from_secs(2),
-        lease: Micros::from_secs(14),
-        gang_wait: Micros::from_secs(30),
-        gang_peer: Micros::from_secs(5),
-        cancel: Micros::from_secs(44),
+        agent_lease: Micros::from_secs(14),
+        gang_wait_timeout: Micros::from_secs(30),
+        gang_peer_timeout: Micros::from_secs(5),
+        cancel_timeout: Micros::from_secs(44),
     }
 }
 
@@ -230,9 +230,9 @@
 fn settings(times: &Times, teams: &[TeamLimits]) -> SchedulerConfig {
     SchedulerConfig {
         heartbeat_interval: times.heartbeat_interval,
-        agent_lease: times.lease,
-        gang_peer_timeout: times.gang_peer,
-        cancel_timeout: times.cancel,
+        agent_lease: times.agent_lease,
+        gang_peer_timeout: times.gang_peer_timeout,
+        cancel_timeout: times.cancel_timeout,
         max_transaction_writes: 8,
         controller_count: 3,
         max_concurrent_calls: 24,
@@ -289,29 +289,29 @@
             nodes,
             agents: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            done: BTreeMap::new(),
+            completed_tasks: BTreeMap::new(),
             faults,
             zone_partition_until: Micros::ZERO,
-            done_elsewhere: BTreeSet::new(),
+            completed_in_other_cell: BTreeSet::new(),
             machine_limit: 3,
-            returned_alive: 0,
+            busy_machines_returned: 0,
             trace: Trace::default(),
             delayed_writes_until: Micros::ZERO,
             slow_links_until: Micros::ZERO,
-            next_limits: None,
-            started_late: None,
-            too_early: None,
-            calm_since: Micros::ZERO,
-            still_since: Micros::ZERO,
+            next_store_limits: None,
+            late_start: None,
+            early_start: None,
+            controllers_healthy_since: Micros::ZERO,
+            site_healthy_since: Micros::ZERO,
             resignations: 0,
             catalog: Arc::new(machine_types()),
-            requests: BTreeMap::new(),
+            machines_by_request: BTreeMap::new(),
             next_machine: 0,
             rng: SmallRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             next_event: 0,
             next_tick: Micros::ZERO,
-            quiet_from: quiet_from.plus(Micros::from_secs(60)),
+            faults_end_at: quiet_from.plus(Micros::from_secs(60)),
         }
     }
 
@@ -325,7 +325,7 @@
         self.rng.random_range(0..n.max(1))
     }
 
-    fn after(&mut self, wait: Micros, action: impl FnOnce(&mut Simulation) + 'static) {
+    fn schedule_after(&mut self, wait: Micros, action: impl FnOnce(&mut Simulation) + 'static) {
         self.next_event += 1;
         self.queue.push(Event {
             at: self.now.plus(wait),
@@ -334,7 +334,7 @@
         });
     }
 
-    fn delay(&mut self) -> Micros {
+    fn draw_delay(&mut self) -> Micros {
         if self.now < self.slow_links_until {
             return Micros::from_millis(200 + self.random_below(1_200));
         }
@@ -393,9 +393,9 @@
         for name in names {
             self.agent_tick(&name);
         }
-        self.gangs();
+        self.advance_gangs();
         if self.now.0 % 1_000_000 < TICK.0 {
-            self.ask_about_jobs();
+            self.query_jobs();
             self.note_waiting();
         }
     }
--- a/crates/saltpitch-testkit/src/simulation/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -24,8 +24,8 @@
 impl Simulation {
     /// Users ask about every job, and every controller that is in service has to know each of them: by
     /// itself, or through a peer that has the store.
-    pub(super) fn ask_about_jobs(&mut self) {
-        self.note_calm();
+    pub(super) fn query_jobs(&mut self) {
+        self.note_health();
         let now = self.now;
         for node in &mut self.nodes {
             let awake = node.is_up(now) && node.remaining_pause(now) == Micros::ZERO;
@@ -47,25 +47,25 @@
                     .number(node_index as u64)
                     .number(state_number(state));
                 if node.is_up(now) && known {
-                    job.answered[node_index] = now;
+                    job.last_answered_at[node_index] = now;
                 }
             }
         }
-        self.note_begun();
+        self.note_started();
     }
 
     /// Notes the last time at which something was wrong with the site.
-    fn note_calm(&mut self) {
+    fn note_health(&mut self) {
         let now = self.now;
         let controllers_or_store = self.has_controller_fault();
         let machines_or_links = self.has_machine_fault();
-        let faults_ahead = now < self.quiet_from;
+        let faults_ahead = now < self.faults_end_at;
         let any_drawn = faults_ahead && self.faults != Faults::default();
         if controllers_or_store || machines_or_links || any_drawn {
-            self.still_since = now;
+            self.site_healthy_since = now;
         }
         if controllers_or_store || (faults_ahead && self.faults.has_controller_faults()) {
-            self.calm_since = now;
+            self.controllers_healthy_since = now;
         }
     }
 
@@ -97,11 +97,11 @@
     }
 
     /// Notes which jobs run for the first time: an array with any task, the others with all of them.
-    fn note_begun(&mut self) {
-        let not_begun = self.jobs.iter().filter(|(_, job)| job.begun_at.is_none());
+    fn note_started(&mut self) {
+        let not_begun = self.jobs.iter().filter(|(_, job)| job.started_at.is_none());
         let ids: Vec<String> = not_begun.map(|(id, _)| id.clone()).collect();
         for id in ids {
-            let running = self.running(&id) as u32;
+            let running = self.running_tasks(&id) as u32;
             let now = self.now;
             if let Some(job) = self.jobs.get_mut(&id) {
                 let least = if job.spec.kind == JobKind::Array {
@@ -110,7 +110,7 @@
                     job.spec.tasks
                 };
                 if running >= least {
-                    job.begun_at = Some(now);
+                    job.started_at = Some(now);
                 }
             }
         }
@@ -119,7 +119,7 @@
     /// Notes which jobs wait in calm although machines have room for what they need at a time.
     pub(super) fn note_waiting(&mut self) {
         let now = self.now;
-        let still = self.still_since < now;
+        let still = self.site_healthy_since < now;
         let usage = self.usage();
         let waits: Vec<(String, bool)> = self
             .jobs
@@ -128,7 +128,7 @@
             .collect();
         for (id, waits) in waits {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.waits_since = waits.then(|| job.waits_since.unwrap_or(now));
+                job.waiting_since = waits.then(|| job.waiting_since.unwrap_or(now));
             }
         }
     }
@@ -150,7 +150,7 @@
                     usage.placed_tasks.entry(&id.0).or_default().insert(id.1);
                 }
             }
-            if self.takes_tasks(agent) {
+            if self.can_take_tasks(agent) {
                 usage.free.push((agent, free));
             }
         }
@@ -158,7 +158,7 @@
     }
 
     /// Whether a machine is up, reachable and not about to be taken back.
-    fn takes_tasks(&self, agent: &Agent) -> bool {
+    fn can_take_tasks(&self, agent: &Agent) -> bool {
         let now = self.now;
         agent.is_up(now)
             && now >= agent.inbound_partition_until
@@ -172,7 +172,7 @@
     fn could_run(&self, id: &str, job: &UserJob, usage: &Usage) -> bool {
         let spec = &job.spec;
         let placed = usage.placed_tasks.get(id).map_or(0, BTreeSet::len) as u32;
-        let done = self.done.get(id).map_or(0, BTreeSet::len) as u32;
+        let done = self.completed_tasks.get(id).map_or(0, BTreeSet::len) as u32;
         let left = spec.tasks.saturating_sub(placed + done);
         if !self.is_ready(id, job) || spec.spread || placed > 0 || left == 0 {
             return false;
@@ -204,11 +204,11 @@
     /// Whether a job is this cell's, active, and has all that it depends on.
     fn is_ready(&self, id: &str, job: &UserJob) -> bool {
         let mut dependencies = job.spec.dependencies.iter();
-        job.accepted
-            && !job.elsewhere
-            && !job.mistaken
+        job.is_accepted
+            && !job.is_delegated
+            && !job.always_fails
             && job.cancelled_at.is_none()
-            && job.withdrawn_at.is_none()
+            && job.dependency_cancelled_at.is_none()
             && dependencies.all(|dependency| self.is_done(dependency))
             && !self.is_done(id)
     }
--- a/crates/saltpitch-testkit/src/simulation/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -41,15 +41,15 @@
         };
         let known = self.jobs.entry(id.to_owned()).or_insert(UserJob {
             spec: spec.clone(),
-            elsewhere: false,
-            accepted: false,
+            is_delegated: false,
+            is_accepted: false,
             cancelled_at: None,
             submitted_at: self.now,
-            begun_at: None,
-            answered: vec![self.now; self.nodes.len()],
-            mistaken: id.ends_with('7') && spec.kind == JobKind::Array,
-            waits_since: None,
-            withdrawn_at: None,
+            started_at: None,
+            last_answered_at: vec![self.now; self.nodes.len()],
+            always_fails: id.ends_with('7') && spec.kind == JobKind::Array,
+            waiting_since: None,
+            dependency_cancelled_at: None,
         });
         let key = job_key(id);
         let write = Write {
@@ -61,7 +61,7 @@
         self.trace.outcome(&outcome);
         match outcome {
             TransactionOutcome::Committed(_) | TransactionOutcome::Conflict(_) => {
-                known.accepted = true;
+                known.is_accepted = true;
                 self.note_withdrawn();
                 true
             }
@@ -141,7 +141,8 @@
 
     /// Notes which jobs are cancelled because a job that they depend on is, directly or through others.
     fn note_withdrawn(&mut self) {
-        let is_cancelled = |job: &UserJob| job.cancelled_at.is_some() || job.withdrawn_at.is_some();
+        let is_cancelled =
+            |job: &UserJob| job.cancelled_at.is_some() || job.dependency_cancelled_at.is_some();
         loop {
             let depends_on_cancelled = |job: &UserJob| {
                 let mut dependencies = job.spec.dependencies.iter();
@@ -150,7 +151,7 @@
             let withdrawn: Vec<String> = self
                 .jobs
                 .iter()
-                .filter(|(_, job)| job.accepted && !is_cancelled(job))
+                .filter(|(_, job)| job.is_accepted && !is_cancelled(job))
                 .filter(|(_, job)| depends_on_cancelled(job))
                 .map(|(id, _)| id.clone())
                 .collect();
@@ -159,7 +160,7 @@
             }
             for id in withdrawn {
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.withdrawn_at = Some(self.now);
+                    job.dependency_cancelled_at = Some(self.now);
                 }
             }
         }
@@ -234,7 +235,7 @@
     }
 
     /// The tasks of a job that are on machines now.
-    pub fn running(&self, id: &str) -> usize {
+    pub fn running_tasks(&self, id: &str) -> usize {
         self.agents
             .values()
             .filter(|agent| !agent.gone)
--- a/crates/saltpitch-testkit/tests/cells.rs
+++ b/crates/saltpitch-testkit/tests/cells.rs
@@ -54,7 +54,7 @@
         .jobs
         .keys()
         .filter(|id| id.starts_with(NAMES[HOME]));
-    ids.map(|id| simulation.running(id)).sum()
+    ids.map(|id| simulation.running_tasks(id)).sum()
 }
 
 #[test]
@@ -66,7 +66,7 @@
     });
     let guest = format!("{}.job-0010000001", NAMES[HOME]);
     until(&mut cells, 10, |c| {
-        c.cells[HOST].simulation.running(&guest) == 4
+        c.cells[HOST].simulation.running_tasks(&guest) == 4
     });
     until(&mut cells, 60, |c| {
         c.cells[HOME].simulation.is_done("job-0010")
@@ -197,7 +197,7 @@
     set_links(&mut cells, LinkState::Works);
     let guest = format!("{}.job-0010000001", NAMES[HOME]);
     until(&mut cells, 60, |c| {
-        c.cells[HOST].simulation.running(&guest) == 0
+        c.cells[HOST].simulation.running_tasks(&guest) == 0
     });
     until(&mut cells, 60, |c| finished(c).is_ok());
     assert!(cells.cells[HOME].simulation.cancel("job-0010"));
@@ -224,7 +224,7 @@
     service.need.cpu = 3_000;
     assert!(cells.cells[HOST].simulation.submit("job-0500", service));
     until(&mut cells, 5, |c| {
-        c.cells[HOST].simulation.running("job-0500") == 1
+        c.cells[HOST].simulation.running_tasks("job-0500") == 1
     });
     assert_eq!(guest_tasks(&cells), 3);
 }
@@ -244,7 +244,7 @@
     let own = batch(&mut cells, 1, 300);
     assert!(cells.cells[HOST].simulation.submit("job-0400", own));
     until(&mut cells, 20, |c| {
-        c.cells[HOST].simulation.running("job-0400") == 1
+        c.cells[HOST].simulation.running_tasks("job-0400") == 1
     });
     let mut service = JobSpec {
         class: "web".to_owned(),
@@ -257,9 +257,9 @@
     service.need.cpu = 3_000;
     assert!(cells.cells[HOST].simulation.submit("job-0500", service));
     until(&mut cells, 10, |c| {
-        c.cells[HOST].simulation.running("job-0500") == 1
+        c.cells[HOST].simulation.running_tasks("job-0500") == 1
     });
-    assert_eq!(cells.cells[HOST].simulation.running("job-0400"), 1);
+    assert_eq!(cells.cells[HOST].simulation.running_tasks("job-0400"), 1);
     assert_eq!(guest_tasks(&cells), 2);
 }
 
@@ -384,7 +384,7 @@
     submit(&mut cells, "job-0010", 2, 300);
     let guest = format!("{}.job-0010000001", NAMES[HOME]);
     until(&mut cells, 90, |c| {
-        c.cells[HOST].simulation.running(&guest) == 2
+        c.cells[HOST].simulation.running_tasks(&guest) == 2
     });
     // The host cannot tell its machines.
     let inbound_cut_until = cells.now.plus(seconds(120));
@@ -430,7 +430,7 @@
         for (cell, name) in cells.cells.iter().zip(NAMES) {
             let guests = cell.simulation.jobs.keys();
             lent += guests.filter(|id| !id.starts_with("job-")).count();
-            assert!(cell.simulation.returned_alive < 1_000, "{name}");
+            assert!(cell.simulation.busy_machines_returned < 1_000, "{name}");
         }
     }
     assert!(lent > 10, "only {lent} jobs were lent");
--- a/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
@@ -20,8 +20,12 @@
         run(&mut w, seed, 42 + 78);
         // The old leader was told by the node that confirmed them, and went on for the others.
         assert_eq!(w.leader(), Some(leader), "seed {seed}");
-        assert_eq!(w.running(&ids[0]) + w.running(&ids[1]), 0, "seed {seed}");
-        assert!(w.running(&ids[2]) > 0 && w.running(&ids[3]) > 0);
+        assert_eq!(
+            w.running_tasks(&ids[0]) + w.running_tasks(&ids[1]),
+            0,
+            "seed {seed}"
+        );
+        assert!(w.running_tasks(&ids[2]) > 0 && w.running_tasks(&ids[3]) > 0);
         w.store.down = false;
         run(&mut w, seed, 200);
     }
@@ -71,7 +75,11 @@
             w.crash_for(other(leader), Micros::from_millis(300));
         }
         run(&mut w, seed, 41 + 78);
-        assert_eq!(w.running(&ids[0]) + w.running(&ids[1]), 0, "seed {seed}");
+        assert_eq!(
+            w.running_tasks(&ids[0]) + w.running_tasks(&ids[1]),
+            0,
+            "seed {seed}"
+        );
         w.store.down = false;
         run(&mut w, seed, 1_500);
         all_over(&w, seed);
@@ -92,7 +100,7 @@
         };
         let spec = plain(&mut w, kind, 3, 6);
         w.submit(&id, spec.clone());
-        let all = |w: &Simulation| w.done.get(&id).is_some_and(|d| d.len() == 3);
+        let all = |w: &Simulation| w.completed_tasks.get(&id).is_some_and(|d| d.len() == 3);
         while !all(&w) {
             w.step().expect("no rule is broken");
         }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/common.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/common.rs
@@ -49,7 +49,7 @@
     }
     run(&mut w, seed, 40);
     for id in &ids {
-        assert!(w.running(id) > 0, "seed {seed}: {id} does not run");
+        assert!(w.running_tasks(id) > 0, "seed {seed}: {id} does not run");
     }
     let leader = w.leader().expect("a leader");
     (w, ids, leader)
@@ -65,13 +65,13 @@
 /// has the store" as the reason to go on, the cancelled tasks ran on through the outage.
 /// Everything that was submitted and not cancelled is done, and nothing cancelled is left.
 pub fn all_over(w: &Simulation, seed: u64) {
-    for (id, j) in w.jobs.iter().filter(|(_, j)| j.accepted) {
+    for (id, j) in w.jobs.iter().filter(|(_, j)| j.is_accepted) {
         if j.cancelled_at.is_some() {
-            assert_eq!(w.running(id), 0, "seed {seed}: {id} was cancelled");
+            assert_eq!(w.running_tasks(id), 0, "seed {seed}: {id} was cancelled");
         } else if j.spec.kind != JobKind::Service {
             assert!(w.is_done(id), "seed {seed}: {id} is not done");
         } else {
-            let on = w.running(id) as u32;
+            let on = w.running_tasks(id) as u32;
             assert_eq!(on, j.spec.tasks, "seed {seed}: {id} does not run whole");
         }
     }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
@@ -14,7 +14,7 @@
         assert_eq!(w.leader(), Some(leader), "seed {seed}");
         assert!(w.agents.values().all(|m| m.gone || m.agent_epoch == 1));
         for id in &ids {
-            assert!(w.running(id) > 0, "seed {seed}: {id} was lost");
+            assert!(w.running_tasks(id) > 0, "seed {seed}: {id} was lost");
         }
         w.store.down = false;
         run(&mut w, seed, 230);
--- a/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
@@ -23,7 +23,7 @@
             ids.push(id);
         }
         run(&mut w, seed, 50);
-        let on: usize = ids.iter().map(|id| w.running(id)).sum();
+        let on: usize = ids.iter().map(|id| w.running_tasks(id)).sum();
         assert_eq!(on, 20, "seed {seed}: the limit is not used up");
         let leader = w.leader().expect("a leader");
         w.crash_for(leader, secs(5));
@@ -37,7 +37,7 @@
             }
         }
         run(&mut w, seed, 51);
-        let running = ids.iter().find(|id| w.running(id) > 0).cloned();
+        let running = ids.iter().find(|id| w.running_tasks(id) > 0).cloned();
         w.cancel(&running.expect("one runs"));
         run(&mut w, seed, 53);
         for id in &ids[..3] {
@@ -62,7 +62,7 @@
             w.submit(&format!("job-{seed:03}{i:02}0"), spec);
         }
         run(&mut w, seed, 40);
-        assert_eq!(w.running("job-000001"), 6, "seed {seed}");
+        assert_eq!(w.running_tasks("job-000001"), 6, "seed {seed}");
         let leader = w.leader();
         let busy: Vec<String> = (w.agents.values())
             .filter(|m| !m.gone && m.tasks.values().any(|h| h.on()))
@@ -79,7 +79,7 @@
             assert!(m.gone || m.tasks.values().all(|h| !h.on()), "seed {seed}");
         }
         run(&mut w, seed, 85);
-        assert_eq!(w.running("job-000001"), 6, "seed {seed}: not whole");
+        assert_eq!(w.running_tasks("job-000001"), 6, "seed {seed}: not whole");
         w.cancel(&format!("job-{seed:03}000"));
         run(&mut w, seed, 400);
         assert_eq!((w.leader(), w.resignations), (leader, 0), "seed {seed}");
@@ -104,7 +104,7 @@
         w.cancel(&ids[0]);
         disturb(&mut w, seed, 0);
         run(&mut w, seed, 100);
-        assert_eq!(w.returned_alive, 0, "seed {seed}");
+        assert_eq!(w.busy_machines_returned, 0, "seed {seed}");
         run(&mut w, seed, 900);
         all_over(&w, seed);
     }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
@@ -67,7 +67,7 @@
         for at in [44, 56, 60, 70, 90] {
             run(&mut w, seed, at);
             let n = w.leader().unwrap_or(leader);
-            w.deliver_copy(n, old.clone());
+            w.deliver_duplicate(n, old.clone());
         }
         run(&mut w, seed, 900);
         all_over(&w, seed);
@@ -171,7 +171,7 @@
             run(&mut w, seed, 60 + i * 5);
             if let Some(n) = w.leader() {
                 for r in &held {
-                    w.deliver_copy(n, r.clone());
+                    w.deliver_duplicate(n, r.clone());
                 }
             }
         }
--- a/crates/saltpitch-testkit/tests/dependencies.rs
+++ b/crates/saltpitch-testkit/tests/dependencies.rs
@@ -99,11 +99,11 @@
             w.crash(n);
         }
         let off = w.jobs[cut].cancelled_at.is_some();
-        assert_eq!(w.jobs[ids[3]].withdrawn_at.is_some(), off);
+        assert_eq!(w.jobs[ids[3]].dependency_cancelled_at.is_some(), off);
         let late = job(&mut w, JobKind::Array, 1, 2, &[ids[3]]);
         assert!(w.submit("job-000050", late), "accepted all the same");
         run(&mut w, seed, 300);
-        let last = w.jobs["job-000050"].withdrawn_at.is_some();
+        let last = w.jobs["job-000050"].dependency_cancelled_at.is_some();
         assert_eq!(last, off);
         assert_eq!(w.is_done("job-000050"), !off, "seed {seed}");
         assert_eq!(
@@ -157,8 +157,8 @@
             let places: u64 = there.map(|m| m.size.cpu / 2_000).sum();
             let ids = (0..4).map(|i| format!("job-00003{i}"));
             let (on, left) = ids.fold((0, 0), |(on, left), id| {
-                let done = w.done.get(&id).map_or(0, |d| d.len());
-                (on + w.running(&id), left + 5 - done)
+                let done = w.completed_tasks.get(&id).map_or(0, |d| d.len());
+                (on + w.running_tasks(&id), left + 5 - done)
             });
             let expected = (places as usize - 1).min(left);
             assert!(
--- a/crates/saltpitch-testkit/tests/invariant_violations.rs
+++ b/crates/saltpitch-testkit/tests/invariant_violations.rs
@@ -20,7 +20,7 @@
     assert!(simulation.submit(JOB, spec.clone()));
     assert!(simulation.submit("job-000002", spec));
     simulation.run(Micros::from_secs(60)).expect("a quiet site");
-    assert_eq!(simulation.running(JOB), 1);
+    assert_eq!(simulation.running_tasks(JOB), 1);
     let runs_it = simulation
         .agents
         .values()
--- a/crates/saltpitch-testkit/tests/operations.rs
+++ b/crates/saltpitch-testkit/tests/operations.rs
@@ -57,7 +57,7 @@
         }
         assert!(simulation.cancel("job-000007"), "seed {seed}");
         run(&mut simulation, seed, 196);
-        assert_eq!(simulation.running("job-000007"), 0, "seed {seed}");
+        assert_eq!(simulation.running_tasks("job-000007"), 0, "seed {seed}");
         run(&mut simulation, seed, 260);
     }
 }
--- a/crates/saltpitch-testkit/tests/simulation.rs
+++ b/crates/saltpitch-testkit/tests/simulation.rs
@@ -97,7 +97,7 @@
     for seed in 700..712 {
         let end = play(seed, f, 100, 300).and_then(|w| {
             completed(&w)?;
-            Ok(w.returned_alive)
+            Ok(w.busy_machines_returned)
         });
         // Machines at work behind a cut are waited for, not returned in panic.
         match end {
@@ -134,7 +134,7 @@
         run(&mut w, 5);
         w.submit("job-000001", spec);
         run(&mut w, 60);
-        assert_eq!(w.running("job-000001"), 6, "seed {seed}");
+        assert_eq!(w.running_tasks("job-000001"), 6, "seed {seed}");
         let leader = w.leader();
         let there = w.agents.values().filter(|m| !m.gone);
         let group: Vec<String> = there.map(|m| m.name.clone()).take(4).collect();
@@ -143,7 +143,11 @@
             m.inbound_partition_until = Micros::from_secs(100_000);
         }
         run(&mut w, 160);
-        assert_eq!(w.running("job-000001"), 6, "seed {seed}: went on elsewhere");
+        assert_eq!(
+            w.running_tasks("job-000001"),
+            6,
+            "seed {seed}: went on elsewhere"
+        );
         for name in &group {
             assert!(w.agents[name].gone, "seed {seed}: {name} is still there");
         }
--- a/crates/saltpitch-testkit/tests/upgrade.rs
+++ b/crates/saltpitch-testkit/tests/upgrade.rs
@@ -19,7 +19,7 @@
     fall_at: u64,
 ) -> Result<Simulation, InvariantViolation> {
     let mut w = Simulation::new(seed, faults, Micros::from_secs(150));
-    w.next_limits = Some(limits);
+    w.next_store_limits = Some(limits);
     for n in &mut w.nodes {
         n.old = true;
     }
@@ -43,7 +43,7 @@
         // Nothing new is asked of the service before all have the new version.
         if i > 30 && spec.kind != JobKind::Service && w.random_below(3) == 0 {
             let at = w.random_below(ids.len() as u64) as usize;
-            let named = ids.get(at).filter(|n| w.jobs[*n].accepted);
+            let named = ids.get(at).filter(|n| w.jobs[*n].is_accepted);
             let named = named.filter(|n| w.jobs[*n].spec.kind != JobKind::Service);
             spec.dependencies.extend(named.cloned());
         }
@@ -57,14 +57,14 @@
     w.heal();
     w.run(Micros::from_secs(400))?;
     for id in &ids {
-        if w.jobs[id].spec.kind == JobKind::Service || w.jobs[id].mistaken {
+        if w.jobs[id].spec.kind == JobKind::Service || w.jobs[id].always_fails {
             w.cancel(id);
         }
     }
     w.run(Micros::from_secs(800))?;
-    for (id, j) in w.jobs.iter().filter(|(_, j)| j.accepted) {
-        let off = j.cancelled_at.or(j.withdrawn_at).is_some();
-        if off && w.running(id) > 0 {
+    for (id, j) in w.jobs.iter().filter(|(_, j)| j.is_accepted) {
+        let off = j.cancelled_at.or(j.dependency_cancelled_at).is_some();
+        if off && w.running_tasks(id) > 0 {
             return Err(unserved(id, "was cancelled and still runs"));
         }
         if !off && j.spec.kind != JobKind::Service && !w.is_done(id) {
@@ -161,7 +161,7 @@
     run(&mut w, seed, 60);
     assert_eq!(w.leader(), Some(leader), "seed {seed}");
     for id in &ids {
-        assert!(w.running(id) > 0, "seed {seed}: {id} does not run");
+        assert!(w.running_tasks(id) > 0, "seed {seed}: {id} does not run");
     }
     (w, ids, leader)
 }
@@ -200,7 +200,11 @@
         run(&mut w, seed, 62);
         w.store.down = true;
         run(&mut w, seed, 62 + 78);
-        assert_eq!(w.running(&ids[0]) + w.running(&ids[1]), 0, "seed {seed}");
+        assert_eq!(
+            w.running_tasks(&ids[0]) + w.running_tasks(&ids[1]),
+            0,
+            "seed {seed}"
+        );
         w.store.down = false;
         run(&mut w, seed, 200);
     }
@@ -216,7 +220,7 @@
         run(&mut w, seed, 60 + 90);
         assert_eq!(w.leader(), Some(leader), "seed {seed}");
         for id in &ids {
-            assert!(w.running(id) > 0, "seed {seed}: {id} was lost");
+            assert!(w.running_tasks(id) > 0, "seed {seed}: {id} was lost");
         }
         w.store.down = false;
         run(&mut w, seed, 200);
