--- a/crates/saltpitch-testkit/src/cells.rs
+++ b/crates/saltpitch-testkit/src/cells.rs
@@ -21,7 +21,7 @@
 use saltpitch_core::Micros;
 
 use crate::invariants::InvariantViolation;
-use crate::nodes::SITE;
+use crate::nodes::CONTROLLERS;
 use crate::simulation::{Faults, Simulation};
 use crate::trace::Trace;
 
@@ -52,7 +52,7 @@
     pub copies: u64,
     /// Whether it listens for the other one.
     pub listens: bool,
-    leading: [Option<Leading>; SITE.len()],
+    leading: [Option<Leading>; CONTROLLERS.len()],
     admission: HostAdmission,
 }
 
@@ -90,10 +90,10 @@
             node.knows_delegations = true;
         }
         let context = ControllerContext {
-            node: SITE[0].0,
+            node: CONTROLLERS[0].0,
             listens: &[],
             teams: &simulation.teams,
-            controllers: SITE.len(),
+            controllers: CONTROLLERS.len(),
             max_transaction_writes: 8,
         };
         let settings = CellsSettings::parse(&settings::file(cell), &context).expect("a valid file");
@@ -168,7 +168,7 @@
                 .step()
                 .map_err(|violation| violation.in_cell(NAMES[first]))?;
             if simulation.now.0 / POLL_INTERVAL.0 > before.0 / POLL_INTERVAL.0 {
-                for node in 0..SITE.len() {
+                for node in 0..CONTROLLERS.len() {
                     self.poll(first, node);
                 }
             }
--- a/crates/saltpitch-testkit/src/cells/controller.rs
+++ b/crates/saltpitch-testkit/src/cells/controller.rs
@@ -151,7 +151,7 @@
                 value: RawValue::from_string(text).ok(),
                 revision,
             };
-            node.wrote(&change, now);
+            node.apply_own_write(&change, now);
         }
         let Some(scheduler) = node.scheduler_in(requester.epoch, now) else {
             return;
--- a/crates/saltpitch-testkit/src/cells/host.rs
+++ b/crates/saltpitch-testkit/src/cells/host.rs
@@ -16,14 +16,15 @@
             nodes, store, now, ..
         } = &self.simulation;
         let node = &nodes[node];
-        let runs = node.is_up(*now) && node.started && node.remaining_pause(*now) == Micros::ZERO;
-        runs && node.controller.is_synced() && node.reaches_store(store, *now)
+        let runs =
+            node.is_up(*now) && node.is_started && node.remaining_pause(*now) == Micros::ZERO;
+        runs && node.controller.is_synced() && node.can_reach_store(store, *now)
     }
 
     /// Serves a peer cell's request as the program does; `None`: the connection is refused.
     pub(super) fn serve(&mut self, node: usize, request: &LinkRequest) -> Option<LinkAnswer> {
         let up = self.simulation.nodes[node].is_up(self.simulation.now)
-            && self.simulation.nodes[node].started;
+            && self.simulation.nodes[node].is_started;
         if !up || !self.listens {
             return None;
         }
@@ -32,7 +33,7 @@
         }
         let now = self.simulation.now;
         let Simulation { nodes, store, .. } = &mut self.simulation;
-        nodes[node].follow(store, now);
+        nodes[node].read_records(store, now);
         let records = nodes[node].records();
         Some(match request {
             LinkRequest::Readiness if self.admission.has_room(records) => LinkAnswer::Ready,
@@ -76,7 +77,7 @@
                 .txn(&[Precondition::new(key, 0)], &[write], None);
         }
         let Simulation { nodes, store, .. } = simulation;
-        nodes[node].follow(store, now);
+        nodes[node].read_records(store, now);
         match submission.closing {
             true => LinkAnswer::Closed,
             false => status(self.admission.status(nodes[node].records(), &submission.id)),
@@ -92,7 +93,7 @@
         let Simulation {
             nodes, store, now, ..
         } = &mut self.simulation;
-        nodes[node].follow(store, *now);
+        nodes[node].read_records(store, *now);
         status(self.admission.status(nodes[node].records(), sent))
     }
 }
--- a/crates/saltpitch-testkit/src/cells/settings.rs
+++ b/crates/saltpitch-testkit/src/cells/settings.rs
@@ -1,7 +1,7 @@
 //! The cells' settings files.
 
 use super::{GUESTS, NAMES};
-use crate::nodes::SITE;
+use crate::nodes::CONTROLLERS;
 
 /// The ports of the listeners begin with these.
 pub(super) const FIRST_PORT: [u16; 2] = [9_100, 9_200];
@@ -15,9 +15,11 @@
 /// A cell's file: each cell delegates jobs to the other one and hosts the other one's.
 pub(super) fn file(cell: usize) -> String {
     let other = 1 - cell;
-    let addresses: Vec<String> = (0..SITE.len()).map(|node| address(other, node)).collect();
-    let listen: Vec<String> = (0..SITE.len())
-        .map(|node| format!("{} = {}", SITE[node].0, address(cell, node)))
+    let addresses: Vec<String> = (0..CONTROLLERS.len())
+        .map(|node| address(other, node))
+        .collect();
+    let listen: Vec<String> = (0..CONTROLLERS.len())
+        .map(|node| format!("{} = {}", CONTROLLERS[node].0, address(cell, node)))
         .collect();
     format!(
         r#"cell = "{}"
--- a/crates/saltpitch-testkit/src/nodes.rs
+++ b/crates/saltpitch-testkit/src/nodes.rs
@@ -28,15 +28,15 @@
     pub up_at: Micros,
     /// Runs protocol version 0: it acknowledges no cancellations, asks for no acknowledgements, and
     /// writes values as large as the state service's present limits allow.
-    pub old: bool,
+    pub runs_version_0: bool,
     /// Runs with a file on cells.
     pub knows_delegations: bool,
     /// Counts this node's processes.
-    pub process: u64,
+    pub process_number: u64,
     /// The state machine; a blank one until the process has started.
     pub controller: Controller,
     /// The process has started with the settings of its version.
-    pub started: bool,
+    pub is_started: bool,
     /// What a leader of protocol version 0 goes by when it loses the state service.
     pub common_outage: previous_version::CommonOutage,
     /// Cut from the state service until then.
@@ -50,7 +50,7 @@
     /// Since when the leadership has been vacant.
     pub leaderless_since: Option<Micros>,
     /// A bid for the leadership is under way.
-    pub bidding: bool,
+    pub is_campaigning: bool,
     /// When the state service last served this process.
     store_success_at: Option<Micros>,
 }
@@ -62,7 +62,7 @@
     scheduler: SchedulerConfig,
     knows_delegations: bool,
 ) -> ControllerConfig {
-    let others = SITE.iter().filter(|(other, _)| *other != name);
+    let others = CONTROLLERS.iter().filter(|(other, _)| *other != name);
     let identity = |(name, zone): &(&str, &str)| PeerIdentity {
         name: (*name).to_owned(),
         zone: (*zone).to_owned(),
@@ -77,7 +77,7 @@
 }
 
 /// The controllers of the simulated site and their zones.
-pub const SITE: [(&str, &str); 3] = [("n0", "east"), ("n1", "west"), ("n2", "east")];
+pub const CONTROLLERS: [(&str, &str); 3] = [("n0", "east"), ("n1", "west"), ("n2", "east")];
 
 impl Node {
     /// A node whose process has not started yet.
@@ -87,18 +87,18 @@
             name: name.to_owned(),
             zone: zone.to_owned(),
             up_at: Micros::ZERO,
-            old: false,
+            runs_version_0: false,
             knows_delegations: false,
-            process: 0,
+            process_number: 0,
             controller: Controller::new(config, 0, 0),
-            started: false,
+            is_started: false,
             common_outage: previous_version::CommonOutage::default(),
             store_partition_until: Micros::ZERO,
             agent_partition_until: Micros::ZERO,
             peer_partition_until: Micros::ZERO,
             paused_until: Micros::ZERO,
             leaderless_since: None,
-            bidding: false,
+            is_campaigning: false,
             store_success_at: None,
         }
     }
@@ -107,8 +107,8 @@
     pub fn start(&mut self, scheduler: SchedulerConfig, wall: Micros) {
         let known = self.knows_delegations;
         let config = controller_config(&self.name, &self.zone, scheduler, known);
-        self.controller = Controller::new(config, self.process, wall.0);
-        self.started = true;
+        self.controller = Controller::new(config, self.process_number, wall.0);
+        self.is_started = true;
     }
 
     /// The process ends; a new one starts at `up_at`, with nothing but the settings.
@@ -116,9 +116,9 @@
         let scheduler = self.controller.config().scheduler.clone();
         *self = Node {
             up_at,
-            old: self.old,
+            runs_version_0: self.runs_version_0,
             knows_delegations: self.knows_delegations,
-            process: self.process + 1,
+            process_number: self.process_number + 1,
             store_partition_until: self.store_partition_until,
             agent_partition_until: self.agent_partition_until,
             peer_partition_until: self.peer_partition_until,
@@ -144,7 +144,7 @@
     /// Identifies the present leadership of the present process. What was asked for in one is not
     /// delivered in another.
     pub fn epoch(&self) -> u64 {
-        self.process * 1_000_000 + self.controller.epoch()
+        self.process_number * 1_000_000 + self.controller.epoch()
     }
 
     /// The scheduler, if the process still runs and leads in this epoch.
@@ -158,7 +158,7 @@
 
     /// Whether agents may be answered now.
     pub fn may_answer(&self, now: Micros) -> bool {
-        let extended = self.old && self.common_outage.may_answer(now);
+        let extended = self.runs_version_0 && self.common_outage.may_answer(now);
         let entitled = self.controller.may_answer(now) || extended;
         self.is_up(now) && self.controller.is_leader() && entitled
     }
@@ -177,7 +177,7 @@
     }
 
     /// Answers an agent's heartbeat.
-    pub fn heartbeat(&mut self, heartbeat: Heartbeat, now: Micros) -> HeartbeatAnswer {
+    pub fn answer_heartbeat(&mut self, heartbeat: Heartbeat, now: Micros) -> HeartbeatAnswer {
         if self.controller.may_answer(now) || !self.may_answer(now) {
             return self.controller.agent_heartbeat(heartbeat, now);
         }
@@ -201,7 +201,7 @@
     }
 
     /// Whether the state service can be reached and serves.
-    pub fn reaches_store(&self, store: &Store, now: Micros) -> bool {
+    pub fn can_reach_store(&self, store: &Store, now: Micros) -> bool {
         !store.down && now >= self.store_partition_until
     }
 
@@ -216,7 +216,7 @@
 
     /// Takes in the changes that the state service has. A process that has just started lists the
     /// records as they stand, in the order of keys.
-    pub fn follow(&mut self, store: &Store, now: Micros) {
+    pub fn read_records(&mut self, store: &Store, now: Micros) {
         self.store_success_at = Some(now);
         if !self.controller.is_synced() {
             let records = list(store);
@@ -256,8 +256,8 @@
         let status = self
             .controller
             .peer_heartbeat(peer, self.store_health(now), now);
-        if self.old {
-            previous_version::status(status)
+        if self.runs_version_0 {
+            previous_version::status_v0(status)
         } else {
             status
         }
@@ -273,8 +273,8 @@
         let answer = self
             .controller
             .peer_heartbeat_received(peer_heartbeat, store, now);
-        if self.old {
-            previous_version::answer(answer, store)
+        if self.runs_version_0 {
+            previous_version::answer_v0(answer, store)
         } else {
             answer
         }
@@ -288,8 +288,8 @@
         epoch: u64,
         now: Micros,
     ) {
-        if self.old {
-            self.common_outage.heard(&answer, asked_at);
+        if self.runs_version_0 {
+            self.common_outage.answer_received(&answer, asked_at);
         }
         let own = if self.epoch() == epoch {
             self.controller.epoch()
@@ -302,13 +302,14 @@
 
     /// The leadership lease could not be renewed: the state service does not answer.
     pub fn renewal_unanswered(&mut self, now: Micros) {
-        if self.old {
-            self.common_outage.store_unreachable(SITE.len() - 1, now);
+        if self.runs_version_0 {
+            self.common_outage
+                .renewal_unanswered(CONTROLLERS.len() - 1, now);
         }
     }
 
     /// A write of this process that the state service confirmed.
-    pub fn wrote(&mut self, change: &RecordChange, now: Micros) {
+    pub fn apply_own_write(&mut self, change: &RecordChange, now: Micros) {
         self.store_success_at = Some(now);
         self.controller.apply_own_write(change, now, now);
     }
--- a/crates/saltpitch-testkit/src/previous_version.rs
+++ b/crates/saltpitch-testkit/src/previous_version.rs
@@ -14,7 +14,7 @@
 const EXTENSION: Micros = Micros::from_secs(3);
 
 /// A heartbeat as version 0 sends it.
-pub fn status(status: PeerStatus) -> PeerStatus {
+pub fn status_v0(status: PeerStatus) -> PeerStatus {
     PeerStatus {
         protocol_version: 0,
         ack_request: None,
@@ -24,10 +24,10 @@
 }
 
 /// An answer as version 0 gives it: it says plainly whether it reaches the state service.
-pub fn answer(answer: PeerStatus, store: StoreHealth) -> PeerStatus {
+pub fn answer_v0(answer: PeerStatus, store: StoreHealth) -> PeerStatus {
     PeerStatus {
         store_reachable: store.reachable,
-        ..status(answer)
+        ..status_v0(answer)
     }
 }
 
@@ -45,7 +45,7 @@
 
 impl CommonOutage {
     /// A peer answered a heartbeat that was sent at `asked_at`.
-    pub fn heard(&mut self, status: &PeerStatus, asked_at: Micros) {
+    pub fn answer_received(&mut self, status: &PeerStatus, asked_at: Micros) {
         let answer = Answer {
             store_reachable: status.store_reachable,
             asked_at,
@@ -54,7 +54,7 @@
     }
 
     /// A renewal of the leadership lease got no answer.
-    pub fn store_unreachable(&mut self, peers: usize, now: Micros) {
+    pub fn renewal_unanswered(&mut self, peers: usize, now: Micros) {
         let without_store = self
             .answers
             .values()
--- a/crates/saltpitch-testkit/src/simulation/agents.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -96,7 +96,7 @@
             });
         }
         if self.nodes[node_index].may_answer(now) {
-            let answer = self.nodes[node_index].heartbeat(heartbeat, now);
+            let answer = self.nodes[node_index].answer_heartbeat(heartbeat, now);
             self.trace.report_answer(node_index, &answer, now);
             self.poll(node_index);
         }
@@ -110,12 +110,12 @@
                 simulation.deliver_heartbeat(node_index, heartbeat)
             });
         }
-        if !self.nodes[node_index].is_up(now) || !self.nodes[node_index].started {
+        if !self.nodes[node_index].is_up(now) || !self.nodes[node_index].is_started {
             return;
         }
         let name = heartbeat.machine.clone();
         let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
-        let answer = self.nodes[node_index].heartbeat(heartbeat, now);
+        let answer = self.nodes[node_index].answer_heartbeat(heartbeat, now);
         self.trace.report_answer(node_index, &answer, now);
         let (answer, leader) = match answer {
             HeartbeatAnswer::Commands {
--- a/crates/saltpitch-testkit/src/simulation/controllers.rs
+++ b/crates/saltpitch-testkit/src/simulation/controllers.rs
@@ -61,11 +61,11 @@
         {
             return;
         }
-        if !self.nodes[node_index].started {
+        if !self.nodes[node_index].is_started {
             let scheduler = self.scheduler_config(node_index);
             self.nodes[node_index].start(scheduler, now);
         }
-        let reaches = self.nodes[node_index].reaches_store(&self.store, now);
+        let reaches = self.nodes[node_index].can_reach_store(&self.store, now);
         if reaches && self.is_due(FOLLOW_INTERVAL) {
             self.follow(node_index);
         }
@@ -97,13 +97,13 @@
     fn follow(&mut self, node_index: usize) {
         let now = self.now;
         let node = &mut self.nodes[node_index];
-        node.follow(&self.store, now);
+        node.read_records(&self.store, now);
         if node.controller.catalog().is_none() {
             node.controller.set_catalog(self.catalog.clone());
         }
         if !node.controller.is_announced() {
             node.announce(&mut self.store);
-            node.follow(&self.store, now);
+            node.read_records(&self.store, now);
         }
     }
 
@@ -127,7 +127,7 @@
     /// An election takes time: the lease is opened, the transaction travels, its answer may be lost,
     /// and the records are read again. Processes end and return, and others campaign, in between.
     fn elect(&mut self, node_index: usize) {
-        if std::mem::replace(&mut self.nodes[node_index].bidding, true) {
+        if std::mem::replace(&mut self.nodes[node_index].is_campaigning, true) {
             return;
         }
         let now = self.now;
@@ -136,7 +136,7 @@
         let campaign = self.nodes[node_index].controller.campaign(now);
         let store_lease = self.store.grant_lease(LEADERSHIP_LEASE, now);
         let (Some(campaign), Some(store_lease)) = (campaign, store_lease) else {
-            self.nodes[node_index].bidding = false;
+            self.nodes[node_index].is_campaigning = false;
             return;
         };
         let lost = self.faults.lost_answers && self.random_below(5) == 0;
@@ -182,9 +182,9 @@
         if node.epoch() != epoch || !node.is_up(now) {
             return;
         }
-        node.bidding = false;
+        node.is_campaigning = false;
         // Read when nobody waits for it any more, or without the state service: the lease runs out.
-        if node.remaining_pause(now) > Micros::ZERO || !node.reaches_store(&self.store, now) {
+        if node.remaining_pause(now) > Micros::ZERO || !node.can_reach_store(&self.store, now) {
             return;
         }
         let PendingAttempt {
@@ -194,7 +194,7 @@
         } = pending;
         let elected = match outcome {
             TransactionOutcome::Committed(revision) => {
-                node.follow(&self.store, now);
+                node.read_records(&self.store, now);
                 let controller = &mut node.controller;
                 controller.election_won(campaign, store_lease, revision, opened_at, now, now)
             }
@@ -210,7 +210,7 @@
         let mut config = self.config.clone();
         if let Some((bytes, ops, rate)) = self
             .next_store_limits
-            .filter(|_| !self.nodes[node_index].old)
+            .filter(|_| !self.nodes[node_index].runs_version_0)
         {
             config.max_value_bytes = config.max_value_bytes.min(bytes);
             config.max_transaction_writes = config.max_transaction_writes.min(ops);
@@ -257,7 +257,7 @@
         let (from, to) = (&self.nodes[exchange.from], &self.nodes[exchange.to]);
         let apart = from.zone != to.zone && now < self.zone_partition_until;
         let cut = apart || now < from.peer_partition_until || now < to.peer_partition_until;
-        if cut || !to.is_up(now) || !to.started {
+        if cut || !to.is_up(now) || !to.is_started {
             return;
         }
         let frozen = to.remaining_pause(now);
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -158,7 +158,7 @@
         let Some(increment) = node.controller.term_increment(node.controller.epoch()) else {
             return;
         };
-        let outcome = if node.reaches_store(&self.store, self.now) {
+        let outcome = if node.can_reach_store(&self.store, self.now) {
             self.store.txn(
                 &increment.transaction.preconditions,
                 &increment.transaction.writes,
@@ -190,9 +190,9 @@
         if node.epoch() != epoch || !node.is_up(now) {
             return;
         }
-        let reaches_store = node.reaches_store(&self.store, now);
+        let reaches_store = node.can_reach_store(&self.store, now);
         if reaches_store {
-            node.follow(&self.store, now);
+            node.read_records(&self.store, now);
         }
         let controller = &mut node.controller;
         controller.records_reloaded(controller.epoch(), reaches_store, now, now);
--- a/crates/saltpitch-testkit/src/simulation/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::agents::Agent;
 use crate::invariants::{self, InvariantViolation};
-use crate::nodes::{Node, SITE};
+use crate::nodes::{Node, CONTROLLERS};
 use crate::store::Store;
 use crate::trace::Trace;
 
@@ -279,7 +279,7 @@
         let teams = vec![team_limits("red"), team_limits("blue")];
         let config = settings(&times, &teams);
         let node = |(name, zone): &(&str, &str)| Node::new(name, zone, config.clone());
-        let nodes = SITE.iter().map(node).collect();
+        let nodes = CONTROLLERS.iter().map(node).collect();
         Simulation {
             now: Micros::from_secs(60),
             config,
--- a/crates/saltpitch-testkit/src/simulation/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -29,13 +29,13 @@
         let now = self.now;
         for node in &mut self.nodes {
             let awake = node.is_up(now) && node.remaining_pause(now) == Micros::ZERO;
-            if node.started && node.reaches_store(&self.store, now) && awake {
-                node.follow(&self.store, now);
+            if node.is_started && node.can_reach_store(&self.store, now) && awake {
+                node.read_records(&self.store, now);
             }
         }
         let knows = |node: &Node, id: &str| {
             node.is_up(now)
-                && node.reaches_store(&self.store, now)
+                && node.can_reach_store(&self.store, now)
                 && node.records().jobs.contains_key(id)
         };
         for (id, job) in &mut self.jobs {
--- a/crates/saltpitch-testkit/src/simulation/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -76,7 +76,7 @@
             node.is_up(now)
                 && node.controller.is_synced()
                 && node.remaining_pause(now) == Micros::ZERO
-                && node.reaches_store(store, now)
+                && node.can_reach_store(store, now)
         };
         let serving: Vec<usize> = (0..self.nodes.len())
             .filter(|node_index| serves(&self.nodes[*node_index]))
@@ -123,7 +123,7 @@
                 value: Some(value),
                 revision,
             };
-            self.nodes[node_index].wrote(&change, self.now);
+            self.nodes[node_index].apply_own_write(&change, self.now);
         }
         if confirmed {
             self.note_cancelled(id);
--- a/crates/saltpitch-testkit/tests/upgrade.rs
+++ b/crates/saltpitch-testkit/tests/upgrade.rs
@@ -21,7 +21,7 @@
     let mut w = Simulation::new(seed, faults, Micros::from_secs(150));
     w.next_store_limits = Some(limits);
     for n in &mut w.nodes {
-        n.old = true;
+        n.runs_version_0 = true;
     }
     let mut ids: Vec<String> = Vec::new();
     for i in 0..60u64 {
@@ -30,10 +30,10 @@
         if matches!(i, 12 | 20 | 28) {
             let n = ((i / 8 + seed) % 3) as usize;
             w.crash(n);
-            w.nodes[n].old = false;
+            w.nodes[n].runs_version_0 = false;
         }
         if i == AFTER_THE_UPGRADE {
-            assert!(w.nodes.iter().all(|n| !n.old));
+            assert!(w.nodes.iter().all(|n| !n.runs_version_0));
         }
         if i == fall_at {
             w.store.limits = Some(limits);
@@ -142,7 +142,7 @@
 fn led_by_version_0(seed: u64) -> (Simulation, Vec<String>, usize) {
     let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
     for n in &mut w.nodes {
-        n.old = true;
+        n.runs_version_0 = true;
     }
     run(&mut w, seed, 5);
     let mut ids = Vec::new();
@@ -156,7 +156,7 @@
     let leader = w.leader().expect("a leader");
     for n in (0..3).filter(|n| *n != leader) {
         w.crash_for(n, Micros::from_millis(300));
-        w.nodes[n].old = false;
+        w.nodes[n].runs_version_0 = false;
     }
     run(&mut w, seed, 60);
     assert_eq!(w.leader(), Some(leader), "seed {seed}");
@@ -234,14 +234,14 @@
     for seed in 100..106 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         for n in &mut w.nodes {
-            n.old = true;
+            n.runs_version_0 = true;
         }
         run(&mut w, seed, 20);
         let mut led_by_old = Vec::new();
         let mut ids = Vec::new();
         for round in 0..6u64 {
             let leader = w.leader().expect("a leader");
-            led_by_old.push(w.nodes[leader].old);
+            led_by_old.push(w.nodes[leader].runs_version_0);
             for (i, tasks) in [2, 3].into_iter().enumerate() {
                 let id = format!("job-{seed:03}{round}{i}0");
                 let mut spec = long_array(&mut w);
@@ -257,7 +257,7 @@
                 let first = n == (leader + 1) % 3;
                 let away = if first { 300 } else { 16_000 };
                 w.crash_for(n, Micros::from_millis(away));
-                w.nodes[n].old = next_is_old == first;
+                w.nodes[n].runs_version_0 = next_is_old == first;
             }
             run(&mut w, seed, 50 + round * 30);
         }
