--- a/crates/saltpitch-testkit/src/agents.rs
+++ b/crates/saltpitch-testkit/src/agents.rs
@@ -13,26 +13,26 @@
 
 /// A task that an agent has, running or ended.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct AgentTask {
     /// The attempt of the task.
     pub attempt: u32,
     /// Its state, as heartbeats report it.
     pub state: TaskState,
     /// When the present phase ends by itself.
-    pub until: Micros,
+    pub phase_ends_at: Micros,
     /// How long it runs once it has started.
-    pub run: Micros,
+    pub run_time: Micros,
 }
 
-impl Held {
+impl AgentTask {
     /// Whether it has ended.
-    pub fn exited(&self) -> bool {
+    pub fn has_exited(&self) -> bool {
         matches!(self.state, TaskState::Exited { .. })
     }
 
     /// On the machine in the sense of the invariants: it has its image and has not exited.
-    pub fn on(&self) -> bool {
-        !self.exited() && self.state != TaskState::Fetching
+    pub fn counts_as_running(&self) -> bool {
+        !self.has_exited() && self.state != TaskState::Fetching
     }
 }
 
@@ -49,11 +49,11 @@
     /// The resources that it has.
     pub size: saltpitch_core::catalog::Resources,
     /// Its tasks take three times as long.
-    pub slow: bool,
+    pub is_slow: bool,
     /// When it is up.
-    pub boots_at: Micros,
+    pub up_at: Micros,
     /// It was returned, was taken back, or has failed for good.
-    pub gone: bool,
+    pub is_gone: bool,
     /// It stands still until then.
     pub hung_until: Micros,
     /// Until then its heartbeats go out, and nothing reaches it.
@@ -67,19 +67,19 @@
     /// The highest fencing token that it has seen.
     pub fencing_token: u64,
     /// Its lease counts from then: when the newest answered heartbeat was sent.
-    pub lease_from: Micros,
+    pub lease_renewed_at: Micros,
     /// The time that the cloud leaves it, once it is to be taken back.
-    pub notice: Option<Micros>,
+    pub spot_notice: Option<Micros>,
     /// Its tasks by id and attempt.
-    pub tasks: BTreeMap<(TaskId, u32), Held>,
+    pub tasks: BTreeMap<(TaskId, u32), AgentTask>,
     /// The node that it heartbeats to.
-    pub target: usize,
+    pub target_node: usize,
     /// When its next heartbeat is due.
-    pub next_report: Micros,
+    pub next_heartbeat_at: Micros,
     /// The heartbeat in flight: its sequence number and when it was sent.
-    pub waiting: Option<(u64, Micros)>,
+    pub pending_heartbeat: Option<(u64, Micros)>,
     /// Something has changed since the last heartbeat.
-    pub changed: bool,
+    pub has_changes: bool,
 }
 
 /// How long an attempt runs: half to one and a half of its job's estimate; a service runs until it is stopped.
@@ -93,17 +93,17 @@
 impl Agent {
     /// Whether it runs now.
     pub fn is_up(&self, now: Micros) -> bool {
-        !self.gone && now >= self.boots_at && now >= self.hung_until
+        !self.is_gone && now >= self.up_at && now >= self.hung_until
     }
 
     /// The next heartbeat, with a sequence number of its own.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
-        self.copy()
+        self.newest_heartbeat()
     }
 
     /// A copy of the newest heartbeat.
-    pub fn copy(&self) -> Heartbeat {
+    pub fn newest_heartbeat(&self) -> Heartbeat {
         Heartbeat {
             machine: self.name.clone(),
             addr: self.name.clone(),
@@ -113,7 +113,7 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             fencing_token: self.fencing_token,
-            spot_notice: self.notice,
+            spot_notice: self.spot_notice,
             tasks: self
                 .tasks
                 .iter()
@@ -128,24 +128,24 @@
     }
 
     /// Takes a fencing token; false: it is lower than one seen before.
-    pub fn take_token(&mut self, fencing_token: u64) -> bool {
+    pub fn accept_token(&mut self, fencing_token: u64) -> bool {
         if fencing_token < self.fencing_token {
             return false;
         }
         if fencing_token > self.fencing_token {
             self.fencing_token = fencing_token;
-            self.changed = true;
+            self.has_changes = true;
         }
         true
     }
 
-    fn used(
+    fn used_resources(
         &self,
         spec_of: &dyn Fn(&str) -> Option<JobSpec>,
     ) -> saltpitch_core::catalog::Resources {
         self.tasks
             .iter()
-            .filter(|(_, h)| !h.exited())
+            .filter(|(_, h)| !h.has_exited())
             .filter_map(|((id, _), _)| spec_of(&id.0))
             .fold(Default::default(), |sum, s| {
                 saltpitch_core::catalog::Resources::plus(&sum, &s.need)
@@ -179,7 +179,7 @@
                 }
                 Command::Forget { job, task, attempt } => {
                     let key = ((job.to_string(), *task), *attempt);
-                    if self.tasks.get(&key).is_some_and(Held::exited) {
+                    if self.tasks.get(&key).is_some_and(AgentTask::has_exited) {
                         self.tasks.remove(&key);
                     }
                 }
@@ -203,24 +203,29 @@
         let is_busy = self
             .tasks
             .iter()
-            .any(|((other, _), held)| other == task && !held.exited());
+            .any(|((other, _), held)| other == task && !held.has_exited());
         let (state, run) = match spec_of(&task.0) {
             None => (refused(ExitCause::NotFound), Micros::ZERO),
             Some(_) if is_busy => (refused(ExitCause::Busy), Micros::ZERO),
-            Some(spec) if !spec.need.plus(&self.used(spec_of)).fits(&self.size) => {
+            Some(spec)
+                if !spec
+                    .need
+                    .plus(&self.used_resources(spec_of))
+                    .fits(&self.size) =>
+            {
                 (refused(ExitCause::NoRoom), Micros::ZERO)
             }
             Some(spec) => (TaskState::Fetching, run_time(&spec, random_below)),
         };
         let fetch = Micros::from_millis(200 + random_below(4_000));
-        let held = Held {
+        let held = AgentTask {
             attempt: *attempt,
             state,
-            until: now.plus(fetch),
-            run: run.times(if self.slow { 3.0 } else { 1.0 }),
+            phase_ends_at: now.plus(fetch),
+            run_time: run.times(if self.is_slow { 3.0 } else { 1.0 }),
         };
         self.tasks.insert(key, held);
-        self.changed = true;
+        self.has_changes = true;
     }
 
     /// Ends an attempt; it saves its progress first if it can and the grace period suffices.
@@ -231,7 +236,7 @@
         grace: Micros,
         now: Micros,
     ) {
-        let Some(held) = self.tasks.get_mut(key).filter(|held| !held.exited()) else {
+        let Some(held) = self.tasks.get_mut(key).filter(|held| !held.has_exited()) else {
             return;
         };
         let (task, _) = key;
@@ -241,25 +246,25 @@
         let can_save = save.is_some_and(|time| grace >= time) && held.state == TaskState::Running;
         if can_save {
             held.state = TaskState::Saving;
-            held.until = now.plus(save.unwrap_or_default());
+            held.phase_ends_at = now.plus(save.unwrap_or_default());
         } else if held.state != TaskState::Saving || grace == Micros::ZERO {
             held.state = TaskState::Exited {
                 cause: ExitCause::Stopped,
                 saved: false,
             };
         }
-        self.changed = true;
+        self.has_changes = true;
     }
 
     /// The lease: without an answer in time, everything is killed and a new epoch begins.
     pub fn check_lease(&mut self, times: &Times, now: Micros) {
-        if now.since(self.lease_from) > times.agent_lease {
+        if now.since(self.lease_renewed_at) > times.agent_lease {
             self.tasks.clear();
             self.agent_epoch += 1;
             self.sequence = 0;
-            self.lease_from = now;
-            self.waiting = None;
-            self.changed = true;
+            self.lease_renewed_at = now;
+            self.pending_heartbeat = None;
+            self.has_changes = true;
         }
     }
 }
--- a/crates/saltpitch-testkit/src/cells/history.rs
+++ b/crates/saltpitch-testkit/src/cells/history.rs
@@ -58,10 +58,13 @@
 
 /// The tasks of a job that a machine has and that have not ended.
 fn held(simulation: &Simulation, id: &str) -> BTreeSet<u32> {
-    let machines = simulation.agents.values().filter(|machine| !machine.gone);
+    let machines = simulation
+        .agents
+        .values()
+        .filter(|machine| !machine.is_gone);
     let tasks = machines.flat_map(|machine| &machine.tasks);
     tasks
-        .filter(|((task, _), held)| task.0 == id && !held.exited())
+        .filter(|((task, _), held)| task.0 == id && !held.has_exited())
         .map(|((task, _), _)| task.1)
         .collect()
 }
--- a/crates/saltpitch-testkit/src/invariants.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -10,7 +10,7 @@
 use saltpitch_core::records::{job_key, JobRecord};
 use saltpitch_core::Micros;
 
-use crate::agents::{Agent, Held, TaskId};
+use crate::agents::{Agent, AgentTask, TaskId};
 use crate::simulation::{Simulation, UserJob};
 
 pub use violation::{Invariant, InvariantViolation};
@@ -34,8 +34,12 @@
 /// The first invariant that the simulation breaks as it stands.
 pub fn check(simulation: &Simulation) -> Result<(), InvariantViolation> {
     let mut running = RunningTasks::default();
-    for agent in simulation.agents.values().filter(|agent| !agent.gone) {
-        for ((id, _), held) in agent.tasks.iter().filter(|(_, held)| held.on()) {
+    for agent in simulation.agents.values().filter(|agent| !agent.is_gone) {
+        for ((id, _), held) in agent
+            .tasks
+            .iter()
+            .filter(|(_, held)| held.counts_as_running())
+        {
             check_task(simulation, &mut running, agent, id, held)?;
         }
     }
@@ -55,7 +59,7 @@
     running: &mut RunningTasks<'a>,
     agent: &'a Agent,
     (job_id, task): &'a TaskId,
-    held: &Held,
+    held: &AgentTask,
 ) -> Result<(), InvariantViolation> {
     let violation = |invariant: Invariant, text: String| {
         let violation = InvariantViolation::new(invariant, text);
@@ -99,8 +103,12 @@
 
 fn check_zones(simulation: &Simulation) -> Result<(), InvariantViolation> {
     let mut by_job: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
-    for agent in simulation.agents.values().filter(|agent| !agent.gone) {
-        for ((id, _), _) in agent.tasks.iter().filter(|(_, held)| held.on()) {
+    for agent in simulation.agents.values().filter(|agent| !agent.is_gone) {
+        for ((id, _), _) in agent
+            .tasks
+            .iter()
+            .filter(|(_, held)| held.counts_as_running())
+        {
             let zones = by_job.entry(&id.0).or_default();
             *zones.entry(&agent.zone).or_default() += 1;
         }
--- a/crates/saltpitch-testkit/src/simulation/agents.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -8,7 +8,7 @@
 use saltpitch_core::Micros;
 
 use super::{Simulation, UserJob};
-use crate::agents::{Agent, Held, TaskId};
+use crate::agents::{Agent, AgentTask, TaskId};
 
 /// An agent that has no answer within this time asks the next controller.
 const ANSWER_TIMEOUT: Micros = Micros::from_secs(4);
@@ -35,7 +35,7 @@
         let Some(agent) = self.agents.get_mut(name) else {
             return;
         };
-        if agent.gone || now < agent.boots_at {
+        if agent.is_gone || now < agent.up_at {
             return;
         }
         // A machine that hangs for longer than its lease has lost its tasks when it resumes.
@@ -46,9 +46,9 @@
         let completed = advance_tasks(agent, &self.jobs, now);
         time_out_heartbeat(agent, now);
         let due = is_heartbeat_due(agent, times.heartbeat_interval, now);
-        agent.changed |= !completed.is_empty();
+        agent.has_changes |= !completed.is_empty();
         let heartbeat = due.then(|| begin_heartbeat(agent, times.heartbeat_interval, now));
-        let target = agent.target;
+        let target = agent.target_node;
         for (job, task) in completed {
             self.completed_tasks.entry(job).or_default().insert(task);
         }
@@ -152,20 +152,20 @@
         };
         let awaited =
             |waiting: &(u64, Micros)| waiting.0 == sequence && agent.agent_epoch == agent_epoch;
-        let Some((_, sent_at)) = agent.waiting.filter(awaited) else {
+        let Some((_, sent_at)) = agent.pending_heartbeat.filter(awaited) else {
             return;
         };
-        agent.waiting = None;
+        agent.pending_heartbeat = None;
         match answer {
             Some((fencing_token, commands)) => {
-                if agent.take_token(fencing_token) {
-                    agent.lease_from = sent_at;
+                if agent.accept_token(fencing_token) {
+                    agent.lease_renewed_at = sent_at;
                     self.execute(name, &commands);
                 }
             }
             None => {
-                agent.target = leader.unwrap_or((agent.target + 1) % 3);
-                agent.next_report = now.plus(MIN_HEARTBEAT_SPACING);
+                agent.target_node = leader.unwrap_or((agent.target_node + 1) % 3);
+                agent.next_heartbeat_at = now.plus(MIN_HEARTBEAT_SPACING);
             }
         }
     }
@@ -221,17 +221,17 @@
             match member.state {
                 TaskState::Waiting if counts.waiting == size => {
                     member.state = TaskState::Running;
-                    member.until = now.plus(member.run);
+                    member.phase_ends_at = now.plus(member.run_time);
                 }
-                TaskState::Waiting if now.since(member.until) > gang_wait => {
+                TaskState::Waiting if now.since(member.phase_ends_at) > gang_wait => {
                     member.state = exited(ExitCause::GangIncomplete);
                 }
-                TaskState::Running if counts.running == size && member.until <= now => {
+                TaskState::Running if counts.running == size && member.phase_ends_at <= now => {
                     finished = true;
                 }
                 TaskState::Running
                     if counts.running + counts.done < size
-                        && now.plus(member.run).since(member.until) > gang_peer =>
+                        && now.plus(member.run_time).since(member.phase_ends_at) > gang_peer =>
                 {
                     member.state = exited(ExitCause::PeerLost);
                 }
@@ -252,12 +252,12 @@
             .or_default()
             .extend(0..size);
         for agent in self.agents.values_mut() {
-            agent.changed = true;
+            agent.has_changes = true;
         }
     }
 
     /// The tasks of a gang on machines that are up.
-    fn members<'a>(&'a mut self, id: &'a str) -> impl Iterator<Item = &'a mut Held> {
+    fn members<'a>(&'a mut self, id: &'a str) -> impl Iterator<Item = &'a mut AgentTask> {
         let now = self.now;
         self.agents
             .values_mut()
@@ -285,34 +285,34 @@
         };
         if job.always_fails && held.state == TaskState::Running {
             held.state = exited(ExitCause::Error);
-            agent.changed = true;
+            agent.has_changes = true;
             continue;
         }
         if advance(held, &job.spec, now) {
             completed.push(id.clone());
         }
         let under_way = matches!(held.state, TaskState::Running | TaskState::Waiting);
-        if under_way && held.until <= now {
-            agent.changed = true;
+        if under_way && held.phase_ends_at <= now {
+            agent.has_changes = true;
         }
     }
     completed
 }
 
 /// Moves a task on by itself; true when it has just completed.
-fn advance(held: &mut Held, spec: &JobSpec, now: Micros) -> bool {
-    if now < held.until {
+fn advance(held: &mut AgentTask, spec: &JobSpec, now: Micros) -> bool {
+    if now < held.phase_ends_at {
         return false;
     }
     match held.state {
         TaskState::Fetching if spec.kind == JobKind::Gang => {
             held.state = TaskState::Waiting;
-            held.until = now;
+            held.phase_ends_at = now;
             false
         }
         TaskState::Fetching => {
             held.state = TaskState::Running;
-            held.until = now.plus(held.run);
+            held.phase_ends_at = now.plus(held.run_time);
             false
         }
         TaskState::Running if spec.kind == JobKind::Array => {
@@ -333,25 +333,26 @@
 /// Gives up a heartbeat that is not answered in time and turns to the next controller.
 fn time_out_heartbeat(agent: &mut Agent, now: Micros) {
     let timed_out = |waiting: (u64, Micros)| now.since(waiting.1) > ANSWER_TIMEOUT;
-    if agent.waiting.is_some_and(timed_out) {
-        agent.waiting = None;
-        agent.target = (agent.target + 1) % 3;
-        agent.next_report = now.plus(RETRY_BACKOFF);
+    if agent.pending_heartbeat.is_some_and(timed_out) {
+        agent.pending_heartbeat = None;
+        agent.target_node = (agent.target_node + 1) % 3;
+        agent.next_heartbeat_at = now.plus(RETRY_BACKOFF);
     }
 }
 
 /// Heartbeats are sent at an interval, and sooner when something has changed; one at a time.
 fn is_heartbeat_due(agent: &Agent, interval: Micros, now: Micros) -> bool {
-    let since_last = now.plus(interval).since(agent.next_report);
-    let due = now >= agent.next_report || (agent.changed && since_last > MIN_HEARTBEAT_SPACING);
-    due && agent.waiting.is_none()
+    let since_last = now.plus(interval).since(agent.next_heartbeat_at);
+    let due =
+        now >= agent.next_heartbeat_at || (agent.has_changes && since_last > MIN_HEARTBEAT_SPACING);
+    due && agent.pending_heartbeat.is_none()
 }
 
 /// Makes the next heartbeat, whose answer the agent waits for from now on.
 fn begin_heartbeat(agent: &mut Agent, interval: Micros, now: Micros) -> Heartbeat {
-    agent.changed = false;
-    agent.next_report = now.plus(interval);
+    agent.has_changes = false;
+    agent.next_heartbeat_at = now.plus(interval);
     let heartbeat = agent.heartbeat();
-    agent.waiting = Some((heartbeat.sequence, now));
+    agent.pending_heartbeat = Some((heartbeat.sequence, now));
     heartbeat
 }
--- a/crates/saltpitch-testkit/src/simulation/cloud.rs
+++ b/crates/saltpitch-testkit/src/simulation/cloud.rs
@@ -31,7 +31,7 @@
             return ScaleOutOutcome::Machines(names.clone());
         }
         let in_pool = |agent: &&Agent| {
-            !agent.gone
+            !agent.is_gone
                 && agent.type_name == request.type_name
                 && agent.zone == request.zone
                 && agent.spot == request.spot
@@ -72,22 +72,22 @@
             zone: request.zone.clone(),
             spot: request.spot,
             size: machine_type.map(|known| known.size).unwrap_or_default(),
-            slow,
-            boots_at,
-            gone: false,
+            is_slow: slow,
+            up_at: boots_at,
+            is_gone: false,
             hung_until: Micros::ZERO,
             inbound_partition_until: Micros::ZERO,
             outbound_partition_until: Micros::ZERO,
             agent_epoch: 1,
             sequence: 0,
             fencing_token: 0,
-            lease_from: boots_at,
-            notice: None,
+            lease_renewed_at: boots_at,
+            spot_notice: None,
             tasks: BTreeMap::new(),
-            target,
-            next_report: Micros::ZERO,
-            waiting: None,
-            changed: false,
+            target_node: target,
+            next_heartbeat_at: Micros::ZERO,
+            pending_heartbeat: None,
+            has_changes: false,
         };
         self.agents.insert(name.clone(), agent);
         name
@@ -104,7 +104,7 @@
             failed: false,
             age: LISTED_AGE,
         };
-        let present = self.agents.values().filter(|agent| !agent.gone);
+        let present = self.agents.values().filter(|agent| !agent.is_gone);
         let list: Vec<ListedMachine> = present.map(listed).collect();
         let epoch = self.nodes[node_index].epoch();
         let lag = Micros::from_secs(self.random_below(12));
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -13,7 +13,7 @@
 
 use super::cloud::ScaleOutRequest;
 use super::{Simulation, UserJob};
-use crate::agents::{Agent, Held};
+use crate::agents::{Agent, AgentTask};
 use crate::invariants::{Invariant, InvariantViolation};
 
 /// A controller that has no answer of the store or of an agent within this time takes the outcome as
@@ -142,9 +142,9 @@
             let now = simulation.now;
             for name in &names {
                 if let Some(agent) = simulation.agents.get_mut(&**name) {
-                    let busy = agent.tasks.values().any(Held::on);
+                    let busy = agent.tasks.values().any(AgentTask::counts_as_running);
                     simulation.busy_machines_returned += u64::from(agent.is_up(now) && busy);
-                    agent.gone = true;
+                    agent.is_gone = true;
                 }
             }
             simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
@@ -333,7 +333,7 @@
         if !agent.is_up(now) {
             return None;
         }
-        if agent.agent_epoch != direct.agent_epoch || !agent.take_token(direct.fencing_token) {
+        if agent.agent_epoch != direct.agent_epoch || !agent.accept_token(direct.fencing_token) {
             return Some(CommandOutcome::Stale(agent.heartbeat()));
         }
         self.execute(machine, &direct.commands);
--- a/crates/saltpitch-testkit/src/simulation/fault_injection.rs
+++ b/crates/saltpitch-testkit/src/simulation/fault_injection.rs
@@ -115,15 +115,15 @@
             return;
         };
         match kind {
-            0 => agent.gone = true,
+            0 => agent.is_gone = true,
             1 => agent.hung_until = now.plus(hung_for),
             _ if agent.spot => {
-                agent.notice = Some(SPOT_NOTICE);
-                agent.changed = true;
+                agent.spot_notice = Some(SPOT_NOTICE);
+                agent.has_changes = true;
                 let name = agent.name.clone();
                 self.schedule_after(SPOT_NOTICE, move |simulation| {
                     if let Some(agent) = simulation.agents.get_mut(&name) {
-                        agent.gone = true;
+                        agent.is_gone = true;
                     }
                 });
             }
--- a/crates/saltpitch-testkit/src/simulation/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -86,7 +86,7 @@
     fn has_machine_fault(&self) -> bool {
         let now = self.now;
         let is_faulty = |agent: &Agent| {
-            !agent.gone
+            !agent.is_gone
                 && (now < agent.hung_until
                     || now < agent.inbound_partition_until
                     || now < agent.outbound_partition_until)
@@ -139,9 +139,9 @@
             placed_tasks: BTreeMap::new(),
             free: Vec::new(),
         };
-        for agent in self.agents.values().filter(|agent| !agent.gone) {
+        for agent in self.agents.values().filter(|agent| !agent.is_gone) {
             let mut free = agent.size;
-            let active = agent.tasks.iter().filter(|(_, held)| !held.exited());
+            let active = agent.tasks.iter().filter(|(_, held)| !held.has_exited());
             for ((id, _), _) in active {
                 if let Some(job) = self.jobs.get(&id.0) {
                     free = free.minus(&job.spec.need);
@@ -163,8 +163,8 @@
         agent.is_up(now)
             && now >= agent.inbound_partition_until
             && now >= agent.outbound_partition_until
-            && agent.notice.is_none()
-            && now.since(agent.boots_at) > SETTLED_AFTER
+            && agent.spot_notice.is_none()
+            && now.since(agent.up_at) > SETTLED_AFTER
     }
 
     /// Whether nothing of a job runs although its team is under its limit and the free machines would
--- a/crates/saltpitch-testkit/src/simulation/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -238,9 +238,9 @@
     pub fn running_tasks(&self, id: &str) -> usize {
         self.agents
             .values()
-            .filter(|agent| !agent.gone)
+            .filter(|agent| !agent.is_gone)
             .flat_map(|agent| agent.tasks.iter())
-            .filter(|((task_id, _), held)| task_id.0 == id && held.on())
+            .filter(|((task_id, _), held)| task_id.0 == id && held.counts_as_running())
             .count()
     }
 }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
@@ -12,7 +12,7 @@
         w.store.down = true;
         run(&mut w, seed, 40 + 150);
         assert_eq!(w.leader(), Some(leader), "seed {seed}");
-        assert!(w.agents.values().all(|m| m.gone || m.agent_epoch == 1));
+        assert!(w.agents.values().all(|m| m.is_gone || m.agent_epoch == 1));
         for id in &ids {
             assert!(w.running_tasks(id) > 0, "seed {seed}: {id} was lost");
         }
@@ -72,8 +72,8 @@
         // The first tasks end now, the second ones half a minute later.
         let now = w.now;
         for m in w.agents.values_mut() {
-            for ((id, _), h) in m.tasks.iter_mut().filter(|(_, h)| h.on()) {
-                h.until = now.plus(secs(if id.1 == 0 { 1 } else { 30 + seed % 5 }));
+            for ((id, _), h) in m.tasks.iter_mut().filter(|(_, h)| h.counts_as_running()) {
+                h.phase_ends_at = now.plus(secs(if id.1 == 0 { 1 } else { 30 + seed % 5 }));
             }
         }
         let wait = 1_000 + w.random_below(2_500);
--- a/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
@@ -65,7 +65,7 @@
         assert_eq!(w.running_tasks("job-000001"), 6, "seed {seed}");
         let leader = w.leader();
         let busy: Vec<String> = (w.agents.values())
-            .filter(|m| !m.gone && m.tasks.values().any(|h| h.on()))
+            .filter(|m| !m.is_gone && m.tasks.values().any(|h| h.counts_as_running()))
             .map(|m| m.name.clone())
             .take(2)
             .collect();
@@ -76,7 +76,10 @@
         run(&mut w, seed, 62);
         for name in &busy {
             let m = &w.agents[name];
-            assert!(m.gone || m.tasks.values().all(|h| !h.on()), "seed {seed}");
+            assert!(
+                m.is_gone || m.tasks.values().all(|h| !h.counts_as_running()),
+                "seed {seed}"
+            );
         }
         run(&mut w, seed, 85);
         assert_eq!(w.running_tasks("job-000001"), 6, "seed {seed}: not whole");
@@ -130,14 +133,14 @@
         for at in [30, 45, 60] {
             run(&mut w, seed, at);
             let busy: Vec<String> = (w.agents.values())
-                .filter(|m| !m.gone && m.tasks.values().any(|h| h.on()))
+                .filter(|m| !m.is_gone && m.tasks.values().any(|h| h.counts_as_running()))
                 .map(|m| m.name.clone())
                 .collect();
             for name in busy.iter().step_by(2) {
                 let now = w.now;
                 let m = w.agents.get_mut(name).expect("there");
                 if seed % 2 == 0 {
-                    m.gone = true;
+                    m.is_gone = true;
                 } else {
                     m.hung_until = now.plus(secs(10));
                 }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
@@ -52,10 +52,10 @@
     for seed in 160..168 {
         let (mut w, ids, leader) = at_work(seed, 3);
         let name = (w.agents.values())
-            .find(|m| !m.gone && m.tasks.values().any(|h| h.on()))
+            .find(|m| !m.is_gone && m.tasks.values().any(|h| h.counts_as_running()))
             .map(|m| m.name.clone())
             .expect("one at work");
-        let old = w.agents[&name].copy();
+        let old = w.agents[&name].newest_heartbeat();
         // Its lease runs out and its tasks go elsewhere, or it is cancelled, or both.
         w.agents
             .get_mut(&name)
@@ -122,7 +122,7 @@
                 w.cancel(&id);
             }
             if t % 10 == 9 {
-                if let Some(m) = w.agents.values_mut().find(|m| !m.gone) {
+                if let Some(m) = w.agents.values_mut().find(|m| !m.is_gone) {
                     m.hung_until = w.now.plus(secs(5));
                 }
             }
@@ -161,7 +161,7 @@
 fn heartbeats_delivered_after_a_failover_break_no_invariant() {
     for seed in 260..270 {
         let (mut w, ids, leader) = at_work(seed, 4);
-        let held: Vec<_> = w.agents.values().map(|m| m.copy()).collect();
+        let held: Vec<_> = w.agents.values().map(|m| m.newest_heartbeat()).collect();
         w.crash_for(leader, secs(5));
         w.cancel(&ids[0]);
         run(&mut w, seed, 48 + seed % 10);
--- a/crates/saltpitch-testkit/tests/dependencies.rs
+++ b/crates/saltpitch-testkit/tests/dependencies.rs
@@ -137,7 +137,7 @@
             w.submit(&format!("job-00002{i}"), spec);
         }
         run(&mut w, seed, 60);
-        let there = w.agents.values().filter(|m| !m.gone).count();
+        let there = w.agents.values().filter(|m| !m.is_gone).count();
         assert!(there <= 2, "seed {seed}: {there} machines for one task");
         // Only the task that runs counts against the team's limit.
         let leader = w.leader().expect("a leader");
@@ -153,7 +153,7 @@
         // places gets through twenty tasks of about ten seconds in seven rounds.
         for t in 75..100 {
             run(&mut w, seed, t);
-            let there = w.agents.values().filter(|m| !m.gone && m.is_up(w.now));
+            let there = w.agents.values().filter(|m| !m.is_gone && m.is_up(w.now));
             let places: u64 = there.map(|m| m.size.cpu / 2_000).sum();
             let ids = (0..4).map(|i| format!("job-00003{i}"));
             let (on, left) = ids.fold((0, 0), |(on, left), id| {
--- a/crates/saltpitch-testkit/tests/invariant_violations.rs
+++ b/crates/saltpitch-testkit/tests/invariant_violations.rs
@@ -54,8 +54,8 @@
         .find(|agent| agent.name != machine)
         .expect("a second machine");
     let other_name = other.name.clone();
-    (other.gone, other.tasks) = (false, tasks);
-    (other.boots_at, other.lease_from) = (simulation.now, simulation.now);
+    (other.is_gone, other.tasks) = (false, tasks);
+    (other.up_at, other.lease_renewed_at) = (simulation.now, simulation.now);
     let violation = simulation.step().expect_err("a task on two machines");
     assert_eq!(violation.invariant, Invariant::RanTwice);
     assert_eq!(violation.job.as_deref(), Some(JOB));
--- a/crates/saltpitch-testkit/tests/simulation.rs
+++ b/crates/saltpitch-testkit/tests/simulation.rs
@@ -136,7 +136,7 @@
         run(&mut w, 60);
         assert_eq!(w.running_tasks("job-000001"), 6, "seed {seed}");
         let leader = w.leader();
-        let there = w.agents.values().filter(|m| !m.gone);
+        let there = w.agents.values().filter(|m| !m.is_gone);
         let group: Vec<String> = there.map(|m| m.name.clone()).take(4).collect();
         for name in &group {
             let m = w.agents.get_mut(name).expect("a machine");
@@ -149,7 +149,7 @@
             "seed {seed}: went on elsewhere"
         );
         for name in &group {
-            assert!(w.agents[name].gone, "seed {seed}: {name} is still there");
+            assert!(w.agents[name].is_gone, "seed {seed}: {name} is still there");
         }
         assert_eq!((w.leader(), w.resignations), (leader, 0), "seed {seed}");
     }
--- a/crates/saltpitch/tests/end_to_end/site/agents.rs
+++ b/crates/saltpitch/tests/end_to_end/site/agents.rs
@@ -19,7 +19,7 @@
 pub fn answer(site: &SharedSite, name: &str, uri: &str, body: &Value) -> Reply {
     let mut site = lock(site);
     let agent = &site.agents[name];
-    if agent.gone {
+    if agent.is_gone {
         return Reply::empty(500);
     }
     if uri == "/show" {
@@ -42,7 +42,7 @@
     let now = site.now();
     let specs = site.specs_of(commands.jobs());
     let agent = site.agents.get_mut(name).expect("an agent");
-    if !agent.take_token(commands.fencing_token) {
+    if !agent.accept_token(commands.fencing_token) {
         return false;
     }
     let spec_of = |id: &str| specs.get(id).cloned();
@@ -56,7 +56,7 @@
     loop {
         let (node, heartbeat) = {
             let mut site = lock(&site);
-            if site.agents[&name].gone {
+            if site.agents[&name].is_gone {
                 return;
             }
             advance_tasks(&mut site, &name);
@@ -78,7 +78,10 @@
         200 => {
             execute(site, name, &Commands::decode(&reply.body));
             let now = site.now();
-            site.agents.get_mut(name).expect("an agent").lease_from = now;
+            site.agents
+                .get_mut(name)
+                .expect("an agent")
+                .lease_renewed_at = now;
             target
         }
         421 => {
@@ -105,18 +108,18 @@
             continue;
         };
         match held.state {
-            TaskState::Fetching if now >= held.until => {
+            TaskState::Fetching if now >= held.phase_ends_at => {
                 held.state = match spec.kind {
                     JobKind::Gang => TaskState::Waiting,
                     JobKind::Array | JobKind::Service => TaskState::Running,
                 };
-                held.until = now.plus(spec.estimate);
+                held.phase_ends_at = now.plus(spec.estimate);
             }
             TaskState::Waiting if ready_members.get(&id.0) == Some(&spec.tasks) => {
                 held.state = TaskState::Running;
-                held.until = now.plus(spec.estimate);
+                held.phase_ends_at = now.plus(spec.estimate);
             }
-            TaskState::Running if now >= held.until && spec.kind != JobKind::Service => {
+            TaskState::Running if now >= held.phase_ends_at && spec.kind != JobKind::Service => {
                 *site.completions.entry(id.clone()).or_default() += 1;
                 held.state = TaskState::Exited {
                     cause: ExitCause::Done,
@@ -131,7 +134,7 @@
 /// How many tasks of each job wait for the rest of their gang, or run.
 fn ready_members(site: &Site) -> HashMap<String, u32> {
     let mut members: HashMap<String, u32> = HashMap::new();
-    for agent in site.agents.values().filter(|agent| !agent.gone) {
+    for agent in site.agents.values().filter(|agent| !agent.is_gone) {
         for ((id, _), held) in &agent.tasks {
             if matches!(held.state, TaskState::Waiting | TaskState::Running) {
                 *members.entry(id.0.clone()).or_default() += 1;
--- a/crates/saltpitch/tests/end_to_end/site/cloud.rs
+++ b/crates/saltpitch/tests/end_to_end/site/cloud.rs
@@ -49,7 +49,7 @@
     for name in body["bollards"].as_array().into_iter().flatten() {
         let name = name.as_str().unwrap_or_default();
         if let Some(agent) = site.agents.get_mut(name) {
-            agent.gone = true;
+            agent.is_gone = true;
         }
     }
     Reply::empty(200)
@@ -106,21 +106,21 @@
             gpu: 1_000,
             mem: 32_000,
         },
-        slow: false,
-        boots_at: now,
-        gone: false,
+        is_slow: false,
+        up_at: now,
+        is_gone: false,
         hung_until: Micros::ZERO,
         inbound_partition_until: Micros::ZERO,
         outbound_partition_until: Micros::ZERO,
         agent_epoch: 1,
         sequence: 0,
         fencing_token: 0,
-        lease_from: now,
-        notice: None,
+        lease_renewed_at: now,
+        spot_notice: None,
         tasks: Default::default(),
-        target: 0,
-        next_report: Micros::ZERO,
-        waiting: None,
-        changed: false,
+        target_node: 0,
+        next_heartbeat_at: Micros::ZERO,
+        pending_heartbeat: None,
+        has_changes: false,
     }
 }
--- a/crates/saltpitch/tests/end_to_end/site/mod.rs
+++ b/crates/saltpitch/tests/end_to_end/site/mod.rs
@@ -96,14 +96,14 @@
 
     /// The machines that are there, with their agents.
     pub fn machines(&self) -> impl Iterator<Item = &Agent> {
-        self.agents.values().filter(|agent| !agent.gone)
+        self.agents.values().filter(|agent| !agent.is_gone)
     }
 
     /// How many tasks of a job are on machines and have not ended.
     pub fn unfinished_tasks(&self, id: &str) -> usize {
         self.machines()
             .flat_map(|agent| &agent.tasks)
-            .filter(|((task, _), held)| task.0 == id && !held.exited())
+            .filter(|((task, _), held)| task.0 == id && !held.has_exited())
             .count()
     }
 }
--- a/crates/saltpitch/tests/end_to_end/two_cells.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells.rs
@@ -168,7 +168,7 @@
     lock(site)
         .machines()
         .flat_map(|agent| &agent.tasks)
-        .filter(|(_, held)| !held.exited())
+        .filter(|(_, held)| !held.has_exited())
         .map(|(((id, task), _), _)| (origin_id(id).to_owned(), *task))
         .collect()
 }
--- a/crates/saltpitch/tests/end_to_end/two_cells/load.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells/load.rs
@@ -120,7 +120,7 @@
         for ((id, _), held) in site.machines().flat_map(|agent| &agent.tasks) {
             let id = origin_id(&id.0);
             for arrivals in [&mut *jobs, &mut *services] {
-                if held.on() && arrivals.submitted.contains_key(id) {
+                if held.counts_as_running() && arrivals.submitted.contains_key(id) {
                     arrivals.started.entry(id.to_owned()).or_insert(now);
                 }
             }
