--- a/crates/saltpitch-testkit/src/invariants.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -184,7 +184,7 @@
     for node in &simulation.nodes {
         let knows = node.is_up(simulation.now)
             && node.controller.is_synced()
-            && node.records().revision == simulation.store.rev;
+            && node.records().revision == simulation.store.revision;
         if knows && node.records().job_state(id) != Some(JobState::Cancelled) {
             return violation(format!("{id} by {}", node.name));
         }
--- a/crates/saltpitch-testkit/src/nodes.rs
+++ b/crates/saltpitch-testkit/src/nodes.rs
@@ -202,7 +202,7 @@
 
     /// Whether the state service can be reached and serves.
     pub fn can_reach_store(&self, store: &Store, now: Micros) -> bool {
-        !store.down && now >= self.store_partition_until
+        !store.is_down && now >= self.store_partition_until
     }
 
     /// How the state service has served this process.
@@ -233,7 +233,7 @@
             });
         let changes: Vec<RecordChange> = changes.collect();
         self.controller
-            .apply_changes(from, changes, store.rev, now, now);
+            .apply_changes(from, changes, store.revision, now, now);
     }
 
     /// Puts the process's incarnation on record.
@@ -322,8 +322,8 @@
         let Ok(value) = serde_json::value::RawValue::from_string(entry.value.clone()) else {
             continue;
         };
-        let _ = records.put(key, &value, entry.rev);
+        let _ = records.put(key, &value, entry.revision);
     }
-    records.revision = store.rev;
+    records.revision = store.revision;
     records
 }
--- a/crates/saltpitch-testkit/src/simulation/fault_injection.rs
+++ b/crates/saltpitch-testkit/src/simulation/fault_injection.rs
@@ -82,9 +82,9 @@
 
     fn inject_store_outage(&mut self) {
         if self.draw_fault(self.faults.store_outages, 0.01) {
-            self.store.down = true;
+            self.store.is_down = true;
             let wait = Micros::from_secs(2 + self.random_below(25));
-            self.schedule_after(wait, |simulation| simulation.store.down = false);
+            self.schedule_after(wait, |simulation| simulation.store.is_down = false);
         }
     }
 
--- a/crates/saltpitch-testkit/src/simulation/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -415,6 +415,6 @@
     /// Ends all faults that are drawn, and a store's outage.
     pub fn heal(&mut self) {
         self.faults = Faults::default();
-        self.store.down = false;
+        self.store.is_down = false;
     }
 }
--- a/crates/saltpitch-testkit/src/simulation/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -79,7 +79,7 @@
                 || !node.is_up(now)
                 || node.remaining_pause(now) > Micros::ZERO
         };
-        self.store.down || now < self.zone_partition_until || self.nodes.iter().any(is_faulty)
+        self.store.is_down || now < self.zone_partition_until || self.nodes.iter().any(is_faulty)
     }
 
     /// Whether a machine hangs or is partitioned now, or messages take long.
--- a/crates/saltpitch-testkit/src/simulation/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -110,7 +110,7 @@
             value: serde_json::to_string(&record).ok(),
         };
         let value = write.value.clone().unwrap_or_default();
-        let precondition = Precondition::new(key.clone(), entry.rev);
+        let precondition = Precondition::new(key.clone(), entry.revision);
         let outcome = self.store.txn(&[precondition], &[write], None);
         self.trace.event("abort", self.now).text(id);
         self.trace.outcome(&outcome);
--- a/crates/saltpitch-testkit/src/store.rs
+++ b/crates/saltpitch-testkit/src/store.rs
@@ -13,7 +13,7 @@
     /// The value.
     pub value: String,
     /// The revision of its last change.
-    pub rev: u64,
+    pub revision: u64,
     /// The lease that it ends with, if any.
     pub lease: Option<u64>,
 }
@@ -22,22 +22,22 @@
 #[derive(Default)]
 pub struct Store {
     /// The revision of the last change.
-    pub rev: u64,
+    pub revision: u64,
     /// The keys that exist.
     pub keys: BTreeMap<String, Entry>,
     /// All changes in order: revision, key, and the new value or `None` for a deletion.
-    pub log: Vec<(u64, String, Option<String>)>,
+    pub change_log: Vec<(u64, String, Option<String>)>,
     leases: BTreeMap<u64, (Micros, Micros)>,
     next_lease: u64,
     /// It serves nobody.
-    pub down: bool,
+    pub is_down: bool,
     /// The most bytes of a value and writes of a transaction, and changes a second, once the store has
     /// its next limits.
     pub limits: Option<(usize, usize, u32)>,
-    taken: (u64, u32),
+    writes_this_second: (u64, u32),
     now: Micros,
     /// Transactions turned down for their size.
-    pub rejected: u64,
+    pub rejected_as_too_large: u64,
     /// The fingerprint of all transactions.
     pub trace: Trace,
 }
@@ -50,7 +50,7 @@
                     key.to_owned(),
                     Entry {
                         value: v.clone(),
-                        rev,
+                        revision: rev,
                         lease,
                     },
                 );
@@ -61,7 +61,7 @@
                 }
             }
         }
-        self.log.push((rev, key.to_owned(), value));
+        self.change_log.push((rev, key.to_owned(), value));
     }
 
     /// Carries out a transaction, or says why it was not.
@@ -71,41 +71,41 @@
         writes: &[Write],
         lease: Option<(u64, &str)>,
     ) -> TransactionOutcome {
-        let outcome = self.carry_out(preconditions, writes, lease);
+        let outcome = self.apply(preconditions, writes, lease);
         self.trace.event("store", self.now);
         self.trace.transaction(preconditions, writes);
         self.trace.outcome(&outcome);
         outcome
     }
 
-    fn carry_out(
+    fn apply(
         &mut self,
         preconditions: &[Precondition],
         writes: &[Write],
         lease: Option<(u64, &str)>,
     ) -> TransactionOutcome {
-        if self.down {
+        if self.is_down {
             return TransactionOutcome::Unavailable;
         }
         if let Some((bytes, ops, rate)) = self.limits {
             let large = |w: &Write| w.value.as_ref().is_some_and(|v| v.len() > bytes);
             if writes.len() > ops || preconditions.len() > 4 * ops || writes.iter().any(large) {
-                self.rejected += 1;
+                self.rejected_as_too_large += 1;
                 return TransactionOutcome::TooLarge;
             }
             let second = self.now.0 / 1_000_000;
-            if self.taken.0 != second {
-                self.taken = (second, 0);
+            if self.writes_this_second.0 != second {
+                self.writes_this_second = (second, 0);
             }
-            if self.taken.1 + writes.len() as u32 > rate {
+            if self.writes_this_second.1 + writes.len() as u32 > rate {
                 return TransactionOutcome::RateLimited;
             }
-            self.taken.1 += writes.len() as u32;
+            self.writes_this_second.1 += writes.len() as u32;
         }
         if lease.is_some_and(|h| !self.leases.contains_key(&h.0)) {
             return TransactionOutcome::Unavailable;
         }
-        let current = |key: &str| self.keys.get(key).map_or(0, |entry| entry.rev);
+        let current = |key: &str| self.keys.get(key).map_or(0, |entry| entry.revision);
         let failed: Vec<String> = preconditions
             .iter()
             .filter(|condition| current(&condition.key) != condition.revision)
@@ -114,8 +114,8 @@
         if !failed.is_empty() {
             return TransactionOutcome::Conflict(failed);
         }
-        self.rev += 1;
-        let rev = self.rev;
+        self.revision += 1;
+        let rev = self.revision;
         for w in writes {
             let held = lease.filter(|h| h.1 == w.key).map(|h| h.0);
             self.write(rev, &w.key, w.value.clone(), held);
@@ -125,7 +125,7 @@
 
     /// Grants a lease of this length; `None`: it does not serve.
     pub fn grant_lease(&mut self, ttl: Micros, now: Micros) -> Option<u64> {
-        if self.down {
+        if self.is_down {
             return None;
         }
         self.next_lease += 1;
@@ -135,7 +135,7 @@
 
     /// Renews a lease. `Some(false)`: it has expired; `None`: no answer.
     pub fn keep_alive(&mut self, lease: u64, now: Micros) -> Option<bool> {
-        if self.down {
+        if self.is_down {
             return None;
         }
         match self.leases.get_mut(&lease) {
@@ -150,7 +150,7 @@
     /// Ends leases that are over. After an outage every lease has its full time again.
     pub fn tick(&mut self, now: Micros) {
         self.now = now;
-        if self.down {
+        if self.is_down {
             for h in self.leases.values_mut() {
                 h.0 = now.plus(h.1);
             }
@@ -179,16 +179,16 @@
             .map(|(k, _)| k.clone())
             .collect();
         for k in keys {
-            self.rev += 1;
-            let rev = self.rev;
+            self.revision += 1;
+            let rev = self.revision;
             self.write(rev, &k, None, None);
         }
     }
 
     /// Changes after `from`, in order.
     pub fn changes(&self, from: u64) -> impl Iterator<Item = (u64, &str, Option<Box<RawValue>>)> {
-        let start = self.log.partition_point(|c| c.0 <= from);
-        self.log[start..].iter().map(|(rev, k, v)| {
+        let start = self.change_log.partition_point(|c| c.0 <= from);
+        self.change_log[start..].iter().map(|(rev, k, v)| {
             let raw = v
                 .as_ref()
                 .and_then(|v| RawValue::from_string(v.clone()).ok());
--- a/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
@@ -16,7 +16,7 @@
             assert!(w.cancel_by(other(leader), id), "seed {seed}");
         }
         run(&mut w, seed, 42);
-        w.store.down = true;
+        w.store.is_down = true;
         run(&mut w, seed, 42 + 78);
         // The old leader was told by the node that confirmed them, and went on for the others.
         assert_eq!(w.leader(), Some(leader), "seed {seed}");
@@ -26,7 +26,7 @@
             "seed {seed}"
         );
         assert!(w.running_tasks(&ids[2]) > 0 && w.running_tasks(&ids[3]) > 0);
-        w.store.down = false;
+        w.store.is_down = false;
         run(&mut w, seed, 200);
     }
 }
@@ -69,7 +69,7 @@
         while w.now < at {
             w.step().expect("no rule is broken");
         }
-        w.store.down = true;
+        w.store.is_down = true;
         // The node that confirmed them ends, in some histories, and forgets them.
         if seed % 2 == 0 {
             w.crash_for(other(leader), Micros::from_millis(300));
@@ -80,7 +80,7 @@
             0,
             "seed {seed}"
         );
-        w.store.down = false;
+        w.store.is_down = false;
         run(&mut w, seed, 1_500);
         all_over(&w, seed);
     }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/leaders.rs
@@ -9,14 +9,14 @@
 fn a_store_outage_common_to_all_expires_no_lease() {
     for seed in 20..24 {
         let (mut w, ids, leader) = at_work(seed, 4);
-        w.store.down = true;
+        w.store.is_down = true;
         run(&mut w, seed, 40 + 150);
         assert_eq!(w.leader(), Some(leader), "seed {seed}");
         assert!(w.agents.values().all(|m| m.is_gone || m.agent_epoch == 1));
         for id in &ids {
             assert!(w.running_tasks(id) > 0, "seed {seed}: {id} was lost");
         }
-        w.store.down = false;
+        w.store.is_down = false;
         run(&mut w, seed, 230);
     }
 }
@@ -29,14 +29,14 @@
             let at = 40 + round * 12;
             disturb(&mut w, seed, round);
             // Two of the changes fall into an outage.
-            w.store.down = matches!(round, 4 | 5);
+            w.store.is_down = matches!(round, 4 | 5);
             if let Some(n) = w.leader() {
                 let wait = w.random_below(9_000);
                 w.crash_for(n, Micros::from_millis(200 + wait));
             }
             run(&mut w, seed, at + 12);
         }
-        w.store.down = false;
+        w.store.is_down = false;
         run(&mut w, seed, 900);
         all_over(&w, seed);
     }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
@@ -147,9 +147,9 @@
         run(&mut w, seed, 46);
         w.cancel(&ids[2]);
         run(&mut w, seed, 47);
-        w.store.down = true;
+        w.store.is_down = true;
         run(&mut w, seed, 47 + 60);
-        w.store.down = false;
+        w.store.is_down = false;
         w.cancel(&ids[3]);
         run(&mut w, seed, 900);
         all_over(&w, seed);
--- a/crates/saltpitch-testkit/tests/upgrade.rs
+++ b/crates/saltpitch-testkit/tests/upgrade.rs
@@ -83,7 +83,11 @@
         // A description of a job still fits; a third of the operations and changes are left.
         let end = upgrade(seed, faults, (700, 3, 20), AFTER_THE_UPGRADE);
         let w = end.unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-        assert!(w.store.rejected <= 3, "seed {seed}: {}", w.store.rejected);
+        assert!(
+            w.store.rejected_as_too_large <= 3,
+            "seed {seed}: {}",
+            w.store.rejected_as_too_large
+        );
     }
 }
 
@@ -124,7 +128,11 @@
     for seed in 60..66 {
         let end = upgrade(seed, f, (700, 3, 20), WITH_THE_LAST_NODE);
         let w = end.unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-        assert!(w.store.rejected <= 3, "seed {seed}: {}", w.store.rejected);
+        assert!(
+            w.store.rejected_as_too_large <= 3,
+            "seed {seed}: {}",
+            w.store.rejected_as_too_large
+        );
     }
 }
 
@@ -198,14 +206,14 @@
             assert!(w.cancel_by(peer, id), "seed {seed}");
         }
         run(&mut w, seed, 62);
-        w.store.down = true;
+        w.store.is_down = true;
         run(&mut w, seed, 62 + 78);
         assert_eq!(
             w.running_tasks(&ids[0]) + w.running_tasks(&ids[1]),
             0,
             "seed {seed}"
         );
-        w.store.down = false;
+        w.store.is_down = false;
         run(&mut w, seed, 200);
     }
 }
@@ -216,13 +224,13 @@
 fn a_leader_of_version_0_still_survives_a_common_outage() {
     for seed in 90..94 {
         let (mut w, ids, leader) = led_by_version_0(seed);
-        w.store.down = true;
+        w.store.is_down = true;
         run(&mut w, seed, 60 + 90);
         assert_eq!(w.leader(), Some(leader), "seed {seed}");
         for id in &ids {
             assert!(w.running_tasks(id) > 0, "seed {seed}: {id} was lost");
         }
-        w.store.down = false;
+        w.store.is_down = false;
         run(&mut w, seed, 200);
     }
 }
--- a/crates/saltpitch/tests/end_to_end/site/store.rs
+++ b/crates/saltpitch/tests/end_to_end/site/store.rs
@@ -49,7 +49,7 @@
             site.store.tick(now);
             let changes = changes_after(&site.store, from);
             if !changes.is_empty() || Instant::now() >= end {
-                let revision = site.store.rev;
+                let revision = site.store.revision;
                 return Reply::new(200, json!({"ledger_no": revision, "news": changes}));
             }
         }
@@ -74,9 +74,9 @@
     let mut rows = Vec::new();
     for (key, entry) in &store.keys {
         let value: Value = serde_json::from_str(&entry.value).expect("JSON");
-        rows.push(json!({"path": key, "v": value, "entry_no": entry.rev}));
+        rows.push(json!({"path": key, "v": value, "entry_no": entry.revision}));
     }
-    let body = json!({"rows": rows, "has_next": false, "ledger_no": store.rev});
+    let body = json!({"rows": rows, "has_next": false, "ledger_no": store.revision});
     Reply::new(200, body)
 }
 
@@ -106,7 +106,7 @@
     match store.txn(&preconditions, &writes, leased) {
         TransactionOutcome::Committed(revision) => Reply::new(200, json!({"ledger_no": revision})),
         TransactionOutcome::Conflict(keys) => {
-            Reply::new(409, json!({"failed": keys, "ledger_no": store.rev}))
+            Reply::new(409, json!({"failed": keys, "ledger_no": store.revision}))
         }
         _ => Reply::error(400, "no such lease"),
     }
