--- a/crates/saltpitch-testkit/src/cells/history.rs
+++ b/crates/saltpitch-testkit/src/cells/history.rs
@@ -113,12 +113,16 @@
             let there_too: Vec<u32> = held(there, id).intersection(&running).copied().collect();
             if !there_too.is_empty() {
                 let text = format!("{job} and {id}, tasks {there_too:?}");
-                return violation(Invariant::RanTwice, job, text);
+                return violation(Invariant::DuplicateExecution, job, text);
             }
             let may_start =
                 record(there, id).is_some_and(|delegated| delegated.state == JobState::Active);
             if own && (may_start || !held(there, id).is_empty()) {
-                return violation(Invariant::OwnedTwice, job, format!("{job} and {id}"));
+                return violation(
+                    Invariant::DuplicateOwnership,
+                    job,
+                    format!("{job} and {id}"),
+                );
             }
         }
         let active = |id: &&String| {
@@ -126,7 +130,7 @@
         };
         if ids.iter().filter(active).count() > 1 {
             let text = format!("{job} by two delegations, {ids:?}");
-            return violation(Invariant::OwnedTwice, job, text);
+            return violation(Invariant::DuplicateOwnership, job, text);
         }
     }
     Ok(())
@@ -146,7 +150,11 @@
         };
         let late = here.now.since(confirmed_at) > here.times.cancel_timeout;
         if late && ids.iter().any(|id| !held(there, id).is_empty()) {
-            return violation(Invariant::RanCancelled, job, format!("{job} at the host"));
+            return violation(
+                Invariant::RunsAfterCancellation,
+                job,
+                format!("{job} at the host"),
+            );
         }
     }
     Ok(())
@@ -168,7 +176,11 @@
         let is_delegated = origin.as_ref().is_some_and(|origin| origin.is_delegated());
         let is_done_here = origin.is_some_and(|origin| origin.state == JobState::Done);
         if done > 1 || (done == 1 && !is_delegated && !is_done_here) {
-            return violation(Invariant::CompletedTwice, job, format!("{job}, {ids:?}"));
+            return violation(
+                Invariant::DuplicateCompletion,
+                job,
+                format!("{job}, {ids:?}"),
+            );
         }
     }
     Ok(())
--- a/crates/saltpitch-testkit/src/invariants.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -69,14 +69,14 @@
     if let Some(other) = running.machine_of.insert((job_id, *task), machine) {
         let attempt = held.attempt;
         let text = format!("{job_id}/{task} attempt {attempt} on {machine} and {other}");
-        return violation(Invariant::RanTwice, text);
+        return violation(Invariant::DuplicateExecution, text);
     }
     let Some(job) = simulation.jobs.get(job_id) else {
-        return violation(Invariant::Invented, format!("{job_id} on {machine}"));
+        return violation(Invariant::UnknownJob, format!("{job_id} on {machine}"));
     };
     if !job.spec.allows(&agent.type_name, &agent.zone, agent.spot) {
         let text = format!("{job_id}/{task} on {machine}");
-        return violation(Invariant::WrongPlace, text);
+        return violation(Invariant::PlacementConstraint, text);
     }
     let used = running.used_by_team.entry(&job.spec.team).or_default();
     *used = used.plus(&job.spec.need);
@@ -85,7 +85,7 @@
     if let Some(late) = cancelled_for.filter(|late| *late > simulation.times.cancel_timeout) {
         let late = late.as_secs_f64();
         let text = format!("{job_id}/{task} on {machine} {late:.1} s after");
-        return violation(Invariant::RanCancelled, text);
+        return violation(Invariant::RunsAfterCancellation, text);
     }
     Ok(())
 }
@@ -95,7 +95,7 @@
         let used = running.used_by_team.get(team.name.as_str());
         if let Some(used) = used.filter(|used| !team.allows(used)) {
             let text = format!("{} uses {used:?}", team.name);
-            return Err(InvariantViolation::new(Invariant::Quota, text));
+            return Err(InvariantViolation::new(Invariant::QuotaExceeded, text));
         }
     }
     Ok(())
@@ -125,7 +125,7 @@
         } else {
             continue;
         };
-        return Err(InvariantViolation::new(Invariant::WrongPlace, text).of_job(id));
+        return Err(InvariantViolation::new(Invariant::PlacementConstraint, text).of_job(id));
     }
     Ok(())
 }
@@ -138,34 +138,40 @@
         .spec
         .can_ever_run(simulation.catalog(), &simulation.teams);
     if job.is_accepted && can_run.is_err() {
-        return violation(Invariant::Accepted, format!("{id} can never run"));
+        return violation(
+            Invariant::ImpossibleJobAccepted,
+            format!("{id} can never run"),
+        );
     }
     if let Some(since) = job.waiting_since {
         let waited = simulation
             .now
             .since(since.max(simulation.site_healthy_since));
         if waited > WAIT {
-            return violation(Invariant::Waits, format!("{id} beside room that fits"));
+            return violation(Invariant::Starvation, format!("{id} beside room that fits"));
         }
     }
     if job.is_accepted {
         for (node, answered_at) in simulation.nodes.iter().zip(&job.last_answered_at) {
             let since = (*answered_at).max(simulation.controllers_healthy_since);
             if simulation.now.since(since) > ANSWER_WITHIN {
-                return violation(Invariant::Forgotten, format!("{id} by {}", node.name));
+                return violation(Invariant::JobLost, format!("{id} by {}", node.name));
             }
         }
     }
     let Some(entry) = simulation.store.keys.get(&job_key(id)) else {
         if job.is_accepted {
-            return violation(Invariant::Forgotten, id.to_owned());
+            return violation(Invariant::JobLost, id.to_owned());
         }
         return Ok(());
     };
     let record: JobRecord = match serde_json::from_str(&entry.value) {
         Ok(record) => record,
         Err(error) => {
-            return violation(Invariant::Unreadable, format!("{id}: unreadable: {error}"));
+            return violation(
+                Invariant::UnreadableRecord,
+                format!("{id}: unreadable: {error}"),
+            );
         }
     };
     if let Some(at) = job.dependency_cancelled_at {
@@ -180,7 +186,8 @@
     id: &str,
     at: Micros,
 ) -> Result<(), InvariantViolation> {
-    let violation = |text| Err(InvariantViolation::new(Invariant::Orphaned, text).of_job(id));
+    let violation =
+        |text| Err(InvariantViolation::new(Invariant::DependentNotCancelled, text).of_job(id));
     for node in &simulation.nodes {
         let knows = node.is_up(simulation.now)
             && node.controller.is_synced()
@@ -215,21 +222,24 @@
                 simulation.completed_tasks.get(id).map_or(0, BTreeSet::len) as u32
             };
             if done < tasks {
-                return violation(Invariant::NotDone, format!("{id} with {done} of {tasks}"));
+                return violation(
+                    Invariant::DoneWithoutResults,
+                    format!("{id} with {done} of {tasks}"),
+                );
             }
             if is_cancelled {
                 let text = format!("{id} was cancelled, now done");
-                return violation(Invariant::WentBack, text);
+                return violation(Invariant::StateReverted, text);
             }
             Ok(())
         }
         JobState::Cancelled if !is_cancelled => {
             let text = format!("{id} is cancelled by nobody");
-            violation(Invariant::WentBack, text)
+            violation(Invariant::StateReverted, text)
         }
         JobState::Active if job.cancelled_at.is_some() => {
             let text = format!("{id} was cancelled, now active");
-            violation(Invariant::WentBack, text)
+            violation(Invariant::StateReverted, text)
         }
         _ => Ok(()),
     }
--- a/crates/saltpitch-testkit/src/invariants/violation.rs
+++ b/crates/saltpitch-testkit/src/invariants/violation.rs
@@ -12,35 +12,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// At most one machine has a task at a time, in one cell or two.
-    RanTwice,
+    DuplicateExecution,
     /// Machines have tasks of submitted jobs only.
-    Invented,
+    UnknownJob,
     /// Tasks run on the machine types and in the zones that their job allows.
-    WrongPlace,
+    PlacementConstraint,
     /// A cancelled job leaves all machines within the cancellation time.
-    RanCancelled,
+    RunsAfterCancellation,
     /// A task starts after all jobs that its job depends on are done.
-    TooEarly,
+    StartBeforeDependencies,
     /// No team uses more than its limit.
-    Quota,
+    QuotaExceeded,
     /// A job that depends on a cancelled one is cancelled.
-    Orphaned,
+    DependentNotCancelled,
     /// A job that can never run is not accepted.
-    Accepted,
+    ImpossibleJobAccepted,
     /// In calm no job waits for long while machines have room for it.
-    Waits,
+    Starvation,
     /// Every controller in service knows every accepted job.
-    Forgotten,
+    JobLost,
     /// Records can be read.
-    Unreadable,
+    UnreadableRecord,
     /// A job that is done has a result of each task.
-    NotDone,
+    DoneWithoutResults,
     /// A job that is done or cancelled remains so.
-    WentBack,
+    StateReverted,
     /// At most one cell may start a job's tasks.
-    OwnedTwice,
+    DuplicateOwnership,
     /// A job completes in one cell only.
-    CompletedTwice,
+    DuplicateCompletion,
     /// A history as a whole serves its users.
     Unserved,
     /// At the end of a history every accepted job is done or cancelled.
@@ -51,21 +51,21 @@
     /// The name that reports use.
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::RanTwice => "ran_twice",
-            Invariant::Invented => "invented",
-            Invariant::WrongPlace => "wrong_place",
-            Invariant::RanCancelled => "ran_cancelled",
-            Invariant::TooEarly => "too_early",
-            Invariant::Quota => "quota",
-            Invariant::Orphaned => "orphaned",
-            Invariant::Accepted => "accepted",
-            Invariant::Waits => "waits",
-            Invariant::Forgotten => "forgotten",
-            Invariant::Unreadable => "unreadable",
-            Invariant::NotDone => "not_done",
-            Invariant::WentBack => "went_back",
-            Invariant::OwnedTwice => "owned_twice",
-            Invariant::CompletedTwice => "completed_twice",
+            Invariant::DuplicateExecution => "duplicate_execution",
+            Invariant::UnknownJob => "unknown_job",
+            Invariant::PlacementConstraint => "placement_constraint",
+            Invariant::RunsAfterCancellation => "runs_after_cancellation",
+            Invariant::StartBeforeDependencies => "start_before_dependencies",
+            Invariant::QuotaExceeded => "quota_exceeded",
+            Invariant::DependentNotCancelled => "dependent_not_cancelled",
+            Invariant::ImpossibleJobAccepted => "impossible_job_accepted",
+            Invariant::Starvation => "starvation",
+            Invariant::JobLost => "job_lost",
+            Invariant::UnreadableRecord => "unreadable_record",
+            Invariant::DoneWithoutResults => "done_without_results",
+            Invariant::StateReverted => "state_reverted",
+            Invariant::DuplicateOwnership => "duplicate_ownership",
+            Invariant::DuplicateCompletion => "duplicate_completion",
             Invariant::Unserved => "unserved",
             Invariant::Unfinished => "unfinished",
         }
@@ -75,7 +75,7 @@
     fn is_named_in_reports(self) -> bool {
         !matches!(
             self,
-            Invariant::Unreadable | Invariant::Unserved | Invariant::Unfinished
+            Invariant::UnreadableRecord | Invariant::Unserved | Invariant::Unfinished
         )
     }
 }
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -369,14 +369,14 @@
         for dependency in &known.spec.dependencies {
             if !is_complete(&self.jobs, &self.completed_tasks, dependency) {
                 let text = format!("{job}/{task}, which needs {dependency}");
-                let violation = InvariantViolation::new(Invariant::TooEarly, text);
+                let violation = InvariantViolation::new(Invariant::StartBeforeDependencies, text);
                 self.early_start = Some(violation.of_job(job).on_machine(machine));
             }
         }
         let cancelled_at = known.cancelled_at.or(known.dependency_cancelled_at);
         if cancelled_at.is_some_and(|at| self.now.since(at) > self.times.cancel_timeout) {
             let text = format!("{job}/{task} on {machine} started after its time");
-            let violation = InvariantViolation::new(Invariant::RanCancelled, text);
+            let violation = InvariantViolation::new(Invariant::RunsAfterCancellation, text);
             self.late_start = Some(violation.of_job(job).on_machine(machine));
         }
     }
--- a/crates/saltpitch-testkit/tests/cells.rs
+++ b/crates/saltpitch-testkit/tests/cells.rs
@@ -401,8 +401,11 @@
     let broken = cells
         .run(now.plus(seconds(60)))
         .expect_err("a rule is broken");
-    assert_eq!(broken.invariant, Invariant::OwnedTwice, "{broken}");
-    assert!(broken.to_string().contains("owned_twice"), "{broken}");
+    assert_eq!(broken.invariant, Invariant::DuplicateOwnership, "{broken}");
+    assert!(
+        broken.to_string().contains("duplicate_ownership"),
+        "{broken}"
+    );
 }
 
 /// And one that a submission reaches which home was told had never left.
@@ -419,8 +422,11 @@
     let broken = cells
         .run(now.plus(seconds(10)))
         .expect_err("a rule is broken");
-    assert_eq!(broken.invariant, Invariant::OwnedTwice, "{broken}");
-    assert!(broken.to_string().contains("owned_twice"), "{broken}");
+    assert_eq!(broken.invariant, Invariant::DuplicateOwnership, "{broken}");
+    assert!(
+        broken.to_string().contains("duplicate_ownership"),
+        "{broken}"
+    );
 }
 
 fn histories(seeds: std::ops::Range<u64>, faults: Faults) {
