--- a/crates/saltpitch-testkit/src/cells/controller.rs
+++ b/crates/saltpitch-testkit/src/cells/controller.rs
@@ -9,7 +9,7 @@
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
-use super::{Cell, Cells, BEGIN, NAMES};
+use super::{Cell, Cells, NAMES, START_OF_DAY};
 
 /// The store refuses a transaction above its rate this soon.
 const REFUSAL_DELAY: Micros = Micros::from_millis(5);
@@ -51,16 +51,16 @@
 impl Cells {
     /// Lets a controller look after its delegations, if it leads.
     pub(super) fn poll(&mut self, cell: usize, node: usize) {
-        let seed = self.random.random();
+        let seed = self.rng.random();
         let Cell {
             simulation,
             settings,
             leading,
             ..
         } = &mut self.cells[cell];
-        let (now, cancel) = (simulation.now, simulation.times.cancel);
+        let (now, cancel) = (simulation.now, simulation.times.cancel_timeout);
         let process = &mut simulation.nodes[node];
-        let stands_still = !process.is_up(now) || process.frozen(now) > Micros::ZERO;
+        let stands_still = !process.is_up(now) || process.remaining_pause(now) > Micros::ZERO;
         if stands_still || !process.knows_delegations {
             return;
         }
@@ -77,7 +77,7 @@
         }));
         let effects = leading.delegator.poll(&mut access, now, now);
         let notices = leading.delegator.take_notices();
-        let at = now.as_secs_f64() - BEGIN.as_secs_f64();
+        let at = now.as_secs_f64() - START_OF_DAY.as_secs_f64();
         let lines = notices
             .iter()
             .map(|notice| format!("{at:.1} {}: {notice}", NAMES[cell]));
@@ -95,20 +95,20 @@
     fn write(&mut self, requester: Requester, write: RecordWrite) {
         let cell = &self.cells[requester.cell];
         let reaches_store = cell.serves(requester.node);
-        let losses = cell.simulation.faults.losses;
+        let losses = cell.simulation.faults.lost_answers;
         if !reaches_store || (losses && self.random_below(20) == 0) {
-            return self.after(REFUSAL_DELAY, move |cells| {
+            return self.schedule_after(REFUSAL_DELAY, move |cells| {
                 cells.written(requester, &write, TransactionOutcome::Unavailable);
             });
         }
         let fate = self.draw_write_fate(requester.cell);
         if fate.answer_lost {
             let write = write.clone();
-            self.after(STORE_TIMEOUT, move |cells| {
+            self.schedule_after(STORE_TIMEOUT, move |cells| {
                 cells.written(requester, &write, TransactionOutcome::Unknown);
             });
         }
-        self.after(fate.applied_after, move |cells| {
+        self.schedule_after(fate.applied_after, move |cells| {
             let outcome = cells.cells[requester.cell].apply(&write);
             if !fate.answer_lost {
                 cells.written(requester, &write, outcome);
@@ -119,8 +119,8 @@
     /// Draws whether a write's answer is lost; such a write is applied up to nine seconds later.
     fn draw_write_fate(&mut self, cell: usize) -> WriteFate {
         let faults = self.cells[cell].simulation.faults;
-        let answer_lost = (faults.losses && self.random_below(10) == 0)
-            || (faults.late_writes && self.random_below(12) == 0);
+        let answer_lost = (faults.lost_answers && self.random_below(10) == 0)
+            || (faults.delayed_writes && self.random_below(12) == 0);
         let applied_after = if answer_lost {
             Micros::from_millis(self.random_below(9_000))
         } else {
@@ -151,7 +151,7 @@
                 value: RawValue::from_string(text).ok(),
                 revision,
             };
-            node.wrote(&change, now);
+            node.apply_own_write(&change, now);
         }
         let Some(scheduler) = node.scheduler_in(requester.epoch, now) else {
             return;
--- a/crates/saltpitch-testkit/src/cells/history.rs
+++ b/crates/saltpitch-testkit/src/cells/history.rs
@@ -58,10 +58,13 @@
 
 /// The tasks of a job that a machine has and that have not ended.
 fn held(simulation: &Simulation, id: &str) -> BTreeSet<u32> {
-    let machines = simulation.agents.values().filter(|machine| !machine.gone);
+    let machines = simulation
+        .agents
+        .values()
+        .filter(|machine| !machine.is_gone);
     let tasks = machines.flat_map(|machine| &machine.tasks);
     tasks
-        .filter(|((task, _), held)| task.0 == id && !held.exited())
+        .filter(|((task, _), held)| task.0 == id && !held.has_exited())
         .map(|((task, _), _)| task.1)
         .collect()
 }
@@ -77,18 +80,21 @@
     for (job, ids) in delegated_ids {
         let whole = |id: &String| {
             let tasks = there.jobs.get(id).map_or(0, |job| job.spec.tasks as usize);
-            there.done.get(id).is_some_and(|done| done.len() == tasks)
+            there
+                .completed_tasks
+                .get(id)
+                .is_some_and(|done| done.len() == tasks)
         };
         if ids.iter().any(whole) {
             complete.push(job.clone());
         }
     }
     let here = &mut cells.cells[origin].simulation;
-    here.done_elsewhere.extend(complete);
+    here.completed_in_other_cell.extend(complete);
     for job in delegated_ids.keys() {
         let delegated = record(here, job).is_some_and(|record| record.is_delegated());
         if let Some(job) = here.jobs.get_mut(job) {
-            job.elsewhere = delegated;
+            job.is_delegated = delegated;
         }
     }
 }
@@ -107,12 +113,16 @@
             let there_too: Vec<u32> = held(there, id).intersection(&running).copied().collect();
             if !there_too.is_empty() {
                 let text = format!("{job} and {id}, tasks {there_too:?}");
-                return violation(Invariant::RanTwice, job, text);
+                return violation(Invariant::DuplicateExecution, job, text);
             }
             let may_start =
                 record(there, id).is_some_and(|delegated| delegated.state == JobState::Active);
             if own && (may_start || !held(there, id).is_empty()) {
-                return violation(Invariant::OwnedTwice, job, format!("{job} and {id}"));
+                return violation(
+                    Invariant::DuplicateOwnership,
+                    job,
+                    format!("{job} and {id}"),
+                );
             }
         }
         let active = |id: &&String| {
@@ -120,7 +130,7 @@
         };
         if ids.iter().filter(active).count() > 1 {
             let text = format!("{job} by two delegations, {ids:?}");
-            return violation(Invariant::OwnedTwice, job, text);
+            return violation(Invariant::DuplicateOwnership, job, text);
         }
     }
     Ok(())
@@ -138,9 +148,13 @@
         let Some(confirmed_at) = confirmed_at else {
             continue;
         };
-        let late = here.now.since(confirmed_at) > here.times.cancel;
+        let late = here.now.since(confirmed_at) > here.times.cancel_timeout;
         if late && ids.iter().any(|id| !held(there, id).is_empty()) {
-            return violation(Invariant::RanCancelled, job, format!("{job} at the host"));
+            return violation(
+                Invariant::RunsAfterCancellation,
+                job,
+                format!("{job} at the host"),
+            );
         }
     }
     Ok(())
@@ -162,21 +176,26 @@
         let is_delegated = origin.as_ref().is_some_and(|origin| origin.is_delegated());
         let is_done_here = origin.is_some_and(|origin| origin.state == JobState::Done);
         if done > 1 || (done == 1 && !is_delegated && !is_done_here) {
-            return violation(Invariant::CompletedTwice, job, format!("{job}, {ids:?}"));
+            return violation(
+                Invariant::DuplicateCompletion,
+                job,
+                format!("{job}, {ids:?}"),
+            );
         }
     }
     Ok(())
 }
 
 /// At the end each accepted job is done or cancelled, services aside; says which is not.
-pub fn finished(cells: &Cells) -> Result<(), InvariantViolation> {
+pub fn check_finished(cells: &Cells) -> Result<(), InvariantViolation> {
     for (cell, name) in cells.cells.iter().zip(NAMES) {
         let own = cell
             .simulation
             .jobs
             .iter()
             .filter(|(id, _)| id.starts_with("job-"));
-        for (id, job) in own.filter(|(_, job)| job.accepted && job.spec.kind != JobKind::Service) {
+        for (id, job) in own.filter(|(_, job)| job.is_accepted && job.spec.kind != JobKind::Service)
+        {
             let record = record(&cell.simulation, id);
             let state = record.as_ref().map(|record| record.state);
             let expected = match job.cancelled_at {
--- a/crates/saltpitch-testkit/src/cells/settings.rs
+++ b/crates/saltpitch-testkit/src/cells/settings.rs
@@ -1,7 +1,7 @@
 //! The cells' settings files.
 
-use super::{GUESTS, NAMES};
-use crate::nodes::SITE;
+use super::{GUEST_TEAM, NAMES};
+use crate::nodes::CONTROLLERS;
 
 /// The ports of the listeners begin with these.
 pub(super) const FIRST_PORT: [u16; 2] = [9_100, 9_200];
@@ -15,9 +15,11 @@
 /// A cell's file: each cell delegates jobs to the other one and hosts the other one's.
 pub(super) fn file(cell: usize) -> String {
     let other = 1 - cell;
-    let addresses: Vec<String> = (0..SITE.len()).map(|node| address(other, node)).collect();
-    let listen: Vec<String> = (0..SITE.len())
-        .map(|node| format!("{} = {}", SITE[node].0, address(cell, node)))
+    let addresses: Vec<String> = (0..CONTROLLERS.len())
+        .map(|node| address(other, node))
+        .collect();
+    let listen: Vec<String> = (0..CONTROLLERS.len())
+        .map(|node| format!("{} = {}", CONTROLLERS[node].0, address(cell, node)))
         .collect();
     format!(
         r#"cell = "{}"
@@ -33,7 +35,7 @@
 max_jobs = 8
 max_tasks = 80
 [neighbour.guests]
-team = "{GUESTS}"
+team = "{GUEST_TEAM}"
 max_jobs = 8
 max_tasks = 80
 max_waiting = 3
--- a/crates/saltpitch-testkit/src/invariants.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -10,16 +10,16 @@
 use saltpitch_core::records::{job_key, JobRecord};
 use saltpitch_core::Micros;
 
-use crate::agents::{Agent, Held, TaskId};
+use crate::agents::{Agent, AgentTask, TaskId};
 use crate::simulation::{Simulation, UserJob};
 
 pub use violation::{Invariant, InvariantViolation};
 
 /// How long, in calm, a job may wait while a machine has room for it.
-pub const WAIT: Micros = Micros::from_secs(90);
+pub const MAX_WAIT_WITH_ROOM: Micros = Micros::from_secs(90);
 
 /// How soon the largest jobs have to begin.
-pub const BEGIN: Micros = Micros::from_secs(240);
+pub const MAX_START_WAIT_OF_LARGEST: Micros = Micros::from_secs(240);
 
 /// How long, in calm, a controller in service may be unable to answer a question about a job.
 const ANSWER_WITHIN: Micros = Micros::from_secs(75);
@@ -34,12 +34,16 @@
 /// The first invariant that the simulation breaks as it stands.
 pub fn check(simulation: &Simulation) -> Result<(), InvariantViolation> {
     let mut running = RunningTasks::default();
-    for agent in simulation.agents.values().filter(|agent| !agent.gone) {
-        for ((id, _), held) in agent.tasks.iter().filter(|(_, held)| held.on()) {
+    for agent in simulation.agents.values().filter(|agent| !agent.is_gone) {
+        for ((id, _), held) in agent
+            .tasks
+            .iter()
+            .filter(|(_, held)| held.counts_as_running())
+        {
             check_task(simulation, &mut running, agent, id, held)?;
         }
     }
-    for violation in [&simulation.too_early, &simulation.started_late] {
+    for violation in [&simulation.early_start, &simulation.late_start] {
         violation.clone().map_or(Ok(()), Err)?;
     }
     check_quotas(simulation, &running)?;
@@ -55,7 +59,7 @@
     running: &mut RunningTasks<'a>,
     agent: &'a Agent,
     (job_id, task): &'a TaskId,
-    held: &Held,
+    held: &AgentTask,
 ) -> Result<(), InvariantViolation> {
     let violation = |invariant: Invariant, text: String| {
         let violation = InvariantViolation::new(invariant, text);
@@ -65,23 +69,23 @@
     if let Some(other) = running.machine_of.insert((job_id, *task), machine) {
         let attempt = held.attempt;
         let text = format!("{job_id}/{task} attempt {attempt} on {machine} and {other}");
-        return violation(Invariant::RanTwice, text);
+        return violation(Invariant::DuplicateExecution, text);
     }
     let Some(job) = simulation.jobs.get(job_id) else {
-        return violation(Invariant::Invented, format!("{job_id} on {machine}"));
+        return violation(Invariant::UnknownJob, format!("{job_id} on {machine}"));
     };
     if !job.spec.allows(&agent.type_name, &agent.zone, agent.spot) {
         let text = format!("{job_id}/{task} on {machine}");
-        return violation(Invariant::WrongPlace, text);
+        return violation(Invariant::PlacementConstraint, text);
     }
     let used = running.used_by_team.entry(&job.spec.team).or_default();
     *used = used.plus(&job.spec.need);
     // On a machine that hangs as well: it may go on with the task when it resumes.
     let cancelled_for = job.cancelled_at.map(|at| simulation.now.since(at));
-    if let Some(late) = cancelled_for.filter(|late| *late > simulation.times.cancel) {
+    if let Some(late) = cancelled_for.filter(|late| *late > simulation.times.cancel_timeout) {
         let late = late.as_secs_f64();
         let text = format!("{job_id}/{task} on {machine} {late:.1} s after");
-        return violation(Invariant::RanCancelled, text);
+        return violation(Invariant::RunsAfterCancellation, text);
     }
     Ok(())
 }
@@ -91,7 +95,7 @@
         let used = running.used_by_team.get(team.name.as_str());
         if let Some(used) = used.filter(|used| !team.allows(used)) {
             let text = format!("{} uses {used:?}", team.name);
-            return Err(InvariantViolation::new(Invariant::Quota, text));
+            return Err(InvariantViolation::new(Invariant::QuotaExceeded, text));
         }
     }
     Ok(())
@@ -99,8 +103,12 @@
 
 fn check_zones(simulation: &Simulation) -> Result<(), InvariantViolation> {
     let mut by_job: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
-    for agent in simulation.agents.values().filter(|agent| !agent.gone) {
-        for ((id, _), _) in agent.tasks.iter().filter(|(_, held)| held.on()) {
+    for agent in simulation.agents.values().filter(|agent| !agent.is_gone) {
+        for ((id, _), _) in agent
+            .tasks
+            .iter()
+            .filter(|(_, held)| held.counts_as_running())
+        {
             let zones = by_job.entry(&id.0).or_default();
             *zones.entry(&agent.zone).or_default() += 1;
         }
@@ -117,7 +125,7 @@
         } else {
             continue;
         };
-        return Err(InvariantViolation::new(Invariant::WrongPlace, text).of_job(id));
+        return Err(InvariantViolation::new(Invariant::PlacementConstraint, text).of_job(id));
     }
     Ok(())
 }
@@ -129,36 +137,44 @@
     let can_run = job
         .spec
         .can_ever_run(simulation.catalog(), &simulation.teams);
-    if job.accepted && can_run.is_err() {
-        return violation(Invariant::Accepted, format!("{id} can never run"));
+    if job.is_accepted && can_run.is_err() {
+        return violation(
+            Invariant::ImpossibleJobAccepted,
+            format!("{id} can never run"),
+        );
     }
-    if let Some(since) = job.waits_since {
-        let waited = simulation.now.since(since.max(simulation.still_since));
-        if waited > WAIT {
-            return violation(Invariant::Waits, format!("{id} beside room that fits"));
+    if let Some(since) = job.waiting_since {
+        let waited = simulation
+            .now
+            .since(since.max(simulation.site_healthy_since));
+        if waited > MAX_WAIT_WITH_ROOM {
+            return violation(Invariant::Starvation, format!("{id} beside room that fits"));
         }
     }
-    if job.accepted {
-        for (node, answered_at) in simulation.nodes.iter().zip(&job.answered) {
-            let since = (*answered_at).max(simulation.calm_since);
+    if job.is_accepted {
+        for (node, answered_at) in simulation.nodes.iter().zip(&job.last_answered_at) {
+            let since = (*answered_at).max(simulation.controllers_healthy_since);
             if simulation.now.since(since) > ANSWER_WITHIN {
-                return violation(Invariant::Forgotten, format!("{id} by {}", node.name));
+                return violation(Invariant::JobLost, format!("{id} by {}", node.name));
             }
         }
     }
     let Some(entry) = simulation.store.keys.get(&job_key(id)) else {
-        if job.accepted {
-            return violation(Invariant::Forgotten, id.to_owned());
+        if job.is_accepted {
+            return violation(Invariant::JobLost, id.to_owned());
         }
         return Ok(());
     };
     let record: JobRecord = match serde_json::from_str(&entry.value) {
         Ok(record) => record,
         Err(error) => {
-            return violation(Invariant::Unreadable, format!("{id}: unreadable: {error}"));
+            return violation(
+                Invariant::UnreadableRecord,
+                format!("{id}: unreadable: {error}"),
+            );
         }
     };
-    if let Some(at) = job.withdrawn_at {
+    if let Some(at) = job.dependency_cancelled_at {
         check_withdrawn(simulation, id, at)?;
     }
     check_state(simulation, id, job, record.state)
@@ -170,16 +186,19 @@
     id: &str,
     at: Micros,
 ) -> Result<(), InvariantViolation> {
-    let violation = |text| Err(InvariantViolation::new(Invariant::Orphaned, text).of_job(id));
+    let violation =
+        |text| Err(InvariantViolation::new(Invariant::DependentNotCancelled, text).of_job(id));
     for node in &simulation.nodes {
         let knows = node.is_up(simulation.now)
             && node.controller.is_synced()
-            && node.records().revision == simulation.store.rev;
+            && node.records().revision == simulation.store.revision;
         if knows && node.records().job_state(id) != Some(JobState::Cancelled) {
             return violation(format!("{id} by {}", node.name));
         }
     }
-    if simulation.now.since(at) > simulation.times.cancel && simulation.running(id) > 0 {
+    if simulation.now.since(at) > simulation.times.cancel_timeout
+        && simulation.running_tasks(id) > 0
+    {
         return violation(format!("{id} still runs"));
     }
     Ok(())
@@ -193,31 +212,34 @@
     state: JobState,
 ) -> Result<(), InvariantViolation> {
     let violation = |invariant, text| Err(InvariantViolation::new(invariant, text).of_job(id));
-    let is_cancelled = job.cancelled_at.or(job.withdrawn_at).is_some();
+    let is_cancelled = job.cancelled_at.or(job.dependency_cancelled_at).is_some();
     match state {
         JobState::Done => {
             let tasks = job.spec.tasks;
-            let done = if simulation.done_elsewhere.contains(id) {
+            let done = if simulation.completed_in_other_cell.contains(id) {
                 tasks
             } else {
-                simulation.done.get(id).map_or(0, BTreeSet::len) as u32
+                simulation.completed_tasks.get(id).map_or(0, BTreeSet::len) as u32
             };
             if done < tasks {
-                return violation(Invariant::NotDone, format!("{id} with {done} of {tasks}"));
+                return violation(
+                    Invariant::DoneWithoutResults,
+                    format!("{id} with {done} of {tasks}"),
+                );
             }
             if is_cancelled {
                 let text = format!("{id} was cancelled, now done");
-                return violation(Invariant::WentBack, text);
+                return violation(Invariant::StateReverted, text);
             }
             Ok(())
         }
         JobState::Cancelled if !is_cancelled => {
             let text = format!("{id} is cancelled by nobody");
-            violation(Invariant::WentBack, text)
+            violation(Invariant::StateReverted, text)
         }
         JobState::Active if job.cancelled_at.is_some() => {
             let text = format!("{id} was cancelled, now active");
-            violation(Invariant::WentBack, text)
+            violation(Invariant::StateReverted, text)
         }
         _ => Ok(()),
     }
@@ -227,7 +249,7 @@
 /// is served, and the largest begin within four minutes. The largest are the largest tenth of a
 /// class by tasks, at least one. Served is: an array or a gang is done, a service ran whole. Jobs
 /// that were cancelled, or fail everywhere, don't count.
-pub fn served(simulation: &Simulation) -> Result<(), InvariantViolation> {
+pub fn check_served(simulation: &Simulation) -> Result<(), InvariantViolation> {
     let mut groups = group_jobs(simulation);
     for (name, mut largest) in groups.clone() {
         if !name.starts_with("class") {
@@ -242,7 +264,7 @@
     }
     for (name, jobs) in groups {
         let is_served = |(id, job): &&(&str, &UserJob)| match job.spec.kind {
-            JobKind::Service => job.begun_at.is_some(),
+            JobKind::Service => job.started_at.is_some(),
             _ => simulation.is_done(id),
         };
         let served = jobs.iter().filter(is_served).count();
@@ -261,8 +283,8 @@
         let JobSpec { class, team, .. } = &job.spec;
         // Spread over zones and bound to one, a job can't run whole.
         let impossible = job.spec.spread && job.spec.zone.is_some() && job.spec.tasks > 1;
-        let is_cancelled = job.cancelled_at.or(job.withdrawn_at).is_some();
-        if job.accepted && !job.mistaken && !impossible && !is_cancelled {
+        let is_cancelled = job.cancelled_at.or(job.dependency_cancelled_at).is_some();
+        if job.is_accepted && !job.always_fails && !impossible && !is_cancelled {
             for name in [format!("class {class}"), format!("team {team}")] {
                 groups.entry(name).or_default().push((id, job));
             }
@@ -277,9 +299,9 @@
     id: &str,
     job: &UserJob,
 ) -> Result<(), InvariantViolation> {
-    let begun_at = job.begun_at.unwrap_or(simulation.now);
+    let begun_at = job.started_at.unwrap_or(simulation.now);
     let waited = begun_at.since(job.submitted_at);
-    if waited <= BEGIN {
+    if waited <= MAX_START_WAIT_OF_LARGEST {
         return Ok(());
     }
     let (tasks, waited) = (job.spec.tasks, waited.as_secs_f64());
--- a/crates/saltpitch-testkit/src/simulation/agents.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -8,7 +8,7 @@
 use saltpitch_core::Micros;
 
 use super::{Simulation, UserJob};
-use crate::agents::{Agent, Held, TaskId};
+use crate::agents::{Agent, AgentTask, TaskId};
 
 /// An agent that has no answer within this time asks the next controller.
 const ANSWER_TIMEOUT: Micros = Micros::from_secs(4);
@@ -35,7 +35,7 @@
         let Some(agent) = self.agents.get_mut(name) else {
             return;
         };
-        if agent.gone || now < agent.boots_at {
+        if agent.is_gone || now < agent.up_at {
             return;
         }
         // A machine that hangs for longer than its lease has lost its tasks when it resumes.
@@ -46,11 +46,11 @@
         let completed = advance_tasks(agent, &self.jobs, now);
         time_out_heartbeat(agent, now);
         let due = is_heartbeat_due(agent, times.heartbeat_interval, now);
-        agent.changed |= !completed.is_empty();
+        agent.has_changes |= !completed.is_empty();
         let heartbeat = due.then(|| begin_heartbeat(agent, times.heartbeat_interval, now));
-        let target = agent.target;
+        let target = agent.target_node;
         for (job, task) in completed {
-            self.done.entry(job).or_default().insert(task);
+            self.completed_tasks.entry(job).or_default().insert(task);
         }
         if let Some(heartbeat) = heartbeat {
             self.send_agent_heartbeat(name, target, heartbeat);
@@ -58,64 +58,64 @@
     }
 
     fn send_agent_heartbeat(&mut self, name: &str, target: usize, heartbeat: Heartbeat) {
-        if self.agents[name].outbound_cut_until > self.now {
+        if self.agents[name].outbound_partition_until > self.now {
             // No connection: nothing of it ever arrives, and the agent tries the next controller.
             let name = name.to_owned();
             let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
-            return self.after(CONNECTION_FAILURE, move |simulation| {
-                simulation.answered(&name, agent_epoch, sequence, None, None)
+            return self.schedule_after(CONNECTION_FAILURE, move |simulation| {
+                simulation.heartbeat_answered(&name, agent_epoch, sequence, None, None)
             });
         }
         // A partition holds packets back and delivers them when it ends.
         let held = self.partitioned_for(target, name);
-        let wait = held.plus(self.delay());
-        if self.chance(self.faults.copies, 1.5) {
-            self.send_late_copy(heartbeat.clone(), wait);
+        let wait = held.plus(self.draw_delay());
+        if self.draw_fault(self.faults.delayed_duplicates, 1.5) {
+            self.send_delayed_duplicate(heartbeat.clone(), wait);
         }
-        self.after(wait, move |simulation| {
-            simulation.deliver(target, heartbeat)
+        self.schedule_after(wait, move |simulation| {
+            simulation.deliver_heartbeat(target, heartbeat)
         });
     }
 
     /// Delivers a copy of a heartbeat to a random controller, up to a minute after the heartbeat itself.
-    fn send_late_copy(&mut self, copy: Heartbeat, wait: Micros) {
+    fn send_delayed_duplicate(&mut self, copy: Heartbeat, wait: Micros) {
         let node_index = self.random_below(3) as usize;
         let late = Micros::from_millis(1_000 + self.random_below(60_000));
-        self.after(wait.plus(late), move |simulation| {
-            simulation.deliver_copy(node_index, copy)
+        self.schedule_after(wait.plus(late), move |simulation| {
+            simulation.deliver_duplicate(node_index, copy)
         });
     }
 
     /// Delivers a copy of an old heartbeat. The answer goes nowhere: no agent waits for it.
-    pub fn deliver_copy(&mut self, node_index: usize, heartbeat: Heartbeat) {
+    pub fn deliver_duplicate(&mut self, node_index: usize, heartbeat: Heartbeat) {
         let now = self.now;
-        let frozen = self.nodes[node_index].frozen(now);
+        let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
-                simulation.deliver_copy(node_index, heartbeat)
+            return self.schedule_after(frozen, move |simulation| {
+                simulation.deliver_duplicate(node_index, heartbeat)
             });
         }
         if self.nodes[node_index].may_answer(now) {
-            let answer = self.nodes[node_index].heartbeat(heartbeat, now);
+            let answer = self.nodes[node_index].answer_heartbeat(heartbeat, now);
             self.trace.report_answer(node_index, &answer, now);
             self.poll(node_index);
         }
     }
 
-    fn deliver(&mut self, node_index: usize, heartbeat: Heartbeat) {
+    fn deliver_heartbeat(&mut self, node_index: usize, heartbeat: Heartbeat) {
         let now = self.now;
-        let frozen = self.nodes[node_index].frozen(now);
+        let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
-                simulation.deliver(node_index, heartbeat)
+            return self.schedule_after(frozen, move |simulation| {
+                simulation.deliver_heartbeat(node_index, heartbeat)
             });
         }
-        if !self.nodes[node_index].is_up(now) || !self.nodes[node_index].started {
+        if !self.nodes[node_index].is_up(now) || !self.nodes[node_index].is_started {
             return;
         }
         let name = heartbeat.machine.clone();
         let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
-        let answer = self.nodes[node_index].heartbeat(heartbeat, now);
+        let answer = self.nodes[node_index].answer_heartbeat(heartbeat, now);
         self.trace.report_answer(node_index, &answer, now);
         let (answer, leader) = match answer {
             HeartbeatAnswer::Commands {
@@ -127,14 +127,16 @@
         self.poll(node_index);
         let leader = leader.and_then(|name| self.nodes.iter().position(|node| node.name == name));
         // A partition that began meanwhile holds the answer back, and the agent drops it then.
-        let wait = self.partitioned_for(node_index, &name).plus(self.delay());
-        self.after(wait, move |simulation| {
-            simulation.answered(&name, agent_epoch, sequence, answer, leader)
+        let wait = self
+            .partitioned_for(node_index, &name)
+            .plus(self.draw_delay());
+        self.schedule_after(wait, move |simulation| {
+            simulation.heartbeat_answered(&name, agent_epoch, sequence, answer, leader)
         });
     }
 
     /// An agent takes in the answer to its heartbeat, if it still waits for that one.
-    pub(super) fn answered(
+    pub(super) fn heartbeat_answered(
         &mut self,
         name: &str,
         agent_epoch: u64,
@@ -143,32 +145,33 @@
         leader: Option<usize>,
     ) {
         let now = self.now;
-        let is_reachable = |agent: &&mut Agent| agent.is_up(now) && now >= agent.inbound_cut_until;
+        let is_reachable =
+            |agent: &&mut Agent| agent.is_up(now) && now >= agent.inbound_partition_until;
         let Some(agent) = self.agents.get_mut(name).filter(is_reachable) else {
             return;
         };
         let awaited =
             |waiting: &(u64, Micros)| waiting.0 == sequence && agent.agent_epoch == agent_epoch;
-        let Some((_, sent_at)) = agent.waiting.filter(awaited) else {
+        let Some((_, sent_at)) = agent.pending_heartbeat.filter(awaited) else {
             return;
         };
-        agent.waiting = None;
+        agent.pending_heartbeat = None;
         match answer {
             Some((fencing_token, commands)) => {
-                if agent.take_token(fencing_token) {
-                    agent.lease_from = sent_at;
+                if agent.accept_token(fencing_token) {
+                    agent.lease_renewed_at = sent_at;
                     self.execute(name, &commands);
                 }
             }
             None => {
-                agent.target = leader.unwrap_or((agent.target + 1) % 3);
-                agent.next_report = now.plus(MIN_HEARTBEAT_SPACING);
+                agent.target_node = leader.unwrap_or((agent.target_node + 1) % 3);
+                agent.next_heartbeat_at = now.plus(MIN_HEARTBEAT_SPACING);
             }
         }
     }
 
     /// Gangs start when all members of an attempt wait, and end together.
-    pub(super) fn gangs(&mut self) {
+    pub(super) fn advance_gangs(&mut self) {
         let gangs: Vec<String> = self
             .jobs
             .iter()
@@ -211,24 +214,24 @@
         attempts: &BTreeMap<u32, GangMembers>,
     ) -> bool {
         let now = self.now;
-        let (gang_wait, gang_peer) = (self.times.gang_wait, self.times.gang_peer);
+        let (gang_wait, gang_peer) = (self.times.gang_wait_timeout, self.times.gang_peer_timeout);
         let mut finished = false;
         for member in self.members(id) {
             let counts = attempts[&member.attempt];
             match member.state {
                 TaskState::Waiting if counts.waiting == size => {
                     member.state = TaskState::Running;
-                    member.until = now.plus(member.run);
+                    member.phase_ends_at = now.plus(member.run_time);
                 }
-                TaskState::Waiting if now.since(member.until) > gang_wait => {
+                TaskState::Waiting if now.since(member.phase_ends_at) > gang_wait => {
                     member.state = exited(ExitCause::GangIncomplete);
                 }
-                TaskState::Running if counts.running == size && member.until <= now => {
+                TaskState::Running if counts.running == size && member.phase_ends_at <= now => {
                     finished = true;
                 }
                 TaskState::Running
                     if counts.running + counts.done < size
-                        && now.plus(member.run).since(member.until) > gang_peer =>
+                        && now.plus(member.run_time).since(member.phase_ends_at) > gang_peer =>
                 {
                     member.state = exited(ExitCause::PeerLost);
                 }
@@ -244,14 +247,17 @@
                 member.state = exited(ExitCause::Done);
             }
         }
-        self.done.entry(id.to_owned()).or_default().extend(0..size);
+        self.completed_tasks
+            .entry(id.to_owned())
+            .or_default()
+            .extend(0..size);
         for agent in self.agents.values_mut() {
-            agent.changed = true;
+            agent.has_changes = true;
         }
     }
 
     /// The tasks of a gang on machines that are up.
-    fn members<'a>(&'a mut self, id: &'a str) -> impl Iterator<Item = &'a mut Held> {
+    fn members<'a>(&'a mut self, id: &'a str) -> impl Iterator<Item = &'a mut AgentTask> {
         let now = self.now;
         self.agents
             .values_mut()
@@ -277,36 +283,36 @@
         let Some(job) = jobs.get(&id.0) else {
             continue;
         };
-        if job.mistaken && held.state == TaskState::Running {
+        if job.always_fails && held.state == TaskState::Running {
             held.state = exited(ExitCause::Error);
-            agent.changed = true;
+            agent.has_changes = true;
             continue;
         }
         if advance(held, &job.spec, now) {
             completed.push(id.clone());
         }
         let under_way = matches!(held.state, TaskState::Running | TaskState::Waiting);
-        if under_way && held.until <= now {
-            agent.changed = true;
+        if under_way && held.phase_ends_at <= now {
+            agent.has_changes = true;
         }
     }
     completed
 }
 
 /// Moves a task on by itself; true when it has just completed.
-fn advance(held: &mut Held, spec: &JobSpec, now: Micros) -> bool {
-    if now < held.until {
+fn advance(held: &mut AgentTask, spec: &JobSpec, now: Micros) -> bool {
+    if now < held.phase_ends_at {
         return false;
     }
     match held.state {
         TaskState::Fetching if spec.kind == JobKind::Gang => {
             held.state = TaskState::Waiting;
-            held.until = now;
+            held.phase_ends_at = now;
             false
         }
         TaskState::Fetching => {
             held.state = TaskState::Running;
-            held.until = now.plus(held.run);
+            held.phase_ends_at = now.plus(held.run_time);
             false
         }
         TaskState::Running if spec.kind == JobKind::Array => {
@@ -327,25 +333,26 @@
 /// Gives up a heartbeat that is not answered in time and turns to the next controller.
 fn time_out_heartbeat(agent: &mut Agent, now: Micros) {
     let timed_out = |waiting: (u64, Micros)| now.since(waiting.1) > ANSWER_TIMEOUT;
-    if agent.waiting.is_some_and(timed_out) {
-        agent.waiting = None;
-        agent.target = (agent.target + 1) % 3;
-        agent.next_report = now.plus(RETRY_BACKOFF);
+    if agent.pending_heartbeat.is_some_and(timed_out) {
+        agent.pending_heartbeat = None;
+        agent.target_node = (agent.target_node + 1) % 3;
+        agent.next_heartbeat_at = now.plus(RETRY_BACKOFF);
     }
 }
 
 /// Heartbeats are sent at an interval, and sooner when something has changed; one at a time.
 fn is_heartbeat_due(agent: &Agent, interval: Micros, now: Micros) -> bool {
-    let since_last = now.plus(interval).since(agent.next_report);
-    let due = now >= agent.next_report || (agent.changed && since_last > MIN_HEARTBEAT_SPACING);
-    due && agent.waiting.is_none()
+    let since_last = now.plus(interval).since(agent.next_heartbeat_at);
+    let due =
+        now >= agent.next_heartbeat_at || (agent.has_changes && since_last > MIN_HEARTBEAT_SPACING);
+    due && agent.pending_heartbeat.is_none()
 }
 
 /// Makes the next heartbeat, whose answer the agent waits for from now on.
 fn begin_heartbeat(agent: &mut Agent, interval: Micros, now: Micros) -> Heartbeat {
-    agent.changed = false;
-    agent.next_report = now.plus(interval);
+    agent.has_changes = false;
+    agent.next_heartbeat_at = now.plus(interval);
     let heartbeat = agent.heartbeat();
-    agent.waiting = Some((heartbeat.sequence, now));
+    agent.pending_heartbeat = Some((heartbeat.sequence, now));
     heartbeat
 }
--- a/crates/saltpitch-testkit/src/simulation/cloud.rs
+++ b/crates/saltpitch-testkit/src/simulation/cloud.rs
@@ -27,11 +27,11 @@
 impl Simulation {
     /// Provisions what the cloud has of the machines requested.
     pub(super) fn scale_out(&mut self, request: &ScaleOutRequest) -> ScaleOutOutcome {
-        if let Some(names) = self.requests.get(&request.id) {
+        if let Some(names) = self.machines_by_request.get(&request.id) {
             return ScaleOutOutcome::Machines(names.clone());
         }
         let in_pool = |agent: &&Agent| {
-            !agent.gone
+            !agent.is_gone
                 && agent.type_name == request.type_name
                 && agent.zone == request.zone
                 && agent.spot == request.spot
@@ -46,7 +46,8 @@
         let names: Vec<String> = (0..count)
             .map(|_| self.provision_machine(request))
             .collect();
-        self.requests.insert(request.id.clone(), names.clone());
+        self.machines_by_request
+            .insert(request.id.clone(), names.clone());
         ScaleOutOutcome::Machines(names)
     }
 
@@ -55,7 +56,7 @@
     fn provision_machine(&mut self, request: &ScaleOutRequest) -> String {
         self.next_machine += 1;
         let name = format!("vm-{:06}", self.next_machine);
-        let faulty = self.faults.machines && self.now < self.quiet_from;
+        let faulty = self.faults.machine_failures && self.now < self.faults_end_at;
         let provisioning = match self.random_below(12) {
             0 if faulty => NEVER,
             1 if faulty => LATE_PROVISIONING,
@@ -71,22 +72,22 @@
             zone: request.zone.clone(),
             spot: request.spot,
             size: machine_type.map(|known| known.size).unwrap_or_default(),
-            slow,
-            boots_at,
-            gone: false,
+            is_slow: slow,
+            up_at: boots_at,
+            is_gone: false,
             hung_until: Micros::ZERO,
-            inbound_cut_until: Micros::ZERO,
-            outbound_cut_until: Micros::ZERO,
+            inbound_partition_until: Micros::ZERO,
+            outbound_partition_until: Micros::ZERO,
             agent_epoch: 1,
             sequence: 0,
             fencing_token: 0,
-            lease_from: boots_at,
-            notice: None,
+            lease_renewed_at: boots_at,
+            spot_notice: None,
             tasks: BTreeMap::new(),
-            target,
-            next_report: Micros::ZERO,
-            waiting: None,
-            changed: false,
+            target_node: target,
+            next_heartbeat_at: Micros::ZERO,
+            pending_heartbeat: None,
+            has_changes: false,
         };
         self.agents.insert(name.clone(), agent);
         name
@@ -103,11 +104,11 @@
             failed: false,
             age: LISTED_AGE,
         };
-        let present = self.agents.values().filter(|agent| !agent.gone);
+        let present = self.agents.values().filter(|agent| !agent.is_gone);
         let list: Vec<ListedMachine> = present.map(listed).collect();
         let epoch = self.nodes[node_index].epoch();
         let lag = Micros::from_secs(self.random_below(12));
-        self.after(lag, move |simulation| {
+        self.schedule_after(lag, move |simulation| {
             let records = simulation.nodes[node_index].records();
             let returned = records.returned_machines.clone();
             simulation.notify_scheduler(node_index, epoch, move |scheduler, now| {
--- a/crates/saltpitch-testkit/src/simulation/controllers.rs
+++ b/crates/saltpitch-testkit/src/simulation/controllers.rs
@@ -40,30 +40,32 @@
         let apart = if zone == Some(node.zone.as_str()) {
             Micros::ZERO
         } else {
-            self.apart_until
+            self.zone_partition_until
         };
-        node.no_workers_until.max(apart).since(self.now)
+        node.agent_partition_until.max(apart).since(self.now)
     }
 
     /// How long what is sent to this machine is held back.
     pub(super) fn inbound_partitioned_for(&self, machine: &str) -> Micros {
         let agent = self.agents.get(machine);
         agent.map_or(Micros::ZERO, |agent| {
-            agent.inbound_cut_until.since(self.now)
+            agent.inbound_partition_until.since(self.now)
         })
     }
 
     /// What a controller's process does in one tick.
     pub(super) fn node_tick(&mut self, node_index: usize) {
         let now = self.now;
-        if !self.nodes[node_index].is_up(now) || self.nodes[node_index].frozen(now) > Micros::ZERO {
+        if !self.nodes[node_index].is_up(now)
+            || self.nodes[node_index].remaining_pause(now) > Micros::ZERO
+        {
             return;
         }
-        if !self.nodes[node_index].started {
+        if !self.nodes[node_index].is_started {
             let scheduler = self.scheduler_config(node_index);
             self.nodes[node_index].start(scheduler, now);
         }
-        let reaches = self.nodes[node_index].reaches_store(&self.store, now);
+        let reaches = self.nodes[node_index].can_reach_store(&self.store, now);
         if reaches && self.is_due(FOLLOW_INTERVAL) {
             self.follow(node_index);
         }
@@ -95,13 +97,13 @@
     fn follow(&mut self, node_index: usize) {
         let now = self.now;
         let node = &mut self.nodes[node_index];
-        node.follow(&self.store, now);
+        node.read_records(&self.store, now);
         if node.controller.catalog().is_none() {
             node.controller.set_catalog(self.catalog.clone());
         }
         if !node.controller.is_announced() {
             node.announce(&mut self.store);
-            node.follow(&self.store, now);
+            node.read_records(&self.store, now);
         }
     }
 
@@ -125,7 +127,7 @@
     /// An election takes time: the lease is opened, the transaction travels, its answer may be lost,
     /// and the records are read again. Processes end and return, and others campaign, in between.
     fn elect(&mut self, node_index: usize) {
-        if std::mem::replace(&mut self.nodes[node_index].bidding, true) {
+        if std::mem::replace(&mut self.nodes[node_index].is_campaigning, true) {
             return;
         }
         let now = self.now;
@@ -134,16 +136,16 @@
         let campaign = self.nodes[node_index].controller.campaign(now);
         let store_lease = self.store.grant_lease(LEADERSHIP_LEASE, now);
         let (Some(campaign), Some(store_lease)) = (campaign, store_lease) else {
-            self.nodes[node_index].bidding = false;
+            self.nodes[node_index].is_campaigning = false;
             return;
         };
-        let lost = self.faults.losses && self.random_below(5) == 0;
+        let lost = self.faults.lost_answers && self.random_below(5) == 0;
         let delay = if lost {
             self.random_below(4_000)
         } else {
             self.random_below(300)
         };
-        self.after(Micros::from_millis(delay), move |simulation| {
+        self.schedule_after(Micros::from_millis(delay), move |simulation| {
             // Sent is sent: it is carried out whether or not the process still lives.
             let attached = Some((store_lease, LEADER_KEY));
             let outcome = simulation.store.txn(
@@ -162,7 +164,7 @@
                 store_lease,
                 opened_at: now,
             };
-            simulation.after(delay, move |simulation| {
+            simulation.schedule_after(delay, move |simulation| {
                 simulation.attempt_answered(node_index, epoch, pending, outcome)
             });
         });
@@ -180,9 +182,9 @@
         if node.epoch() != epoch || !node.is_up(now) {
             return;
         }
-        node.bidding = false;
+        node.is_campaigning = false;
         // Read when nobody waits for it any more, or without the state service: the lease runs out.
-        if node.frozen(now) > Micros::ZERO || !node.reaches_store(&self.store, now) {
+        if node.remaining_pause(now) > Micros::ZERO || !node.can_reach_store(&self.store, now) {
             return;
         }
         let PendingAttempt {
@@ -192,7 +194,7 @@
         } = pending;
         let elected = match outcome {
             TransactionOutcome::Committed(revision) => {
-                node.follow(&self.store, now);
+                node.read_records(&self.store, now);
                 let controller = &mut node.controller;
                 controller.election_won(campaign, store_lease, revision, opened_at, now, now)
             }
@@ -206,7 +208,10 @@
     /// What a node's version makes of the settings.
     fn scheduler_config(&self, node_index: usize) -> SchedulerConfig {
         let mut config = self.config.clone();
-        if let Some((bytes, ops, rate)) = self.next_limits.filter(|_| !self.nodes[node_index].old) {
+        if let Some((bytes, ops, rate)) = self
+            .next_store_limits
+            .filter(|_| !self.nodes[node_index].runs_version_0)
+        {
             config.max_value_bytes = config.max_value_bytes.min(bytes);
             config.max_transaction_writes = config.max_transaction_writes.min(ops);
             config.next_write_rate = f64::from(rate) * 0.7;
@@ -240,8 +245,8 @@
                 asked_at,
                 epoch,
             };
-            let delay = self.delay();
-            self.after(delay, move |simulation| {
+            let delay = self.draw_delay();
+            self.schedule_after(delay, move |simulation| {
                 simulation.heartbeat_arrives(exchange, peer_heartbeat)
             });
         }
@@ -250,14 +255,14 @@
     fn heartbeat_arrives(&mut self, exchange: Exchange, peer_heartbeat: PeerStatus) {
         let now = self.now;
         let (from, to) = (&self.nodes[exchange.from], &self.nodes[exchange.to]);
-        let apart = from.zone != to.zone && now < self.apart_until;
-        let cut = apart || now < from.no_peers_until || now < to.no_peers_until;
-        if cut || !to.is_up(now) || !to.started {
+        let apart = from.zone != to.zone && now < self.zone_partition_until;
+        let cut = apart || now < from.peer_partition_until || now < to.peer_partition_until;
+        if cut || !to.is_up(now) || !to.is_started {
             return;
         }
-        let frozen = to.frozen(now);
+        let frozen = to.remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
+            return self.schedule_after(frozen, move |simulation| {
                 simulation.heartbeat_arrives(exchange, peer_heartbeat)
             });
         }
@@ -266,8 +271,8 @@
         if now.since(exchange.asked_at) > HEARTBEAT_TIMEOUT {
             return;
         }
-        let delay = self.delay();
-        self.after(delay, move |simulation| {
+        let delay = self.draw_delay();
+        self.schedule_after(delay, move |simulation| {
             simulation.peer_heartbeat_answered(exchange, answer)
         });
     }
@@ -275,9 +280,9 @@
     fn peer_heartbeat_answered(&mut self, exchange: Exchange, answer: PeerStatus) {
         let now = self.now;
         let node_index = exchange.from;
-        let frozen = self.nodes[node_index].frozen(now);
+        let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
+            return self.schedule_after(frozen, move |simulation| {
                 simulation.peer_heartbeat_answered(exchange, answer)
             });
         }
@@ -327,9 +332,9 @@
         deliver: impl FnOnce(&mut Scheduler, Micros) + 'static,
     ) {
         let now = self.now;
-        let frozen = self.nodes[node_index].frozen(now);
+        let frozen = self.nodes[node_index].remaining_pause(now);
         if frozen > Micros::ZERO {
-            return self.after(frozen, move |simulation| {
+            return self.schedule_after(frozen, move |simulation| {
                 simulation.notify_scheduler(node_index, epoch, deliver)
             });
         }
--- a/crates/saltpitch-testkit/src/simulation/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -41,15 +41,15 @@
         };
         let known = self.jobs.entry(id.to_owned()).or_insert(UserJob {
             spec: spec.clone(),
-            elsewhere: false,
-            accepted: false,
+            is_delegated: false,
+            is_accepted: false,
             cancelled_at: None,
             submitted_at: self.now,
-            begun_at: None,
-            answered: vec![self.now; self.nodes.len()],
-            mistaken: id.ends_with('7') && spec.kind == JobKind::Array,
-            waits_since: None,
-            withdrawn_at: None,
+            started_at: None,
+            last_answered_at: vec![self.now; self.nodes.len()],
+            always_fails: id.ends_with('7') && spec.kind == JobKind::Array,
+            waiting_since: None,
+            dependency_cancelled_at: None,
         });
         let key = job_key(id);
         let write = Write {
@@ -61,7 +61,7 @@
         self.trace.outcome(&outcome);
         match outcome {
             TransactionOutcome::Committed(_) | TransactionOutcome::Conflict(_) => {
-                known.accepted = true;
+                known.is_accepted = true;
                 self.note_withdrawn();
                 true
             }
@@ -75,8 +75,8 @@
         let serves = |node: &Node| {
             node.is_up(now)
                 && node.controller.is_synced()
-                && node.frozen(now) == Micros::ZERO
-                && node.reaches_store(store, now)
+                && node.remaining_pause(now) == Micros::ZERO
+                && node.can_reach_store(store, now)
         };
         let serving: Vec<usize> = (0..self.nodes.len())
             .filter(|node_index| serves(&self.nodes[*node_index]))
@@ -110,7 +110,7 @@
             value: serde_json::to_string(&record).ok(),
         };
         let value = write.value.clone().unwrap_or_default();
-        let precondition = Precondition::new(key.clone(), entry.rev);
+        let precondition = Precondition::new(key.clone(), entry.revision);
         let outcome = self.store.txn(&[precondition], &[write], None);
         self.trace.event("abort", self.now).text(id);
         self.trace.outcome(&outcome);
@@ -123,7 +123,7 @@
                 value: Some(value),
                 revision,
             };
-            self.nodes[node_index].wrote(&change, self.now);
+            self.nodes[node_index].apply_own_write(&change, self.now);
         }
         if confirmed {
             self.note_cancelled(id);
@@ -141,7 +141,8 @@
 
     /// Notes which jobs are cancelled because a job that they depend on is, directly or through others.
     fn note_withdrawn(&mut self) {
-        let is_cancelled = |job: &UserJob| job.cancelled_at.is_some() || job.withdrawn_at.is_some();
+        let is_cancelled =
+            |job: &UserJob| job.cancelled_at.is_some() || job.dependency_cancelled_at.is_some();
         loop {
             let depends_on_cancelled = |job: &UserJob| {
                 let mut dependencies = job.spec.dependencies.iter();
@@ -150,7 +151,7 @@
             let withdrawn: Vec<String> = self
                 .jobs
                 .iter()
-                .filter(|(_, job)| job.accepted && !is_cancelled(job))
+                .filter(|(_, job)| job.is_accepted && !is_cancelled(job))
                 .filter(|(_, job)| depends_on_cancelled(job))
                 .map(|(id, _)| id.clone())
                 .collect();
@@ -159,7 +160,7 @@
             }
             for id in withdrawn {
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.withdrawn_at = Some(self.now);
+                    job.dependency_cancelled_at = Some(self.now);
                 }
             }
         }
@@ -234,12 +235,12 @@
     }
 
     /// The tasks of a job that are on machines now.
-    pub fn running(&self, id: &str) -> usize {
+    pub fn running_tasks(&self, id: &str) -> usize {
         self.agents
             .values()
-            .filter(|agent| !agent.gone)
+            .filter(|agent| !agent.is_gone)
             .flat_map(|agent| agent.tasks.iter())
-            .filter(|((task_id, _), held)| task_id.0 == id && held.on())
+            .filter(|((task_id, _), held)| task_id.0 == id && held.counts_as_running())
             .count()
     }
 }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/cancellations.rs
@@ -10,19 +10,23 @@
 fn cancellation_by_a_follower_holds_when_the_leader_loses_the_store_before_an_outage() {
     for seed in 10..16 {
         let (mut w, ids, leader) = at_work(seed, 4);
-        w.nodes[leader].no_store_until = w.now.plus(secs(14));
+        w.nodes[leader].store_partition_until = w.now.plus(secs(14));
         run(&mut w, seed, 41);
         for id in &ids[..2] {
             assert!(w.cancel_by(other(leader), id), "seed {seed}");
         }
         run(&mut w, seed, 42);
-        w.store.down = true;
+        w.store.is_down = true;
         run(&mut w, seed, 42 + 78);
         // The old leader was told by the node that confirmed them, and went on for the others.
         assert_eq!(w.leader(), Some(leader), "seed {seed}");
-        assert_eq!(w.running(&ids[0]) + w.running(&ids[1]), 0, "seed {seed}");
-        assert!(w.running(&ids[2]) > 0 && w.running(&ids[3]) > 0);
-        w.store.down = false;
+        assert_eq!(
+            w.running_tasks(&ids[0]) + w.running_tasks(&ids[1]),
+            0,
+            "seed {seed}"
+        );
+        assert!(w.running_tasks(&ids[2]) > 0 && w.running_tasks(&ids[3]) > 0);
+        w.store.is_down = false;
         run(&mut w, seed, 200);
     }
 }
@@ -33,8 +37,8 @@
     for seed in 150..158 {
         let (mut w, ids, old) = at_work(seed, 4);
         let until = w.now.plus(secs(90));
-        w.nodes[old].no_store_until = until;
-        w.nodes[old].no_peers_until = until;
+        w.nodes[old].store_partition_until = until;
+        w.nodes[old].peer_partition_until = until;
         run(&mut w, seed, 41 + seed % 8);
         for id in &ids[..3] {
             assert!(w.cancel(id), "seed {seed}");
@@ -56,7 +60,7 @@
 fn cancellation_holds_when_the_store_refuses_the_leader_and_then_all() {
     for seed in 250..258 {
         let (mut w, ids, leader) = at_work(seed, 4);
-        w.nodes[leader].no_store_until = w.now.plus(secs(14));
+        w.nodes[leader].store_partition_until = w.now.plus(secs(14));
         for id in &ids[..2] {
             assert!(w.cancel_by(other(leader), id), "seed {seed}");
         }
@@ -65,14 +69,18 @@
         while w.now < at {
             w.step().expect("no rule is broken");
         }
-        w.store.down = true;
+        w.store.is_down = true;
         // The node that confirmed them ends, in some histories, and forgets them.
         if seed % 2 == 0 {
             w.crash_for(other(leader), Micros::from_millis(300));
         }
         run(&mut w, seed, 41 + 78);
-        assert_eq!(w.running(&ids[0]) + w.running(&ids[1]), 0, "seed {seed}");
-        w.store.down = false;
+        assert_eq!(
+            w.running_tasks(&ids[0]) + w.running_tasks(&ids[1]),
+            0,
+            "seed {seed}"
+        );
+        w.store.is_down = false;
         run(&mut w, seed, 1_500);
         all_over(&w, seed);
     }
@@ -92,7 +100,7 @@
         };
         let spec = plain(&mut w, kind, 3, 6);
         w.submit(&id, spec.clone());
-        let all = |w: &Simulation| w.done.get(&id).is_some_and(|d| d.len() == 3);
+        let all = |w: &Simulation| w.completed_tasks.get(&id).is_some_and(|d| d.len() == 3);
         while !all(&w) {
             w.step().expect("no rule is broken");
         }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/machines.rs
@@ -23,7 +23,7 @@
             ids.push(id);
         }
         run(&mut w, seed, 50);
-        let on: usize = ids.iter().map(|id| w.running(id)).sum();
+        let on: usize = ids.iter().map(|id| w.running_tasks(id)).sum();
         assert_eq!(on, 20, "seed {seed}: the limit is not used up");
         let leader = w.leader().expect("a leader");
         w.crash_for(leader, secs(5));
@@ -32,12 +32,12 @@
         for (i, m) in w.agents.values_mut().enumerate() {
             match i % 4 {
                 0 => m.hung_until = until,
-                1 => m.inbound_cut_until = until.plus(secs(30)),
+                1 => m.inbound_partition_until = until.plus(secs(30)),
                 _ => {}
             }
         }
         run(&mut w, seed, 51);
-        let running = ids.iter().find(|id| w.running(id) > 0).cloned();
+        let running = ids.iter().find(|id| w.running_tasks(id) > 0).cloned();
         w.cancel(&running.expect("one runs"));
         run(&mut w, seed, 53);
         for id in &ids[..3] {
@@ -62,24 +62,27 @@
             w.submit(&format!("job-{seed:03}{i:02}0"), spec);
         }
         run(&mut w, seed, 40);
-        assert_eq!(w.running("job-000001"), 6, "seed {seed}");
+        assert_eq!(w.running_tasks("job-000001"), 6, "seed {seed}");
         let leader = w.leader();
         let busy: Vec<String> = (w.agents.values())
-            .filter(|m| !m.gone && m.tasks.values().any(|h| h.on()))
+            .filter(|m| !m.is_gone && m.tasks.values().any(|h| h.counts_as_running()))
             .map(|m| m.name.clone())
             .take(2)
             .collect();
         for name in &busy {
             let m = w.agents.get_mut(name).expect("a machine");
-            m.outbound_cut_until = secs(100_000);
+            m.outbound_partition_until = secs(100_000);
         }
         run(&mut w, seed, 62);
         for name in &busy {
             let m = &w.agents[name];
-            assert!(m.gone || m.tasks.values().all(|h| !h.on()), "seed {seed}");
+            assert!(
+                m.is_gone || m.tasks.values().all(|h| !h.counts_as_running()),
+                "seed {seed}"
+            );
         }
         run(&mut w, seed, 85);
-        assert_eq!(w.running("job-000001"), 6, "seed {seed}: not whole");
+        assert_eq!(w.running_tasks("job-000001"), 6, "seed {seed}: not whole");
         w.cancel(&format!("job-{seed:03}000"));
         run(&mut w, seed, 400);
         assert_eq!((w.leader(), w.resignations), (leader, 0), "seed {seed}");
@@ -94,17 +97,17 @@
     for seed in 200..208 {
         let (mut w, ids, _) = at_work(seed, 4);
         let until = w.now.plus(secs(40));
-        w.apart_until = until;
+        w.zone_partition_until = until;
         // Store and cloud belong to no zone; a zone cut off from everything loses them as well.
         let zone = if seed % 2 == 0 { "west" } else { "east" };
         for n in w.nodes.iter_mut().filter(|n| n.zone == zone) {
-            n.no_store_until = until;
+            n.store_partition_until = until;
         }
         run(&mut w, seed, 46);
         w.cancel(&ids[0]);
         disturb(&mut w, seed, 0);
         run(&mut w, seed, 100);
-        assert_eq!(w.returned_alive, 0, "seed {seed}");
+        assert_eq!(w.busy_machines_returned, 0, "seed {seed}");
         run(&mut w, seed, 900);
         all_over(&w, seed);
     }
@@ -130,14 +133,14 @@
         for at in [30, 45, 60] {
             run(&mut w, seed, at);
             let busy: Vec<String> = (w.agents.values())
-                .filter(|m| !m.gone && m.tasks.values().any(|h| h.on()))
+                .filter(|m| !m.is_gone && m.tasks.values().any(|h| h.counts_as_running()))
                 .map(|m| m.name.clone())
                 .collect();
             for name in busy.iter().step_by(2) {
                 let now = w.now;
                 let m = w.agents.get_mut(name).expect("there");
                 if seed % 2 == 0 {
-                    m.gone = true;
+                    m.is_gone = true;
                 } else {
                     m.hung_until = now.plus(secs(10));
                 }
@@ -177,7 +180,8 @@
             w.submit(&format!("job-{seed:03}{t:02}0"), spec);
         }
         run(&mut w, seed, 900);
-        saltpitch_testkit::invariants::served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        saltpitch_testkit::invariants::check_served(&w)
+            .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         all_over(&w, seed);
     }
 }
@@ -190,10 +194,10 @@
         let until = w.now.plus(secs(8 + (seed % 5) * 12));
         for (i, m) in w.agents.values_mut().enumerate() {
             match i % 3 {
-                0 => m.inbound_cut_until = until,
+                0 => m.inbound_partition_until = until,
                 1 => {
-                    m.inbound_cut_until = until;
-                    m.outbound_cut_until = until;
+                    m.inbound_partition_until = until;
+                    m.outbound_partition_until = until;
                 }
                 _ => {}
             }
--- a/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/messages.rs
@@ -10,7 +10,7 @@
 fn late_writes_after_newer_ones_of_the_same_leader_break_no_invariant() {
     for seed in 140..148 {
         let (mut w, ids, leader) = at_work(seed, 3);
-        w.late_writes_until = w.now.plus(secs(40));
+        w.delayed_writes_until = w.now.plus(secs(40));
         for round in 0..6 {
             disturb(&mut w, seed, round);
             run(&mut w, seed, 45 + round * 7);
@@ -32,7 +32,7 @@
 fn failover_after_late_writes_breaks_no_invariant() {
     for seed in 400..424 {
         let (mut w, _, leader) = at_work(seed, 2);
-        w.late_writes_until = w.now.plus(secs(5));
+        w.delayed_writes_until = w.now.plus(secs(5));
         for round in 0..5 {
             disturb(&mut w, seed, round);
             let spec = plain(&mut w, JobKind::Array, 3, 40);
@@ -52,19 +52,22 @@
     for seed in 160..168 {
         let (mut w, ids, leader) = at_work(seed, 3);
         let name = (w.agents.values())
-            .find(|m| !m.gone && m.tasks.values().any(|h| h.on()))
+            .find(|m| !m.is_gone && m.tasks.values().any(|h| h.counts_as_running()))
             .map(|m| m.name.clone())
             .expect("one at work");
-        let old = w.agents[&name].copy();
+        let old = w.agents[&name].newest_heartbeat();
         // Its lease runs out and its tasks go elsewhere, or it is cancelled, or both.
-        w.agents.get_mut(&name).expect("there").inbound_cut_until = w.now.plus(secs(17));
+        w.agents
+            .get_mut(&name)
+            .expect("there")
+            .inbound_partition_until = w.now.plus(secs(17));
         if seed % 2 == 0 {
             w.cancel(&ids[0]);
         }
         for at in [44, 56, 60, 70, 90] {
             run(&mut w, seed, at);
             let n = w.leader().unwrap_or(leader);
-            w.deliver_copy(n, old.clone());
+            w.deliver_duplicate(n, old.clone());
         }
         run(&mut w, seed, 900);
         all_over(&w, seed);
@@ -100,7 +103,7 @@
 fn commands_executed_after_their_timeout_break_no_invariant() {
     for seed in 430..446 {
         let losses = Faults {
-            losses: true,
+            lost_answers: true,
             ..Faults::default()
         };
         let mut w = Simulation::new(seed, losses, Micros::ZERO);
@@ -119,7 +122,7 @@
                 w.cancel(&id);
             }
             if t % 10 == 9 {
-                if let Some(m) = w.agents.values_mut().find(|m| !m.gone) {
+                if let Some(m) = w.agents.values_mut().find(|m| !m.is_gone) {
                     m.hung_until = w.now.plus(secs(5));
                 }
             }
@@ -135,18 +138,18 @@
 fn cancellations_while_the_store_is_slow_then_refuses_the_leader_then_all_hold() {
     for seed in 180..188 {
         let (mut w, ids, leader) = at_work(seed, 5);
-        w.late_writes_until = w.now.plus(secs(6));
+        w.delayed_writes_until = w.now.plus(secs(6));
         w.cancel(&ids[0]);
         disturb(&mut w, seed, 0);
         run(&mut w, seed, 45);
         w.cancel(&ids[1]);
-        w.nodes[leader].no_store_until = w.now.plus(secs(2 + seed % 12));
+        w.nodes[leader].store_partition_until = w.now.plus(secs(2 + seed % 12));
         run(&mut w, seed, 46);
         w.cancel(&ids[2]);
         run(&mut w, seed, 47);
-        w.store.down = true;
+        w.store.is_down = true;
         run(&mut w, seed, 47 + 60);
-        w.store.down = false;
+        w.store.is_down = false;
         w.cancel(&ids[3]);
         run(&mut w, seed, 900);
         all_over(&w, seed);
@@ -158,7 +161,7 @@
 fn heartbeats_delivered_after_a_failover_break_no_invariant() {
     for seed in 260..270 {
         let (mut w, ids, leader) = at_work(seed, 4);
-        let held: Vec<_> = w.agents.values().map(|m| m.copy()).collect();
+        let held: Vec<_> = w.agents.values().map(|m| m.newest_heartbeat()).collect();
         w.crash_for(leader, secs(5));
         w.cancel(&ids[0]);
         run(&mut w, seed, 48 + seed % 10);
@@ -168,7 +171,7 @@
             run(&mut w, seed, 60 + i * 5);
             if let Some(n) = w.leader() {
                 for r in &held {
-                    w.deliver_copy(n, r.clone());
+                    w.deliver_duplicate(n, r.clone());
                 }
             }
         }
--- a/crates/saltpitch-testkit/tests/simulation.rs
+++ b/crates/saltpitch-testkit/tests/simulation.rs
@@ -2,12 +2,12 @@
 
 use saltpitch_core::job::{JobKind, Priority};
 use saltpitch_core::Micros;
-use saltpitch_testkit::histories::{completed, play};
+use saltpitch_testkit::histories::{check_completed, play};
 use saltpitch_testkit::{invariants, Faults, Simulation};
 
 fn many(seeds: std::ops::Range<u64>, faults: Faults, busy: u64, calm: u64) {
     for seed in seeds {
-        let end = play(seed, faults, busy, calm).and_then(|w| completed(&w));
+        let end = play(seed, faults, busy, calm).and_then(|w| check_completed(&w));
         if let Err(e) = end {
             panic!("seed {seed}: {e}");
         }
@@ -31,7 +31,7 @@
 #[test]
 fn controllers_partitioned_from_store_or_agents_break_no_invariant() {
     let f = Faults {
-        cuts: true,
+        controller_partitions: true,
         ..Faults::default()
     };
     many(200..212, f, 100, 300);
@@ -42,7 +42,7 @@
 #[test]
 fn frozen_controllers_break_no_invariant() {
     let f = Faults {
-        freezes: true,
+        process_pauses: true,
         ..Faults::default()
     };
     many(240..252, f, 100, 300);
@@ -52,10 +52,10 @@
 #[test]
 fn frozen_controllers_during_store_outages_break_no_invariant() {
     let f = Faults {
-        freezes: true,
-        outages: true,
-        losses: true,
-        copies: true,
+        process_pauses: true,
+        store_outages: true,
+        lost_answers: true,
+        delayed_duplicates: true,
         ..Faults::default()
     };
     many(260..272, f, 100, 300);
@@ -64,7 +64,7 @@
 #[test]
 fn store_outages_break_no_invariant() {
     let f = Faults {
-        outages: true,
+        store_outages: true,
         ..Faults::default()
     };
     many(300..312, f, 100, 300);
@@ -73,7 +73,7 @@
 #[test]
 fn failing_hanging_and_preempted_machines_break_no_invariant() {
     let f = Faults {
-        machines: true,
+        machine_failures: true,
         ..Faults::default()
     };
     many(400..412, f, 100, 300);
@@ -82,7 +82,7 @@
 #[test]
 fn lost_answers_late_transactions_and_late_commands_break_no_invariant() {
     let f = Faults {
-        losses: true,
+        lost_answers: true,
         ..Faults::default()
     };
     many(500..512, f, 100, 300);
@@ -91,13 +91,13 @@
 #[test]
 fn zone_partitions_break_no_invariant_and_return_no_busy_machine() {
     let f = Faults {
-        zone_cuts: true,
+        zone_partitions: true,
         ..Faults::default()
     };
     for seed in 700..712 {
         let end = play(seed, f, 100, 300).and_then(|w| {
-            completed(&w)?;
-            Ok(w.returned_alive)
+            check_completed(&w)?;
+            Ok(w.busy_machines_returned)
         });
         // Machines at work behind a cut are waited for, not returned in panic.
         match end {
@@ -111,7 +111,7 @@
 #[test]
 fn inbound_partitions_break_no_invariant() {
     let f = Faults {
-        inbound_partition: true,
+        inbound_partitions: true,
         ..Faults::default()
     };
     many(800..812, f, 100, 300);
@@ -134,18 +134,22 @@
         run(&mut w, 5);
         w.submit("job-000001", spec);
         run(&mut w, 60);
-        assert_eq!(w.running("job-000001"), 6, "seed {seed}");
+        assert_eq!(w.running_tasks("job-000001"), 6, "seed {seed}");
         let leader = w.leader();
-        let there = w.agents.values().filter(|m| !m.gone);
+        let there = w.agents.values().filter(|m| !m.is_gone);
         let group: Vec<String> = there.map(|m| m.name.clone()).take(4).collect();
         for name in &group {
             let m = w.agents.get_mut(name).expect("a machine");
-            m.inbound_cut_until = Micros::from_secs(100_000);
+            m.inbound_partition_until = Micros::from_secs(100_000);
         }
         run(&mut w, 160);
-        assert_eq!(w.running("job-000001"), 6, "seed {seed}: went on elsewhere");
+        assert_eq!(
+            w.running_tasks("job-000001"),
+            6,
+            "seed {seed}: went on elsewhere"
+        );
         for name in &group {
-            assert!(w.agents[name].gone, "seed {seed}: {name} is still there");
+            assert!(w.agents[name].is_gone, "seed {seed}: {name} is still there");
         }
         assert_eq!((w.leader(), w.resignations), (leader, 0), "seed {seed}");
     }
@@ -154,9 +158,9 @@
 #[test]
 fn late_copies_of_heartbeats_break_no_invariant() {
     let f = Faults {
-        copies: true,
+        delayed_duplicates: true,
         crashes: true,
-        machines: true,
+        machine_failures: true,
         ..Faults::default()
     };
     many(900..916, f, 100, 300);
@@ -175,7 +179,7 @@
         }
         run(&mut w, 30);
         let old = w.leader().expect("a leader");
-        w.nodes[old].no_store_until = w.now.plus(Micros::from_secs(120));
+        w.nodes[old].store_partition_until = w.now.plus(Micros::from_secs(120));
         run(&mut w, 34);
         for i in 0..4 {
             w.cancel(&format!("job-84{i:04}"));
@@ -185,7 +189,7 @@
         let new = w.leader();
         assert!(new.is_some_and(|n| n != old), "seed {seed}: {new:?}");
         run(&mut w, 400);
-        invariants::served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        invariants::check_served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
 }
 
@@ -225,7 +229,7 @@
             }
         }
         run(&mut w, 800);
-        invariants::served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        invariants::check_served(&w).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
 }
 
--- a/crates/saltpitch-testkit/tests/upgrade.rs
+++ b/crates/saltpitch-testkit/tests/upgrade.rs
@@ -19,9 +19,9 @@
     fall_at: u64,
 ) -> Result<Simulation, InvariantViolation> {
     let mut w = Simulation::new(seed, faults, Micros::from_secs(150));
-    w.next_limits = Some(limits);
+    w.next_store_limits = Some(limits);
     for n in &mut w.nodes {
-        n.old = true;
+        n.runs_version_0 = true;
     }
     let mut ids: Vec<String> = Vec::new();
     for i in 0..60u64 {
@@ -30,10 +30,10 @@
         if matches!(i, 12 | 20 | 28) {
             let n = ((i / 8 + seed) % 3) as usize;
             w.crash(n);
-            w.nodes[n].old = false;
+            w.nodes[n].runs_version_0 = false;
         }
         if i == AFTER_THE_UPGRADE {
-            assert!(w.nodes.iter().all(|n| !n.old));
+            assert!(w.nodes.iter().all(|n| !n.runs_version_0));
         }
         if i == fall_at {
             w.store.limits = Some(limits);
@@ -43,7 +43,7 @@
         // Nothing new is asked of the service before all have the new version.
         if i > 30 && spec.kind != JobKind::Service && w.random_below(3) == 0 {
             let at = w.random_below(ids.len() as u64) as usize;
-            let named = ids.get(at).filter(|n| w.jobs[*n].accepted);
+            let named = ids.get(at).filter(|n| w.jobs[*n].is_accepted);
             let named = named.filter(|n| w.jobs[*n].spec.kind != JobKind::Service);
             spec.dependencies.extend(named.cloned());
         }
@@ -57,14 +57,14 @@
     w.heal();
     w.run(Micros::from_secs(400))?;
     for id in &ids {
-        if w.jobs[id].spec.kind == JobKind::Service || w.jobs[id].mistaken {
+        if w.jobs[id].spec.kind == JobKind::Service || w.jobs[id].always_fails {
             w.cancel(id);
         }
     }
     w.run(Micros::from_secs(800))?;
-    for (id, j) in w.jobs.iter().filter(|(_, j)| j.accepted) {
-        let off = j.cancelled_at.or(j.withdrawn_at).is_some();
-        if off && w.running(id) > 0 {
+    for (id, j) in w.jobs.iter().filter(|(_, j)| j.is_accepted) {
+        let off = j.cancelled_at.or(j.dependency_cancelled_at).is_some();
+        if off && w.running_tasks(id) > 0 {
             return Err(unserved(id, "was cancelled and still runs"));
         }
         if !off && j.spec.kind != JobKind::Service && !w.is_done(id) {
@@ -83,7 +83,11 @@
         // A description of a job still fits; a third of the operations and changes are left.
         let end = upgrade(seed, faults, (700, 3, 20), AFTER_THE_UPGRADE);
         let w = end.unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-        assert!(w.store.rejected <= 3, "seed {seed}: {}", w.store.rejected);
+        assert!(
+            w.store.rejected_as_too_large <= 3,
+            "seed {seed}: {}",
+            w.store.rejected_as_too_large
+        );
     }
 }
 
@@ -96,7 +100,7 @@
 fn crashes_into_the_old_version_during_an_upgrade_break_no_invariant() {
     let f = Faults {
         crashes: true,
-        machines: true,
+        machine_failures: true,
         ..Faults::default()
     };
     many(20..30, f);
@@ -105,10 +109,10 @@
 #[test]
 fn outages_partitions_and_lost_answers_during_an_upgrade_break_no_invariant() {
     let f = Faults {
-        cuts: true,
-        outages: true,
-        losses: true,
-        late_writes: true,
+        controller_partitions: true,
+        store_outages: true,
+        lost_answers: true,
+        delayed_writes: true,
         ..Faults::default()
     };
     many(40..50, f);
@@ -124,7 +128,11 @@
     for seed in 60..66 {
         let end = upgrade(seed, f, (700, 3, 20), WITH_THE_LAST_NODE);
         let w = end.unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-        assert!(w.store.rejected <= 3, "seed {seed}: {}", w.store.rejected);
+        assert!(
+            w.store.rejected_as_too_large <= 3,
+            "seed {seed}: {}",
+            w.store.rejected_as_too_large
+        );
     }
 }
 
@@ -142,7 +150,7 @@
 fn led_by_version_0(seed: u64) -> (Simulation, Vec<String>, usize) {
     let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
     for n in &mut w.nodes {
-        n.old = true;
+        n.runs_version_0 = true;
     }
     run(&mut w, seed, 5);
     let mut ids = Vec::new();
@@ -156,12 +164,12 @@
     let leader = w.leader().expect("a leader");
     for n in (0..3).filter(|n| *n != leader) {
         w.crash_for(n, Micros::from_millis(300));
-        w.nodes[n].old = false;
+        w.nodes[n].runs_version_0 = false;
     }
     run(&mut w, seed, 60);
     assert_eq!(w.leader(), Some(leader), "seed {seed}");
     for id in &ids {
-        assert!(w.running(id) > 0, "seed {seed}: {id} does not run");
+        assert!(w.running_tasks(id) > 0, "seed {seed}: {id} does not run");
     }
     (w, ids, leader)
 }
@@ -191,17 +199,21 @@
 fn a_leader_of_version_0_does_not_outlast_a_cancellation_that_it_missed() {
     for seed in 80..86 {
         let (mut w, ids, leader) = led_by_version_0(seed);
-        w.nodes[leader].no_store_until = w.now.plus(Micros::from_secs(14));
+        w.nodes[leader].store_partition_until = w.now.plus(Micros::from_secs(14));
         run(&mut w, seed, 61);
         let peer = (leader + 1) % 3;
         for id in &ids[..2] {
             assert!(w.cancel_by(peer, id), "seed {seed}");
         }
         run(&mut w, seed, 62);
-        w.store.down = true;
+        w.store.is_down = true;
         run(&mut w, seed, 62 + 78);
-        assert_eq!(w.running(&ids[0]) + w.running(&ids[1]), 0, "seed {seed}");
-        w.store.down = false;
+        assert_eq!(
+            w.running_tasks(&ids[0]) + w.running_tasks(&ids[1]),
+            0,
+            "seed {seed}"
+        );
+        w.store.is_down = false;
         run(&mut w, seed, 200);
     }
 }
@@ -212,13 +224,13 @@
 fn a_leader_of_version_0_still_survives_a_common_outage() {
     for seed in 90..94 {
         let (mut w, ids, leader) = led_by_version_0(seed);
-        w.store.down = true;
+        w.store.is_down = true;
         run(&mut w, seed, 60 + 90);
         assert_eq!(w.leader(), Some(leader), "seed {seed}");
         for id in &ids {
-            assert!(w.running(id) > 0, "seed {seed}: {id} was lost");
+            assert!(w.running_tasks(id) > 0, "seed {seed}: {id} was lost");
         }
-        w.store.down = false;
+        w.store.is_down = false;
         run(&mut w, seed, 200);
     }
 }
@@ -230,14 +242,14 @@
     for seed in 100..106 {
         let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
         for n in &mut w.nodes {
-            n.old = true;
+            n.runs_version_0 = true;
         }
         run(&mut w, seed, 20);
         let mut led_by_old = Vec::new();
         let mut ids = Vec::new();
         for round in 0..6u64 {
             let leader = w.leader().expect("a leader");
-            led_by_old.push(w.nodes[leader].old);
+            led_by_old.push(w.nodes[leader].runs_version_0);
             for (i, tasks) in [2, 3].into_iter().enumerate() {
                 let id = format!("job-{seed:03}{round}{i}0");
                 let mut spec = long_array(&mut w);
@@ -253,7 +265,7 @@
                 let first = n == (leader + 1) % 3;
                 let away = if first { 300 } else { 16_000 };
                 w.crash_for(n, Micros::from_millis(away));
-                w.nodes[n].old = next_is_old == first;
+                w.nodes[n].runs_version_0 = next_is_old == first;
             }
             run(&mut w, seed, 50 + round * 30);
         }
