--- a/crates/saltpitch/src/effects.rs
+++ b/crates/saltpitch/src/effects.rs
@@ -1,4 +1,4 @@
-//! Running the scheduler while this node leads, and carrying out the effects that it asks for.
+//! Runs the scheduler while this node leads and executes the effects that the scheduler returns.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,71 +17,73 @@
 use crate::node::Node;
 use crate::wire::agents;
 
-/// How long the loop sleeps when this node does not lead.
-const IDLE_WAIT: Duration = Duration::from_millis(500);
-/// Heartbeats that arrive within this time are handled by one pass.
-const BATCHING: Duration = Duration::from_millis(5);
-/// How often the log gets a line on the scheduler's state.
+/// The longest time between two polls while this node does not lead or must not answer agents.
+const FOLLOWER_WAIT: Duration = Duration::from_millis(500);
+/// The delay before each poll, so that one poll handles all heartbeats that arrive in the meantime.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
+/// The interval between two summaries of the scheduler's state in the log.
 const SUMMARY_INTERVAL: Micros = Micros::from_secs(10);
 const TRANSACTION_TIMEOUT: Duration = Duration::from_millis(1_500);
 const COMMANDS_TIMEOUT: Duration = Duration::from_millis(1_500);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The most names in one call that returns machines.
-const MAX_RETURNED_PER_CALL: usize = 100;
+/// The maximum number of machine names in one request that returns machines to the cloud.
+const MAX_MACHINES_PER_RETURN: usize = 100;
 
-/// Runs the scheduler whenever something has happened or is due.
+/// Polls the scheduler after each event that wakes it and whenever its next poll is due. Never returns.
 pub async fn run_scheduler(node: Arc<Node>) {
-    let mut summarised_at = Micros::ZERO;
+    let mut last_summary_at = Micros::ZERO;
     loop {
-        let wait = poll(&node, &mut summarised_at);
-        let _ = tokio::time::timeout(wait.max(BATCHING), node.scheduler_wakeup.notified()).await;
-        tokio::time::sleep(BATCHING).await;
+        let wait = poll(&node, &mut last_summary_at);
+        let _ = tokio::time::timeout(wait.max(BATCH_DELAY), node.scheduler_wakeup.notified()).await;
+        tokio::time::sleep(BATCH_DELAY).await;
     }
 }
 
-/// Runs the scheduler once and starts its effects; returns how long to wait unless something happens.
-fn poll(node: &Arc<Node>, summarised_at: &mut Micros) -> Duration {
+/// Polls the scheduler once and spawns a task for each effect. Returns how long to wait for the next poll if
+/// no event comes first.
+fn poll(node: &Arc<Node>, last_summary_at: &mut Micros) -> Duration {
     let now = node.now();
     let mut controller = node.controller();
     let effects = controller.poll(now);
     let epoch = controller.epoch();
     if !controller.may_answer(now) {
-        return IDLE_WAIT;
+        return FOLLOWER_WAIT;
     }
     let Some(scheduler) = controller.scheduler_in_epoch(epoch) else {
-        return IDLE_WAIT;
+        return FOLLOWER_WAIT;
     };
-    log_diagnostics(scheduler, now, summarised_at);
+    log_diagnostics(scheduler, now, last_summary_at);
     let wait = node.clock.time_until(scheduler.next_poll());
     for effect in effects {
-        tokio::spawn(carry_out(node.clone(), epoch, effect));
+        tokio::spawn(execute(node.clone(), epoch, effect));
     }
     wait
 }
 
-fn log_diagnostics(scheduler: &mut Scheduler, now: Micros, summarised_at: &mut Micros) {
+fn log_diagnostics(scheduler: &mut Scheduler, now: Micros, last_summary_at: &mut Micros) {
     for alert in scheduler.take_alerts(now) {
         tracing::error!("{alert}");
     }
     for job in scheduler.take_failing_jobs() {
-        tracing::info!("{job} fails on several machines: it is tried ever less often until a task of it completes");
+        tracing::info!("{job} fails on several machines: its tasks are retried at increasing intervals until one of them completes");
     }
-    if now.since(*summarised_at) > SUMMARY_INTERVAL {
-        *summarised_at = now;
+    if now.since(*last_summary_at) > SUMMARY_INTERVAL {
+        *last_summary_at = now;
         tracing::info!("{}", scheduler.summary());
     }
 }
 
-/// Hands a result to the scheduler that asked for it, unless its leadership has ended.
-fn deliver(node: &Node, epoch: u64, deliver: impl FnOnce(&mut Scheduler, Micros)) {
+/// Passes the result of an effect to the scheduler that requested it and wakes the scheduler's task. Drops the
+/// result if the leadership of that epoch has ended.
+fn deliver(node: &Node, epoch: u64, apply: impl FnOnce(&mut Scheduler, Micros)) {
     let now = node.now();
     if let Some(scheduler) = node.controller().scheduler_in_epoch(epoch) {
-        deliver(scheduler, now);
+        apply(scheduler, now);
         node.scheduler_wakeup.notify_one();
     }
 }
 
-async fn carry_out(node: Arc<Node>, epoch: u64, effect: Effect) {
+async fn execute(node: Arc<Node>, epoch: u64, effect: Effect) {
     match effect {
         Effect::Commit(transaction) => commit(&node, epoch, &transaction).await,
         Effect::ReloadRecords => reload_records(&node, epoch).await,
@@ -93,7 +95,7 @@
             commands,
         } => {
             let sent = SentCommands::new(machine, agent_epoch, fencing_token, &commands);
-            tracing::debug!("{}: {commands:?}", sent.machine);
+            tracing::debug!("commands to {}: {commands:?}", sent.machine);
             let body = agents::encode_commands(fencing_token, Some(agent_epoch), &commands);
             let outcome = send_commands(&node, &addr, body).await;
             deliver(&node, epoch, |scheduler, now| {
@@ -128,10 +130,11 @@
         .commit_as_leader(transaction, TRANSACTION_TIMEOUT)
         .await;
     if let TransactionOutcome::Conflict(keys) = &outcome {
-        tracing::info!("transaction failed on {keys:?}");
         if keys.iter().any(|key| key == TERM_KEY) {
+            tracing::info!("transaction conflict on {keys:?}: this node stops leading");
             return node.controller().term_conflict(epoch);
         }
+        tracing::info!("transaction conflict on {keys:?}: the leader reloads the records");
     }
     deliver(node, epoch, |scheduler, now| {
         scheduler.transaction_ended(outcome, now);
@@ -139,13 +142,14 @@
 }
 
 async fn reload_records(node: &Node, epoch: u64) {
-    let read = node.read_latest_records().await;
+    let succeeded = node.read_latest_records().await;
     let (now, wall) = (node.now(), node.clock.wall_time());
-    node.controller().records_reloaded(epoch, read, now, wall);
+    node.controller()
+        .records_reloaded(epoch, succeeded, now, wall);
     node.scheduler_wakeup.notify_one();
 }
 
-/// Asks an agent for its heartbeat.
+/// Requests a heartbeat from an agent and reports the outcome to the scheduler.
 async fn probe(node: &Node, epoch: u64, machine: &str, addr: &str) {
     match request_heartbeat(node, machine, addr).await {
         Some(heartbeat) => deliver(node, epoch, |scheduler, now| {
@@ -164,11 +168,13 @@
         .call(addr, Method::GET, "/show", Vec::new(), PROBE_TIMEOUT)
         .await;
     let Some(reply) = reply.ok().filter(|reply| reply.status == 200) else {
-        tracing::debug!("{machine} does not answer");
+        tracing::debug!("probe of {machine} failed: no heartbeat in response");
         return None;
     };
     agents::decode_heartbeat(&reply.body)
-        .map_err(|error| tracing::error!("{machine}: unreadable heartbeat: {error}"))
+        .map_err(|error| {
+            tracing::error!("probe of {machine} failed: unreadable heartbeat: {error}")
+        })
         .ok()
 }
 
@@ -212,9 +218,14 @@
 }
 
 async fn scale_in(node: &Node, epoch: u64, names: &[Arc<str>]) {
-    for batch in names.chunks(MAX_RETURNED_PER_CALL) {
+    for batch in names.chunks(MAX_MACHINES_PER_RETURN) {
         let returned = node.cloud.scale_in(batch).await;
-        tracing::info!("scale in {batch:?}: {returned}");
+        let answer = if returned {
+            "confirmed"
+        } else {
+            "not confirmed, the leader retries"
+        };
+        tracing::info!("scale in {batch:?}: {answer}");
         if returned {
             deliver(node, epoch, |scheduler, now| {
                 scheduler.scale_in_confirmed(batch, now)
@@ -223,7 +234,7 @@
     }
 }
 
-/// Takes the next term without giving up the leadership.
+/// Increments the term, which is the fencing token, while this node keeps the leadership.
 async fn raise_term(node: &Node, epoch: u64) {
     let Some(increment) = node.controller().term_increment(epoch) else {
         return;
--- a/crates/saltpitch/src/leadership.rs
+++ b/crates/saltpitch/src/leadership.rs
@@ -1,4 +1,4 @@
-//! Holding the leadership: standing for election, renewing the leadership lease, resigning.
+//! Leader election: campaigns for the leadership, renews the leadership lease and resigns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,27 +12,27 @@
 use crate::node::Node;
 use crate::store::{KeepAlive, LeaseAttachment};
 
-/// The pause between two renewals of the leadership lease.
+/// The pause between the end of one renewal of the leadership lease and the next renewal.
 const RENEWAL_PAUSE: Duration = Duration::from_millis(600);
-/// How often a follower checks whether there is a leader.
-const ELECTION_CHECK: Duration = Duration::from_millis(100);
-/// The pause after a lost election, in milliseconds; spread by half either way.
+/// The interval at which a follower checks whether to stand for election.
+const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The mean pause after a lost election, in milliseconds. The jitter is half of it in each direction.
 const LOST_ELECTION_PAUSE_MS: u64 = 300;
 const ELECTION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Stands for election while there is no leader; as the leader, renews the lease, and resigns when the
-/// agents cannot reach this node.
+/// As a follower, stands for election when there is no leader. As the leader, renews the leadership lease, and
+/// resigns when agents cannot reach this node. Never returns.
 pub async fn hold_leadership(node: Arc<Node>) {
     let mut leaderless_since: Option<Micros> = None;
     loop {
         let store_lease = node.controller().store_lease();
         if let Some(store_lease) = store_lease {
             leaderless_since = None;
-            lead(&node, store_lease).await;
+            renew_or_resign(&node, store_lease).await;
             tokio::time::sleep(RENEWAL_PAUSE).await;
             continue;
         }
-        tokio::time::sleep(ELECTION_CHECK).await;
+        tokio::time::sleep(ELECTION_CHECK_INTERVAL).await;
         if should_campaign(&node, &mut leaderless_since) {
             leaderless_since = None;
             if !stand_for_election(&node).await {
@@ -42,8 +42,8 @@
     }
 }
 
-/// One renewal of the lease, and the decision whether to go on leading.
-async fn lead(node: &Node, store_lease: u64) {
+/// Renews the lease once, then resigns if the agents have not reached this node for too long.
+async fn renew_or_resign(node: &Node, store_lease: u64) {
     renew(node, store_lease).await;
     let now = node.now();
     if node.controller().should_resign(now) {
@@ -52,7 +52,8 @@
     node.store.set_leading(node.controller().is_leader());
 }
 
-/// Whether to stand for election now.
+/// Returns whether to stand for election now. `leaderless_since` is the time since which every check has found
+/// no leader.
 fn should_campaign(node: &Node, leaderless_since: &mut Option<Micros>) -> bool {
     let now = node.now();
     match node.controller().candidacy(now, node.random()) {
@@ -73,12 +74,13 @@
     match node.store.keep_alive(store_lease).await {
         KeepAlive::Renewed => node.controller().lease_renewed(sent_at),
         KeepAlive::Expired => node.controller().lose_leadership(LossReason::LeaseExpired),
-        // Without the state service the peers' acknowledgements decide.
+        // When the state service gives no answer, only acknowledgements of the peers extend the time for
+        // which this leader may answer agents.
         KeepAlive::Unknown => {}
     }
 }
 
-/// Resigns: this node stops leading first, and then says so on record.
+/// Resigns: this node first stops leading and then writes its resignation to the state service.
 async fn resign(node: &Node) {
     let (now, wall) = (node.now(), node.clock.wall_time());
     let Some(resignation) = node.controller().resign(now, wall) else {
@@ -88,14 +90,19 @@
         .store
         .commit(&resignation.transaction, ELECTION_TIMEOUT)
         .await;
-    tracing::info!("resigned: {outcome:?}");
-    if !matches!(outcome, TransactionOutcome::Committed(_)) {
+    if matches!(outcome, TransactionOutcome::Committed(_)) {
+        tracing::info!("resigned: the resignation is on record");
+    } else {
+        tracing::info!(
+            "resigned: the resignation was not confirmed ({outcome:?}), revoking the lease"
+        );
         node.store.revoke_lease(resignation.store_lease).await;
         node.controller().resignation_failed();
     }
 }
 
-/// Opens a leadership lease and campaigns with it. The lease is revoked if the election is lost.
+/// Stands for election once with a newly granted leadership lease, and revokes the lease if the election is
+/// lost. Returns whether this node was elected.
 async fn stand_for_election(node: &Node) -> bool {
     if !node.read_latest_records().await {
         return false;
@@ -103,8 +110,8 @@
     let Some(store_lease) = node.store.grant_lease(LEADERSHIP_LEASE).await else {
         return false;
     };
-    let opened_at = node.now();
-    if campaign(node, store_lease, opened_at).await {
+    let lease_granted_at = node.now();
+    if campaign(node, store_lease, lease_granted_at).await {
         node.store.set_leading(true);
         node.scheduler_wakeup.notify_one();
         return true;
@@ -113,7 +120,9 @@
     false
 }
 
-async fn campaign(node: &Node, store_lease: u64, opened_at: Micros) -> bool {
+/// Writes an election attempt whose leader record is deleted when the lease ends. Returns whether this node was
+/// elected.
+async fn campaign(node: &Node, store_lease: u64, lease_granted_at: Micros) -> bool {
     let Some(attempt) = node.controller().campaign(node.clock.wall_time()) else {
         return false;
     };
@@ -128,13 +137,14 @@
     let TransactionOutcome::Committed(revision) = outcome else {
         return false;
     };
-    // A leader starts from the records as they were when its term began.
+    // A leader must start from records that are at least as new as the transaction that began its term.
     if !node.read_latest_records().await {
         return false;
     }
     let (now, wall) = (node.now(), node.clock.wall_time());
     let mut controller = node.controller();
-    let elected = controller.election_won(attempt, store_lease, revision, opened_at, now, wall);
+    let elected =
+        controller.election_won(attempt, store_lease, revision, lease_granted_at, now, wall);
     if let Some(scheduler) = controller.scheduler().filter(|_| elected) {
         let (term, summary) = (scheduler.term(), scheduler.summary());
         tracing::info!("leader in term {term}, {summary}");
--- a/crates/saltpitch/src/server.rs
+++ b/crates/saltpitch/src/server.rs
@@ -41,7 +41,7 @@
 
 fn spawn_tasks(node: &Arc<Node>, peer_listener: TcpListener) {
     tokio::spawn(peer::serve(node.clone(), peer_listener));
-    tokio::spawn(record_sync::follow(node.clone()));
+    tokio::spawn(record_sync::follow_changes(node.clone()));
     tokio::spawn(record_sync::serve_fresh_reads(node.clone()));
     peer::spawn_heartbeats(node);
     tokio::spawn(cloud_sync::load_catalog(node.clone()));
--- a/crates/saltpitch/src/store.rs
+++ b/crates/saltpitch/src/store.rs
@@ -1,5 +1,5 @@
 //! The client of the state service: reads, watches, transactions and the leadership lease, within this
-//! controller's share of the service's rates.
+//! controller's share of the service's rate limits.
 
 mod health;
 mod rate_limits;
@@ -22,20 +22,20 @@
 use crate::wire::store as wire;
 pub use crate::wire::store::{Changes, LeaseAttachment};
 
-/// Records in one page of a listing.
+/// The number of records requested per page of a listing.
 const PAGE_SIZE: usize = 1_000;
 const LIST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long an answer to a watch may take beyond the time for which the service holds it open.
+/// The time that the response to a watch may take beyond the time for which the service may hold it open.
 const WATCH_GRACE: Duration = Duration::from_millis(1_500);
 const LEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The outcome of a watch.
 pub enum WatchOutcome {
-    /// What has changed, possibly nothing.
+    /// The changes since the revision, possibly none.
     Changes(Changes),
-    /// The revision is older than the service's history: all records have to be read again.
+    /// The revision is older than the service's history, so all records must be listed again.
     RevisionTooOld,
-    /// The service did not answer, or not with changes.
+    /// The service did not respond, responded with an error, or the response was unreadable.
     Failed,
 }
 
@@ -46,11 +46,12 @@
     Renewed,
     /// The lease has expired.
     Expired,
-    /// No answer: the lease may have been renewed or not.
+    /// The service did not respond, or with an unexpected status: the lease may or may not be renewed.
     Unknown,
 }
 
-/// A transaction that writes one record on condition of its revision; revision 0 creates it.
+/// Returns a transaction that writes one record if the record still has the given revision. Revision 0 requires
+/// that the record does not exist yet.
 pub fn conditional_write(key: &str, value: &str, revision: u64) -> Transaction {
     Transaction {
         preconditions: vec![Precondition::new(key, revision)],
@@ -71,44 +72,45 @@
 }
 
 impl StoreClient {
-    /// A client for one of so many controllers, with a follower's share of the rates.
+    /// Creates a client for one of `controller_count` controllers, with a follower's share of the rate limits.
     pub fn new(
         http: Arc<Client>,
         addr: SocketAddr,
         clock: Clock,
         limits: StoreLimits,
-        controllers: usize,
+        controller_count: usize,
     ) -> StoreClient {
         StoreClient {
             http,
             addr,
             clock,
-            rate_limits: Mutex::new(RateLimits::new(limits, controllers)),
+            rate_limits: Mutex::new(RateLimits::new(limits, controller_count)),
             health: Mutex::default(),
         }
     }
 
-    /// Changes between a leader's and a follower's share of the rates.
-    pub fn set_leading(&self, leads: bool) {
-        lock(&self.rate_limits).set_leading(leads);
+    /// Switches to the leader's or to a follower's share of the rate limits.
+    pub fn set_leading(&self, is_leader: bool) {
+        lock(&self.rate_limits).set_leading(is_leader);
     }
 
-    /// The pause between two requests of a kind that may use this fraction of the controller's share.
+    /// Returns the pause between two requests of a kind that may use this fraction of this controller's share
+    /// of the request rate.
     pub fn pace(&self, fraction: f64) -> Duration {
         lock(&self.rate_limits).pace(fraction)
     }
 
-    /// Takes one request from the budget.
+    /// Takes one request from the request budget. Returns false if the budget is exhausted.
     fn try_request(&self) -> bool {
         lock(&self.rate_limits).try_request(self.clock.now())
     }
 
-    /// Takes one request with so many changes from the budgets.
+    /// Takes one request with `changes` changes from the budgets. Returns false if one of them is exhausted.
     fn try_changes(&self, changes: usize) -> bool {
         lock(&self.rate_limits).try_changes(changes, self.clock.now())
     }
 
-    /// The service refused a change for its rate.
+    /// Records that the service refused a transaction because of the rate of changes.
     fn record_refusal(&self) {
         let mut rate_limits = lock(&self.rate_limits);
         if rate_limits.record_refusal(self.clock.now()) {
@@ -117,32 +119,36 @@
         }
     }
 
-    /// When the service last served this controller.
+    /// Returns when the service last served a request of this controller.
     pub fn last_success_at(&self) -> Option<Micros> {
         lock(&self.health).last_success_at()
     }
 
-    /// Whether the last request was served, and that no longer ago than `within`.
+    /// Returns whether the service served the last request, less than `within` ago.
     pub fn is_up(&self, within: Micros) -> bool {
         lock(&self.health).is_up(within, self.clock.now())
     }
 
+    /// Sends a request and records whether the service served it. A response of 503 counts as not served.
     async fn call(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Reply, CallError> {
-        let result = self.http.call(self.addr, method, path, body, limit).await;
+        let result = self.http.call(self.addr, method, path, body, timeout).await;
         let served = result.as_ref().is_ok_and(|reply| reply.status != 503);
         lock(&self.health).record(served, self.clock.now());
         result
     }
 
-    /// Reads all records of this project, and hands them on page by page, since all of them at once may
-    /// be more than this process has memory for. Returns the revision from which to follow changes.
-    pub async fn list_records(&self, mut take: impl FnMut(Vec<RecordChange>)) -> Option<u64> {
+    /// Lists all records under this program's prefix and passes them to `handle_page` page by page, because all
+    /// of them together may exceed the memory of this process. Returns the revision from which to follow changes.
+    pub async fn list_records(
+        &self,
+        mut handle_page: impl FnMut(Vec<RecordChange>),
+    ) -> Option<u64> {
         let mut first_revision = None;
         let mut last_key = String::new();
         loop {
@@ -152,14 +158,14 @@
                 last_key.clone_from(&last.key);
             }
             let is_last = !page.has_next || page.records.is_empty();
-            take(page.records);
+            handle_page(page.records);
             if is_last {
                 return Some(revision);
             }
         }
     }
 
-    /// The page of records after a key; the first one after the empty key.
+    /// Reads the page of records that follow the key `after`, or the first page if `after` is empty.
     async fn list_page(&self, after: &str) -> Option<wire::Page> {
         let path = if after.is_empty() {
             format!("/store?starts={PREFIX}&page={PAGE_SIZE}")
@@ -174,12 +180,16 @@
             return None;
         }
         wire::decode_page(&reply.body)
-            .map_err(|error| tracing::error!("store: unreadable page: {error}"))
+            .map_err(|error| {
+                tracing::error!(
+                    "store: unreadable page of records, abandoning the listing: {error}"
+                )
+            })
             .ok()
     }
 
-    /// Reads the changes after a revision; waits up to `wait` for one. A watch that waits is paced by its
-    /// caller; one that does not is taken from the budget of requests.
+    /// Reads the changes after a revision, and waits up to `wait` for the first one. The caller must pace watches
+    /// that wait; a watch with a `wait` of zero is taken from the request budget.
     pub async fn watch(&self, from: u64, wait: Duration) -> WatchOutcome {
         if wait.is_zero() && !self.try_request() {
             return WatchOutcome::Failed;
@@ -195,7 +205,9 @@
         match reply.status {
             200 => wire::decode_changes(&reply.body).map_or_else(
                 |error| {
-                    tracing::error!("store: unreadable changes: {error}");
+                    tracing::error!(
+                        "store: unreadable changes, treating the watch as failed: {error}"
+                    );
                     WatchOutcome::Failed
                 },
                 WatchOutcome::Changes,
@@ -205,44 +217,46 @@
         }
     }
 
-    /// Commits a transaction within this controller's budgets.
-    pub async fn commit(&self, transaction: &Transaction, limit: Duration) -> TransactionOutcome {
-        self.commit_with_lease(transaction, None, limit).await
+    /// Commits a transaction within this controller's budgets of requests and changes.
+    pub async fn commit(&self, transaction: &Transaction, timeout: Duration) -> TransactionOutcome {
+        self.commit_with_lease(transaction, None, timeout).await
     }
 
-    /// Commits a transaction within this controller's budgets, one write of which may end with a lease.
+    /// Commits a transaction within this controller's budgets of requests and changes. With `lease`, the service
+    /// deletes the attached key when the lease ends.
     pub async fn commit_with_lease(
         &self,
         transaction: &Transaction,
         lease: Option<LeaseAttachment<'_>>,
-        limit: Duration,
+        timeout: Duration,
     ) -> TransactionOutcome {
         if !self.try_changes(transaction.writes.len()) {
             return TransactionOutcome::Unavailable;
         }
-        self.send_transaction(transaction, lease, limit).await
+        self.send_transaction(transaction, lease, timeout).await
     }
 
-    /// Commits a transaction of the leader's scheduler, which paces its changes by itself.
+    /// Commits a transaction of the leader's scheduler. It is only taken from the request budget, because the
+    /// scheduler paces its changes itself.
     pub async fn commit_as_leader(
         &self,
         transaction: &Transaction,
-        limit: Duration,
+        timeout: Duration,
     ) -> TransactionOutcome {
         if !self.try_request() {
             return TransactionOutcome::Unavailable;
         }
-        self.send_transaction(transaction, None, limit).await
+        self.send_transaction(transaction, None, timeout).await
     }
 
     async fn send_transaction(
         &self,
         transaction: &Transaction,
         lease: Option<LeaseAttachment<'_>>,
-        limit: Duration,
+        timeout: Duration,
     ) -> TransactionOutcome {
         let body = wire::encode_transaction(transaction, lease);
-        match self.call(Method::POST, "/txn", body, limit).await {
+        match self.call(Method::POST, "/txn", body, timeout).await {
             Ok(reply) => self.transaction_outcome(transaction, &reply),
             Err(CallError::NotSent) => TransactionOutcome::Unavailable,
             Err(CallError::Unknown) => TransactionOutcome::Unknown,
@@ -274,7 +288,7 @@
             }
             status => {
                 tracing::error!(
-                    "store: transaction answered {status}: {}",
+                    "store: unexpected status {status} for a transaction, its outcome is unknown: {}",
                     String::from_utf8_lossy(&reply.body)
                 );
                 TransactionOutcome::Unknown
@@ -282,7 +296,7 @@
         }
     }
 
-    /// Opens a lease that expires unless it is renewed within `ttl`.
+    /// Requests a lease that expires unless it is renewed within `ttl`. Returns its id.
     pub async fn grant_lease(&self, ttl: Micros) -> Option<u64> {
         let body = wire::encode_grant_lease(ttl.0 / 1_000);
         let reply = self
@@ -308,7 +322,8 @@
         }
     }
 
-    /// Ends a lease, and with it what is attached to it. One that cannot be ended expires by itself.
+    /// Revokes a lease, which deletes the key attached to it. If the request fails, the lease expires after its
+    /// time to live.
     pub async fn revoke_lease(&self, lease: u64) {
         let path = format!("/holds/{lease}");
         let _ = self
