--- a/crates/saltpitch/src/agents.rs
+++ b/crates/saltpitch/src/agents.rs
@@ -1,11 +1,11 @@
-//! Answers to the heartbeats of agents.
+//! Handles the heartbeats of agents.
 
 use saltpitch_core::controller::HeartbeatAnswer;
 
 use crate::node::Node;
 use crate::wire::agents;
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat.
 pub struct HeartbeatReply {
     /// The HTTP status.
     pub status: u16,
@@ -20,12 +20,15 @@
 }
 
 impl Node {
-    /// Answers an agent's heartbeat: with commands as the leader, with a redirect otherwise.
+    /// Handles an agent's heartbeat and returns the response: commands if this node leads and may
+    /// answer agents, otherwise a redirect that names the leader if it is known.
     pub fn answer_heartbeat(&self, body: &[u8]) -> HeartbeatReply {
         let heartbeat = match agents::decode_heartbeat(body) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
-                tracing::error!("unreadable heartbeat refused: {error}");
+                tracing::error!(
+                    "unreadable heartbeat of an agent, answering with status 400: {error}"
+                );
                 return HeartbeatReply::new(400, agents::encode_redirect(None));
             }
         };
--- a/crates/saltpitch/src/clock.rs
+++ b/crates/saltpitch/src/clock.rs
@@ -1,13 +1,13 @@
-//! The node's clocks, in whole microseconds.
+//! The clocks of this process, in whole microseconds.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use saltpitch_core::Micros;
 
-/// The time of the monotonic clock at which the process starts: not zero, which stands for "never".
-const START: Micros = Micros::from_secs(60);
+/// The monotonic time at which the clock starts. It is not zero because a time of zero stands for "never".
+const INITIAL_TIME: Micros = Micros::from_secs(60);
 
-/// A monotonic clock that starts with the process, and the time of day.
+/// A monotonic clock that starts with the process, and the system's wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
@@ -21,18 +21,18 @@
         }
     }
 
-    /// The time on the monotonic clock.
+    /// Returns the monotonic time.
     pub fn now(&self) -> Micros {
-        Micros(self.started_at.elapsed().as_micros() as u64).plus(START)
+        Micros(self.started_at.elapsed().as_micros() as u64).plus(INITIAL_TIME)
     }
 
-    /// The time of day.
+    /// Returns the wall-clock time since the Unix epoch, or zero if the wall clock shows a time before it.
     pub fn wall_time(&self) -> Micros {
-        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-        Micros(since_epoch.map_or(0, |elapsed| elapsed.as_micros() as u64))
+        let since_unix_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        Micros(since_unix_epoch.map_or(0, |elapsed| elapsed.as_micros() as u64))
     }
 
-    /// How long it is until a time on the monotonic clock; zero if that has passed.
+    /// Returns the time left until the monotonic time `at`, or zero if it has passed.
     pub fn time_until(&self, at: Micros) -> Duration {
         Duration::from_micros(at.since(self.now()).0)
     }
--- a/crates/saltpitch/src/cloud.rs
+++ b/crates/saltpitch/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The client of the cloud, within this controller's share of its rate.
+//! The client of the cloud, within this controller's share of the cloud's request rate.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,13 +15,13 @@
 use crate::wire::cloud as wire;
 pub use crate::wire::cloud::ScaleOutRequest;
 
-/// The most machines that the cloud lists at a time.
+/// The maximum number of machines that the cloud lists per page.
 const PAGE_SIZE: usize = 500;
-/// The fractions of the cloud's rate for the list and for everything else. A little is left for the
-/// other controllers, which read the catalogue when they start.
-const LIST_SHARE: f64 = 0.15;
+/// The fractions of the cloud's request rate for the list of machines and for all other requests. The rest is left
+/// for the other controllers, which read the catalogue when they start.
+const LISTING_SHARE: f64 = 0.15;
 const CALLS_SHARE: f64 = 0.8;
-/// Calls that may come at once, in seconds of the cloud's rate: it allows two.
+/// The maximum burst of calls, in seconds of the cloud's request rate. The cloud allows bursts of two seconds.
 const BURST_SECONDS: f64 = 1.5;
 
 const CATALOG_TIMEOUT: Duration = Duration::from_secs(2);
@@ -33,34 +33,35 @@
     http: Arc<Client>,
     addr: SocketAddr,
     clock: Clock,
-    budget: Mutex<TokenBucket>,
+    /// The budget of all calls except the pages of the list.
+    call_budget: Mutex<TokenBucket>,
     /// The pause between two pages of the list.
     page_pause: Duration,
 }
 
 impl CloudClient {
-    /// A client of the cloud at `addr`, which takes `rps` requests a second from the whole site.
+    /// Creates a client of the cloud at `addr`, which accepts `rps` requests per second from the whole site.
     pub fn new(http: Arc<Client>, addr: SocketAddr, clock: Clock, rps: f64) -> CloudClient {
         CloudClient {
             http,
             addr,
             clock,
-            budget: Mutex::new(TokenBucket::with_burst(
+            call_budget: Mutex::new(TokenBucket::with_burst(
                 rps * CALLS_SHARE,
                 rps * BURST_SECONDS,
             )),
-            page_pause: Duration::from_secs_f64(1.0 / (rps * LIST_SHARE)),
+            page_pause: Duration::from_secs_f64(1.0 / (rps * LISTING_SHARE)),
         }
     }
 
-    /// Takes one call from the budget.
+    /// Takes one call from the budget. Returns false if the budget is exhausted.
     fn try_call(&self) -> bool {
-        lock(&self.budget).try_spend(1.0, self.clock.now())
+        lock(&self.call_budget).try_spend(1.0, self.clock.now())
     }
 
-    async fn get(&self, path: &str, limit: Duration) -> Result<Reply, CallError> {
+    async fn get(&self, path: &str, timeout: Duration) -> Result<Reply, CallError> {
         self.http
-            .call(self.addr, Method::GET, path, Vec::new(), limit)
+            .call(self.addr, Method::GET, path, Vec::new(), timeout)
             .await
     }
 
@@ -70,7 +71,8 @@
             .await
     }
 
-    /// Reads the catalogue of machine types.
+    /// Reads the catalogue of machine types. Returns `None` if the budget is exhausted or the cloud gives no usable
+    /// answer.
     pub async fn catalog(&self) -> Option<Catalog> {
         if !self.try_call() {
             return None;
@@ -80,15 +82,17 @@
             return None;
         }
         wire::decode_catalog(&reply.body)
-            .map_err(|error| tracing::error!("cloud: unreadable catalogue: {error}"))
+            .map_err(|error| {
+                tracing::error!("cloud: unreadable catalogue, retrying later: {error}")
+            })
             .ok()
     }
 
-    /// Reads the list page by page and gives each to `take` as it comes: what a page shows is there
-    /// whatever becomes of the rest. Pages keep to their own small part of the rate: were they taken from
-    /// the budget of scaling requests, a list of many pages would never be read to its end, and would
-    /// delay these requests besides.
-    pub async fn list_machines(&self, mut take: impl FnMut(&[ListedMachine])) {
+    /// Reads the list of machines and passes each page to `handle_page` as it arrives, since the machines on it exist
+    /// even if a later page fails. Pages have their own small share of the request rate. If they were taken from the
+    /// budget of scaling requests, a list of many pages would never be read completely and would delay those
+    /// requests.
+    pub async fn list_machines(&self, mut handle_page: impl FnMut(&[ListedMachine])) {
         let mut path = format!("/machines?page={PAGE_SIZE}");
         loop {
             let reply = self.get(&path, LIST_TIMEOUT).await;
@@ -97,9 +101,13 @@
             };
             let page = match wire::decode_machine_page(&reply.body) {
                 Ok(page) => page,
-                Err(error) => return tracing::error!("cloud: unreadable list: {error}"),
+                Err(error) => {
+                    return tracing::error!(
+                        "cloud: unreadable page of machines, abandoning the listing: {error}"
+                    )
+                }
             };
-            take(&page.machines);
+            handle_page(&page.machines);
             tokio::time::sleep(self.page_pause).await;
             match page.machines.last() {
                 Some(last) if page.has_next => {
@@ -110,7 +118,7 @@
         }
     }
 
-    /// Asks for machines. A request is idempotent by its id.
+    /// Requests machines. A repetition with the same request id orders no further machines.
     pub async fn scale_out(&self, request: &ScaleOutRequest<'_>) -> ScaleOutOutcome {
         if !self.try_call() {
             return ScaleOutOutcome::Later;
@@ -123,7 +131,7 @@
         }
     }
 
-    /// Returns machines; whether the return was confirmed.
+    /// Returns machines to the cloud. Yields true if the cloud confirmed the return.
     pub async fn scale_in(&self, names: &[Arc<str>]) -> bool {
         if !self.try_call() {
             return false;
@@ -142,7 +150,9 @@
             ScaleOutOutcome::NoCapacity
         }
         status => {
-            tracing::info!("cloud: scale-out request refused with {status}");
+            tracing::info!(
+                "cloud: scale-out request refused with status {status}, the leader retries later"
+            );
             ScaleOutOutcome::Later
         }
     }
--- a/crates/saltpitch/src/cloud/tests.rs
+++ b/crates/saltpitch/src/cloud/tests.rs
@@ -1,4 +1,4 @@
-//! How the list of machines is read.
+//! Tests of reading the list of machines.
 
 use super::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,14 +6,14 @@
 use poem::listener::{Acceptor, Listener, TcpListener};
 use poem::{endpoint::make_sync, Request, Server};
 
-/// A list of more pages than calls are allowed at once is read to its end, in whole pages, and
-/// leaves the budget of scale-out requests alone.
+/// A list with more pages than the maximum burst of calls is read completely, in full pages, and takes nothing from
+/// the budget of scaling requests, which is zero here.
 #[tokio::test]
 async fn a_long_list_is_read_to_its_end() {
     let calls = Arc::new(AtomicUsize::new(0));
-    let seen = calls.clone();
+    let call_counter = calls.clone();
     let cloud = make_sync(move |req: Request| {
-        seen.fetch_add(1, Ordering::Relaxed);
+        call_counter.fetch_add(1, Ordering::Relaxed);
         let query = req.uri().query().unwrap_or_default().to_owned();
         let field = |name: &str| {
             let mut fields = query.split('&').filter_map(|f| f.split_once('='));
@@ -37,8 +37,8 @@
     let addr = *acceptor.local_addr()[0].as_socket_addr().expect("TCP");
     tokio::spawn(Server::new_with_acceptor(acceptor).run(cloud));
     let cloud = CloudClient::new(Arc::new(Client::new(8)), addr, Clock::start(), 200.0);
-    *cloud.budget.lock().expect("not poisoned") = TokenBucket::per_second(0.0);
-    let mut found = 0;
-    cloud.list_machines(|page| found += page.len()).await;
-    assert_eq!((found, calls.load(Ordering::Relaxed)), (3_100, 7));
+    *cloud.call_budget.lock().expect("not poisoned") = TokenBucket::per_second(0.0);
+    let mut listed = 0;
+    cloud.list_machines(|page| listed += page.len()).await;
+    assert_eq!((listed, calls.load(Ordering::Relaxed)), (3_100, 7));
 }
--- a/crates/saltpitch/src/cloud_sync.rs
+++ b/crates/saltpitch/src/cloud_sync.rs
@@ -1,4 +1,4 @@
-//! Reading the cloud's catalogue of machine types and, while this node leads, its list of machines.
+//! Reads the cloud's catalogue of machine types periodically and, while this node leads, its list of machines.
 
 use std::sync::Arc;
 
@@ -6,20 +6,20 @@
 
 use crate::node::Node;
 
-/// Pauses between two reads of the catalogue, once it is known and before, in milliseconds.
+/// Mean pauses between two reads of the catalogue, once a catalogue is known and before, in milliseconds.
 const CATALOG_PAUSE_MS: u64 = 30_000;
 const MISSING_CATALOG_PAUSE_MS: u64 = 700;
-/// The pause of a follower, which does not read the list, in milliseconds.
+/// The mean pause before a follower, which does not read the list, checks again whether it leads, in milliseconds.
 const FOLLOWER_PAUSE_MS: u64 = 500;
 
-/// Reads the machine types from the cloud, and again every now and then.
-pub async fn load_catalog(node: Arc<Node>) {
+/// Reads the catalogue of machine types from the cloud periodically. Never returns.
+pub async fn refresh_catalog(node: Arc<Node>) {
     loop {
         if let Some(catalog) = node.cloud.catalog().await {
             node.controller().set_catalog(Arc::new(catalog));
         }
-        let known = node.controller().catalog().is_some();
-        let pause_ms = if known {
+        let is_known = node.controller().catalog().is_some();
+        let pause_ms = if is_known {
             CATALOG_PAUSE_MS
         } else {
             MISSING_CATALOG_PAUSE_MS
@@ -28,9 +28,10 @@
     }
 }
 
-/// Reads the cloud's list of machines while this node leads.
-pub async fn list_machines(node: Arc<Node>) {
-    // The list lags by a known time: half of it, spread, is as often as it shows anything new.
+/// Reads the cloud's list of machines periodically while this node leads. Never returns.
+pub async fn poll_machine_list(node: Arc<Node>) {
+    // The list lags by up to `max_list_lag`, so reading it more often than about every half of that, with jitter,
+    // shows nothing new.
     let pause_ms = node.settings.max_list_lag.0 / 2_000;
     loop {
         let leading_epoch = {
@@ -41,11 +42,11 @@
             node.pause(FOLLOWER_PAUSE_MS).await;
             continue;
         };
-        let take = |page: &[ListedMachine]| {
+        let handle_page = |page: &[ListedMachine]| {
             let now = node.now();
             node.controller().machines_listed(epoch, page, now);
         };
-        node.cloud.list_machines(take).await;
+        node.cloud.list_machines(handle_page).await;
         node.pause(pause_ms).await;
     }
 }
--- a/crates/saltpitch/src/record_sync.rs
+++ b/crates/saltpitch/src/record_sync.rs
@@ -16,7 +16,7 @@
 const FRESH_READ_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// After each run of this many consecutive failed watches, all records are listed again.
 const FAILED_WATCHES_BEFORE_LISTING: u32 = 5;
-/// The fractions of this node's share of the state service's request rate that watches and fresh reads use.
+/// The fractions of an equal share of the state service's request rate that watches and fresh reads use.
 const WATCH_SHARE: f64 = 0.12;
 const FRESH_READ_SHARE: f64 = 0.3;
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/saltpitch/src/store.rs
+++ b/crates/saltpitch/src/store.rs
@@ -94,8 +94,8 @@
         lock(&self.rate_limits).set_leading(is_leader);
     }
 
-    /// Returns the pause between two requests of a kind that may use this fraction of this controller's share
-    /// of the request rate.
+    /// Returns the pause between two requests of a kind that may use this fraction of an equal share of the
+    /// request rate.
     pub fn pace(&self, fraction: f64) -> Duration {
         lock(&self.rate_limits).pace(fraction)
     }
--- a/crates/saltpitch/src/store/health.rs
+++ b/crates/saltpitch/src/store/health.rs
@@ -1,8 +1,8 @@
-//! How the state service has served this controller.
+//! Whether the state service serves this controller's requests.
 
 use saltpitch_core::Micros;
 
-/// When the service last served a request, and when it last failed to.
+/// The times at which the service last served and last failed to serve a request.
 #[derive(Default)]
 pub struct Health {
     last_success_at: Option<Micros>,
@@ -10,21 +10,21 @@
 }
 
 impl Health {
-    /// Records the outcome of a request.
-    pub fn record(&mut self, served: bool, now: Micros) {
-        if served {
+    /// Records whether the service served a request.
+    pub fn record(&mut self, is_served: bool, now: Micros) {
+        if is_served {
             self.last_success_at = Some(now);
         } else {
             self.last_failure_at = Some(now);
         }
     }
 
-    /// When a request was last served.
+    /// Returns when the service last served a request.
     pub fn last_success_at(&self) -> Option<Micros> {
         self.last_success_at
     }
 
-    /// Whether the last request was served, and that no longer ago than `within`.
+    /// Returns whether the service served the last request, less than `within` ago.
     pub fn is_up(&self, within: Micros, now: Micros) -> bool {
         let is_recent = |at| now.since(at) < within;
         self.last_success_at.is_some_and(is_recent) && self.last_success_at >= self.last_failure_at
--- a/crates/saltpitch/src/store/health/tests.rs
+++ b/crates/saltpitch/src/store/health/tests.rs
@@ -1,4 +1,4 @@
-//! When the state service counts as reachable.
+//! Tests of when the state service counts as reachable.
 
 use super::*;
 
--- a/crates/saltpitch/src/store/rate_limits/tests.rs
+++ b/crates/saltpitch/src/store/rate_limits/tests.rs
@@ -1,4 +1,4 @@
-//! What a controller may send, and when it keeps to the next limits.
+//! Tests of a controller's share of the rate limits and of the switch to the next limits.
 
 use super::*;
 
@@ -17,8 +17,8 @@
     Micros::from_secs(1_000 + seconds)
 }
 
-/// Requests that pass in the tenth second, after nine in which everything was spent.
-fn requests_a_second(rate_limits: &mut RateLimits) -> usize {
+/// Returns the number of requests allowed in the tenth second, after the budget was used up in the ninth.
+fn requests_per_second(rate_limits: &mut RateLimits) -> usize {
     let spend_all = |rate_limits: &mut RateLimits, now: Micros| {
         (0..1_000).filter(|_| rate_limits.try_request(now)).count()
     };
@@ -29,12 +29,12 @@
 #[test]
 fn the_leader_has_half_of_the_requests_and_the_followers_the_rest() {
     let mut alone = RateLimits::new(limits(), 1);
-    assert_eq!(requests_a_second(&mut alone), 90);
+    assert_eq!(requests_per_second(&mut alone), 90);
     let mut follower = RateLimits::new(limits(), 4);
-    assert_eq!(requests_a_second(&mut follower), 15);
+    assert_eq!(requests_per_second(&mut follower), 15);
     let mut leader = RateLimits::new(limits(), 4);
     leader.set_leading(true);
-    assert_eq!(requests_a_second(&mut leader), 50);
+    assert_eq!(requests_per_second(&mut leader), 50);
 }
 
 #[test]
@@ -49,14 +49,14 @@
 #[test]
 fn five_refusals_within_ten_seconds_bring_the_next_limits_once() {
     let mut rate_limits = RateLimits::new(limits(), 1);
-    let detected: Vec<bool> = (0..7).map(|n| rate_limits.record_refusal(at(n))).collect();
-    assert_eq!(detected, [false, false, false, false, true, false, false]);
+    let detections: Vec<bool> = (0..7).map(|n| rate_limits.record_refusal(at(n))).collect();
+    assert_eq!(detections, [false, false, false, false, true, false, false]);
     let next = Rates {
         requests: 50.0,
         changes: 20.0,
     };
     assert_eq!(rate_limits.rates(), next);
-    assert_eq!(requests_a_second(&mut rate_limits), 45);
+    assert_eq!(requests_per_second(&mut rate_limits), 45);
     rate_limits.set_leading(true);
     assert_eq!(rate_limits.rates(), next);
 }
@@ -65,10 +65,10 @@
 fn a_transaction_spends_a_request_and_its_changes() {
     let mut rate_limits = RateLimits::new(limits(), 1);
     assert!(rate_limits.try_changes(0, at(0)));
-    let passed = (0..50)
+    let granted = (0..50)
         .filter(|_| rate_limits.try_changes(2, at(0)))
         .count();
-    assert!((1..50).contains(&passed), "{passed}");
+    assert!((1..50).contains(&granted), "{granted}");
     assert!(rate_limits.try_changes(0, at(0)), "requests are left");
 }
 
