--- a/crates/saltpitch/src/clock.rs
+++ b/crates/saltpitch/src/clock.rs
@@ -4,7 +4,8 @@
 
 use saltpitch_core::Micros;
 
-/// The monotonic time at which the clock starts. It is not zero because a time of zero stands for "never".
+/// The monotonic time at which the clock starts. It is not zero because a time of zero stands for
+/// "never".
 const INITIAL_TIME: Micros = Micros::from_secs(60);
 
 /// A monotonic clock that starts with the process, and the system's wall clock.
@@ -26,7 +27,8 @@
         Micros(self.started_at.elapsed().as_micros() as u64).plus(INITIAL_TIME)
     }
 
-    /// Returns the wall-clock time since the Unix epoch, or zero if the wall clock shows a time before it.
+    /// Returns the wall-clock time since the Unix epoch, or zero if the wall clock shows a time before
+    /// it.
     pub fn wall_time(&self) -> Micros {
         let since_unix_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Micros(since_unix_epoch.map_or(0, |elapsed| elapsed.as_micros() as u64))
--- a/crates/saltpitch/src/cloud.rs
+++ b/crates/saltpitch/src/cloud.rs
@@ -17,11 +17,12 @@
 
 /// The maximum number of machines that the cloud lists per page.
 const PAGE_SIZE: usize = 500;
-/// The fractions of the cloud's request rate for the list of machines and for all other requests. The rest is left
-/// for the other controllers, which read the catalogue when they start.
+/// The fractions of the cloud's request rate for the list of machines and for all other requests. The
+/// rest is left for the other controllers, which read the catalogue when they start.
 const LISTING_SHARE: f64 = 0.15;
 const CALLS_SHARE: f64 = 0.8;
-/// The maximum burst of calls, in seconds of the cloud's request rate. The cloud allows bursts of two seconds.
+/// The maximum burst of calls, in seconds of the cloud's request rate. The cloud allows bursts of two
+/// seconds.
 const BURST_SECONDS: f64 = 1.5;
 
 const CATALOG_TIMEOUT: Duration = Duration::from_secs(2);
@@ -40,7 +41,8 @@
 }
 
 impl CloudClient {
-    /// Creates a client of the cloud at `addr`, which accepts `rps` requests per second from the whole site.
+    /// Creates a client of the cloud at `addr`, which accepts `rps` requests per second from the whole
+    /// site.
     pub fn new(http: Arc<Client>, addr: SocketAddr, clock: Clock, rps: f64) -> CloudClient {
         CloudClient {
             http,
@@ -71,8 +73,8 @@
             .await
     }
 
-    /// Reads the catalogue of machine types. Returns `None` if the budget is exhausted or the cloud gives no usable
-    /// answer.
+    /// Reads the catalogue of machine types. Returns `None` if the budget is exhausted or the cloud
+    /// gives no usable answer.
     pub async fn catalog(&self) -> Option<Catalog> {
         if !self.try_call() {
             return None;
@@ -88,10 +90,10 @@
             .ok()
     }
 
-    /// Reads the list of machines and passes each page to `handle_page` as it arrives, since the machines on it exist
-    /// even if a later page fails. Pages have their own small share of the request rate. If they were taken from the
-    /// budget of scaling requests, a list of many pages would never be read completely and would delay those
-    /// requests.
+    /// Reads the list of machines and passes each page to `handle_page` as it arrives, since the
+    /// machines on it exist even if a later page fails. Pages have their own small share of the request
+    /// rate. If they were taken from the budget of scaling requests, a list of many pages would never be
+    /// read completely and would delay those requests.
     pub async fn list_machines(&self, mut handle_page: impl FnMut(&[ListedMachine])) {
         let mut path = format!("/machines?page={PAGE_SIZE}");
         loop {
--- a/crates/saltpitch/src/cloud/tests.rs
+++ b/crates/saltpitch/src/cloud/tests.rs
@@ -6,8 +6,8 @@
 use poem::listener::{Acceptor, Listener, TcpListener};
 use poem::{endpoint::make_sync, Request, Server};
 
-/// A list with more pages than the maximum burst of calls is read completely, in full pages, and takes nothing from
-/// the budget of scaling requests, which is zero here.
+/// A list with more pages than the maximum burst of calls is read completely, in full pages, and takes
+/// nothing from the budget of scaling requests, which is zero here.
 #[tokio::test]
 async fn a_long_list_is_read_to_its_end() {
     let calls = Arc::new(AtomicUsize::new(0));
--- a/crates/saltpitch/src/cloud_sync.rs
+++ b/crates/saltpitch/src/cloud_sync.rs
@@ -1,4 +1,5 @@
-//! Reads the cloud's catalogue of machine types periodically and, while this node leads, its list of machines.
+//! Reads the cloud's catalogue of machine types periodically and, while this node leads, its list of
+//! machines.
 
 use std::sync::Arc;
 
@@ -6,10 +7,12 @@
 
 use crate::node::Node;
 
-/// Mean pauses between two reads of the catalogue, once a catalogue is known and before, in milliseconds.
+/// Mean pauses between two reads of the catalogue, once a catalogue is known and before, in
+/// milliseconds.
 const CATALOG_PAUSE_MS: u64 = 30_000;
 const MISSING_CATALOG_PAUSE_MS: u64 = 700;
-/// The mean pause before a follower, which does not read the list, checks again whether it leads, in milliseconds.
+/// The mean pause before a follower, which does not read the list, checks again whether it leads, in
+/// milliseconds.
 const FOLLOWER_PAUSE_MS: u64 = 500;
 
 /// Reads the catalogue of machine types from the cloud periodically. Never returns.
@@ -30,8 +33,8 @@
 
 /// Reads the cloud's list of machines periodically while this node leads. Never returns.
 pub async fn poll_machine_list(node: Arc<Node>) {
-    // The list lags by up to `max_list_lag`, so reading it more often than about every half of that, with jitter,
-    // shows nothing new.
+    // The list lags by up to `max_list_lag`, so reading it more often than about every half of that,
+    // with jitter, shows nothing new.
     let pause_ms = node.settings.max_list_lag.0 / 2_000;
     loop {
         let leading_epoch = {
--- a/crates/saltpitch/src/connection_limit.rs
+++ b/crates/saltpitch/src/connection_limit.rs
@@ -1,9 +1,9 @@
-//! The open connections of users and agents, kept within this node's share of sockets: the rest are
-//! for the store, the cloud, the machines and the peers.
+//! Limits the open connections of users and agents to this node's share of sockets for them. The other
+//! sockets are for the store, the cloud, the machines and the peers.
 //!
-//! A site may have more machines than a node has sockets, so the agents' connections that have been idle
-//! for longest are closed in favour of new ones. Machines that failed or were returned leave theirs half
-//! open; since nothing arrives on these any more, they are the first to be closed.
+//! A site may have more machines than a node has sockets, so the connections of agents that have been
+//! idle longest are closed to make room for new ones. Machines that failed or were returned leave their
+//! connections half open. Nothing arrives on those any more, so they are closed first.
 
 mod acceptor;
 
@@ -19,24 +19,25 @@
 
 pub use acceptor::{listen, LimitedAcceptor};
 
-/// An agent's connection may be closed when it has been idle for this long: heartbeats are answered at
-/// once, so that no request is in flight on it.
-const AGENT_IDLE: Micros = Micros::from_secs(1);
-/// Any other connection: users ask every few seconds.
-const USER_IDLE: Micros = Micros::from_secs(60);
-/// One connection in so many, counted from the limit, is closed at a time.
+/// An agent's connection may be closed when it has been idle for this long. Heartbeats are answered at
+/// once, so no request is in flight on it by then.
+const AGENT_MIN_IDLE: Micros = Micros::from_secs(1);
+/// Any other connection may be closed when it has been idle for this long. Users send a request every
+/// few seconds.
+const USER_MIN_IDLE: Micros = Micros::from_secs(60);
+/// The limit divided by this is the number of connections that are closed at a time.
 const EVICTION_DIVISOR: usize = 16;
-/// When no connection was idle, none is looked for again for this long.
-const EVICTION_RETRY: Micros = Micros::from_millis(100);
+/// The pause between a search that found no idle connection and the next search.
+const EVICTION_RETRY_DELAY: Micros = Micros::from_millis(100);
 
-/// One accepted connection.
+/// An accepted connection.
 struct Connection {
-    /// When something last arrived on it, in microseconds.
+    /// When data last arrived on the connection, in microseconds.
     last_read_at: AtomicU64,
-    /// Whether heartbeats come by it.
+    /// Whether an agent has sent a heartbeat on the connection.
     is_agent: AtomicBool,
-    /// Whether it is to be closed, which its own task does.
-    closing: AtomicBool,
+    /// Whether the task that reads from the connection must close it.
+    is_closing: AtomicBool,
     /// Wakes that task.
     waker: Mutex<Option<Waker>>,
 }
@@ -46,13 +47,13 @@
         Connection {
             last_read_at: AtomicU64::new(now.0),
             is_agent: AtomicBool::new(false),
-            closing: AtomicBool::new(false),
+            is_closing: AtomicBool::new(false),
             waker: Mutex::new(None),
         }
     }
 
     fn is_closing(&self) -> bool {
-        self.closing.load(Ordering::Relaxed)
+        self.is_closing.load(Ordering::Relaxed)
     }
 
     fn last_read_at(&self) -> Micros {
@@ -63,58 +64,64 @@
         self.last_read_at.store(now.0, Ordering::Relaxed);
     }
 
-    /// Whether it has been idle for long enough to be closed.
+    /// Returns whether the connection has been idle for long enough to be closed, and is not being
+    /// closed yet.
     fn is_evictable(&self, now: Micros) -> bool {
         let min_idle = if self.is_agent.load(Ordering::Relaxed) {
-            AGENT_IDLE
+            AGENT_MIN_IDLE
         } else {
-            USER_IDLE
+            USER_MIN_IDLE
         };
         now.since(self.last_read_at()) >= min_idle && !self.is_closing()
     }
 
-    /// Has its task close it.
+    /// Marks the connection for closing and wakes the task that closes it.
     fn close(&self) {
-        self.closing.store(true, Ordering::Relaxed);
+        self.is_closing.store(true, Ordering::Relaxed);
         let waker = lock(&self.waker).take();
         if let Some(waker) = waker {
             waker.wake();
         }
     }
 
-    /// Remembers the task that reads from it.
+    /// Stores the waker of the task that reads from the connection.
     fn set_waker(&self, waker: &Waker) {
-        let mut known = lock(&self.waker);
-        if !known.as_ref().is_some_and(|known| known.will_wake(waker)) {
-            *known = Some(waker.clone());
+        let mut current = lock(&self.waker);
+        if !current
+            .as_ref()
+            .is_some_and(|current| current.will_wake(waker))
+        {
+            *current = Some(waker.clone());
         }
     }
 }
 
+/// The open connections and the state of their eviction.
 #[derive(Default)]
 struct ConnectionTable {
+    /// The open connections by remote address, including those that are being closed.
     open: HashMap<SocketAddr, Arc<Connection>>,
-    /// How many of these are closing.
-    closing: usize,
-    /// No idle connections are looked for before this time.
+    /// The number of open connections that are being closed.
+    closing_count: usize,
+    /// The earliest time of the next search for idle connections.
     next_eviction_at: Micros,
 }
 
 impl ConnectionTable {
-    /// Connections that will stay open.
-    fn remaining(&self) -> usize {
-        self.open.len() - self.closing
+    /// Returns the number of open connections that are not being closed.
+    fn count_staying_open(&self) -> usize {
+        self.open.len() - self.closing_count
     }
 }
 
-/// All connections accepted from users and agents.
+/// The connections accepted from users and agents, with a limit on their number.
 pub struct Connections {
     limit: usize,
     table: Mutex<ConnectionTable>,
 }
 
 impl Connections {
-    /// No connections yet, and at most `limit`.
+    /// Creates an empty set of at most `limit` connections.
     pub fn new(limit: usize) -> Connections {
         Connections {
             limit: limit.max(1),
@@ -122,21 +129,22 @@
         }
     }
 
-    /// Enters a new connection. `None`: it is one too many, and to be closed at once.
+    /// Adds a new connection, and evicts idle ones if the limit is reached. Returns `None` if none is
+    /// idle: the new connection must then be closed.
     fn admit(&self, from: SocketAddr, now: Micros) -> Option<Arc<Connection>> {
         let mut table = lock(&self.table);
-        if table.remaining() >= self.limit && !self.evict_idle(&mut table, now) {
+        if table.count_staying_open() >= self.limit && !self.evict_idle(&mut table, now) {
             return None;
         }
         let connection = Arc::new(Connection::new(now));
         let replaced = table.open.insert(from, connection.clone());
         if replaced.is_some_and(|replaced| replaced.is_closing()) {
-            table.closing -= 1;
+            table.closing_count -= 1;
         }
         Some(connection)
     }
 
-    /// Closes some of those that have been idle for longest; whether there were any.
+    /// Closes some of the connections that have been idle longest. Returns whether there were any.
     fn evict_idle(&self, table: &mut ConnectionTable, now: Micros) -> bool {
         if now < table.next_eviction_at {
             return false;
@@ -153,9 +161,9 @@
         for (_, connection) in idle {
             connection.close();
         }
-        table.closing += evicted;
+        table.closing_count += evicted;
         if evicted == 0 {
-            table.next_eviction_at = now.plus(EVICTION_RETRY);
+            table.next_eviction_at = now.plus(EVICTION_RETRY_DELAY);
         }
         evicted > 0
     }
@@ -163,7 +171,7 @@
     /// Removes a connection that has been closed.
     fn release(&self, from: SocketAddr, connection: &Arc<Connection>) {
         let mut table = lock(&self.table);
-        // Another connection from the same address may have taken its place.
+        // A newer connection from the same address may have replaced this one.
         let is_current = table
             .open
             .get(&from)
@@ -173,21 +181,21 @@
         }
         table.open.remove(&from);
         if connection.is_closing() {
-            table.closing -= 1;
+            table.closing_count -= 1;
         }
     }
 
-    /// Notes that a heartbeat came by the connection from this address.
+    /// Records that a heartbeat arrived on the connection from this address.
     pub fn mark_agent(&self, from: &SocketAddr) {
         if let Some(connection) = lock(&self.table).open.get(from) {
             connection.is_agent.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Whether more than two thirds of the limit are taken, so that agents are to open a new connection
-    /// for their next heartbeat.
+    /// Returns whether more than two thirds of the limit are in use. Agents are then told to open a new
+    /// connection for their next heartbeat.
     pub fn is_nearly_full(&self) -> bool {
-        lock(&self.table).remaining() * 3 > self.limit * 2
+        lock(&self.table).count_staying_open() * 3 > self.limit * 2
     }
 }
 
--- a/crates/saltpitch/src/connection_limit/acceptor.rs
+++ b/crates/saltpitch/src/connection_limit/acceptor.rs
@@ -1,4 +1,4 @@
-//! Listening, accepting connections within the limit, and closing those that are evicted.
+//! Listens, accepts connections within the limit and closes evicted connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,14 +16,15 @@
 use super::{Connection, Connections};
 use crate::clock::Clock;
 
-/// The pause after a connection that could not be accepted, which means that there are no sockets left.
+/// The pause after a connection could not be accepted, which means that no sockets are left.
 const FAILED_ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Bounds of a listener's backlog; the kernel keeps no more than about the latter.
+/// Bounds of a listener's backlog. The kernel's own limit is about the upper bound.
 const MIN_BACKLOG: usize = 8;
 const MAX_BACKLOG: usize = 4_096;
 
-/// Listens with a bounded backlog: connections that wait to be accepted take sockets as well.
+/// Listens on `addr` with a bounded backlog, because connections that wait to be accepted also use
+/// sockets.
 pub fn listen(addr: SocketAddr, backlog: usize) -> io::Result<TcpAcceptor> {
     let socket = if addr.is_ipv4() {
         TcpSocket::new_v4()?
@@ -36,8 +37,9 @@
     TcpAcceptor::from_tokio(socket.listen(backlog)?)
 }
 
-/// Accepts every connection, so that none waits where the kernel counts sockets, and closes at once what
-/// exceeds the limit: an agent then asks another node.
+/// An acceptor that accepts every connection, so that none waits in the backlog, where it would also
+/// count as a socket, and closes at once those that exceed the limit. An agent whose connection is
+/// closed tries another node.
 pub struct LimitedAcceptor<A> {
     inner: A,
     clock: Clock,
@@ -45,7 +47,7 @@
 }
 
 impl<A> LimitedAcceptor<A> {
-    /// Accepts from `inner` within the limit of `connections`.
+    /// Creates an acceptor that accepts from `inner` within the limit of `connections`.
     pub fn new(inner: A, clock: Clock, connections: Arc<Connections>) -> LimitedAcceptor<A> {
         LimitedAcceptor {
             inner,
@@ -88,7 +90,8 @@
     }
 }
 
-/// A connection that leaves the table when it is dropped, and ends when it is evicted.
+/// A connection that reads as ended once it is evicted, and removes itself from [`Connections`] when it
+/// is dropped.
 pub struct LimitedConnection<I> {
     io: I,
     from: SocketAddr,
@@ -110,7 +113,8 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.connection.is_closing() {
-            // Nothing read and no error is the end of the stream: the server closes the connection.
+            // Success without any data is the end of the stream, upon which the server closes the
+            // connection.
             return Poll::Ready(Ok(()));
         }
         let read = Pin::new(&mut self.io).poll_read(cx, buf);
--- a/crates/saltpitch/src/connection_limit/tests.rs
+++ b/crates/saltpitch/src/connection_limit/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections are refused and which are evicted.
+//! Tests of which connections are refused and which are evicted.
 
 use std::collections::hash_map::Entry;
 
@@ -8,17 +8,16 @@
     SocketAddr::from((n.to_be_bytes(), 9))
 }
 
-/// How many connections a leader with this limit refuses in a minute of heartbeats, one from each agent
-/// every 8 s, on a connection that the agent never closes.
-fn refused(limit: usize, agents: u32) -> usize {
+/// Returns how many connections a leader with this limit refuses during eight heartbeats of each agent,
+/// about a minute at one every 8 s. The agents never close their connections.
+fn count_refused(limit: usize, agents: u32) -> usize {
     let connections = Connections::new(limit);
     let mut open: HashMap<SocketAddr, Arc<Connection>> = HashMap::new();
     let mut refused = 0;
     for step in 0..agents * 8 {
-        let now = Micros(u64::from(step) * 8_000_000 / u64::from(agents)).plus(USER_IDLE);
+        let now = Micros(u64::from(step) * 8_000_000 / u64::from(agents)).plus(USER_MIN_IDLE);
         let from = addr(step % agents);
-        // Evicted connections are closed by then.
-
+        // Evicted connections are closed before the next heartbeat.
         for (address, connection) in open.extract_if(|_, connection| connection.is_closing()) {
             connections.release(address, &connection);
         }
@@ -32,7 +31,7 @@
             connection.record_read(now);
             connections.mark_agent(&from);
         }
-        // Evicted connections stay for a moment.
+        // Evicted connections stay open for a short time.
         assert!(
             open.len() <= limit + limit / EVICTION_DIVISOR,
             "{} open",
@@ -42,15 +41,16 @@
     refused
 }
 
-/// Idle connections of agents are evicted in time whether there are more agents than sockets or not.
+/// Idle connections of agents are evicted early enough that no agent is refused, with fewer agents than
+/// sockets and with more.
 #[test]
 fn all_agents_are_served_when_they_outnumber_the_sockets() {
-    assert_eq!(refused(1_750, 500), 0);
-    assert_eq!(refused(1_750, 3_000), 0);
+    assert_eq!(count_refused(1_750, 500), 0);
+    assert_eq!(count_refused(1_750, 3_000), 0);
 }
 
-/// Connections of failed machines and of users who have left are evicted in favour of new ones; those of
-/// active users are not evicted in favour of agents.
+/// Connections of failed machines and of users who no longer send requests are evicted for new
+/// connections. Connections of active users are not evicted for agents.
 #[test]
 fn half_open_connections_are_evicted_and_active_users_stay() {
     let connections = Connections::new(100);
@@ -74,13 +74,13 @@
             "agents' idle connections are evicted"
         );
     }
-    let closing = |connection: &Option<Arc<Connection>>| {
+    let is_closing_or_refused = |connection: &Option<Arc<Connection>>| {
         connection
             .as_ref()
             .is_none_or(|connection| connection.is_closing())
     };
-    assert!(!users.iter().any(closing), "users stay");
+    assert!(!users.iter().any(is_closing_or_refused), "users stay");
     assert!(connections.admit(addr(300), at(30)).is_none());
     assert!(connections.admit(addr(301), at(61)).is_some());
-    assert!(users.iter().any(closing), "idle for a minute");
+    assert!(users.iter().any(is_closing_or_refused), "idle for a minute");
 }
--- a/crates/saltpitch/src/effects.rs
+++ b/crates/saltpitch/src/effects.rs
@@ -39,8 +39,8 @@
     }
 }
 
-/// Polls the scheduler once and spawns a task for each effect. Returns how long to wait for the next poll if
-/// no event comes first.
+/// Polls the scheduler once and spawns a task for each effect. Returns how long to wait for the next
+/// poll if no event comes first.
 fn poll(node: &Arc<Node>, last_summary_at: &mut Micros) -> Duration {
     let now = node.now();
     let mut controller = node.controller();
@@ -73,8 +73,8 @@
     }
 }
 
-/// Passes the result of an effect to the scheduler that requested it and wakes the scheduler's task. Drops the
-/// result if the leadership of that epoch has ended.
+/// Passes the result of an effect to the scheduler that requested it and wakes the scheduler's task.
+/// Drops the result if the leadership of that epoch has ended.
 fn deliver(node: &Node, epoch: u64, apply: impl FnOnce(&mut Scheduler, Micros)) {
     let now = node.now();
     if let Some(scheduler) = node.controller().scheduler_in_epoch(epoch) {
@@ -83,6 +83,7 @@
     }
 }
 
+/// Executes an effect and passes its result to the scheduler.
 async fn execute(node: Arc<Node>, epoch: u64, effect: Effect) {
     match effect {
         Effect::Commit(transaction) => commit(&node, epoch, &transaction).await,
--- a/crates/saltpitch/src/fresh_reads.rs
+++ b/crates/saltpitch/src/fresh_reads.rs
@@ -4,8 +4,8 @@
 
 use tokio::sync::{watch, Notify};
 
-/// The requests that wait until the records are at least as new as the request. One read serves all requests
-/// that are waiting when it starts.
+/// The requests that wait until the records are at least as new as the request. One read serves all
+/// requests that are waiting when it starts.
 pub struct FreshReads {
     /// Wakes the task that reads.
     requested: Notify,
@@ -33,8 +33,8 @@
 }
 
 impl FreshReads {
-    /// Waits for the end of a read that starts after this call. Returns false if the state service could not be
-    /// read.
+    /// Waits for the end of a read that starts after this call. Returns false if the state service could
+    /// not be read.
     pub async fn wait(&self) -> bool {
         let awaited_number = self.started.load(Ordering::Relaxed) + 1;
         let mut reads = self.last_finished.subscribe();
--- a/crates/saltpitch/src/http.rs
+++ b/crates/saltpitch/src/http.rs
@@ -1,5 +1,5 @@
-//! A small HTTP client: it keeps connections, has a time limit for every call, and tells a request that
-//! was certainly not sent from one whose outcome is unknown.
+//! A small HTTP client that reuses connections, limits the time of every call, and distinguishes
+//! requests that were certainly not sent from those whose outcome is unknown.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,30 +18,31 @@
 
 use crate::mutex::lock;
 
-/// The most idle connections kept to one address.
+/// The maximum number of idle connections kept per address.
 const MAX_IDLE_PER_ADDRESS: usize = 4;
-/// The fewest addresses to which connections are kept.
-const MIN_ADDRESSES: usize = 4;
+/// The lowest limit on the number of addresses to which connections are kept.
+const ADDRESS_LIMIT_FLOOR: usize = 4;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The longest answer taken: a watch's answer has no limit of its own, but this node's memory has.
-const MAX_ANSWER_BYTES: usize = 6 * 1024 * 1024;
+/// The maximum length of a response body. The response to a watch may have any length, but this node's
+/// memory is limited.
+const MAX_REPLY_BYTES: usize = 6 * 1024 * 1024;
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// The request was not sent and never will be.
+    /// The request was not sent and will not be sent.
     NotSent,
-    /// No answer: the request may have been carried out, or may yet be.
+    /// There is no response: the server may have executed the request or may still execute it.
     Unknown,
 }
 
-/// An answer.
+/// A response.
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
     /// The body.
     pub body: Bytes,
-    /// `Retry-After` in seconds.
+    /// The `Retry-After` header in seconds.
     pub retry_after_s: Option<u64>,
 }
 
@@ -50,21 +51,22 @@
 /// The idle connections to one address.
 #[derive(Default)]
 struct IdleConnections {
-    /// The number of the last use, which is the key in [`IdlePool::by_use`].
+    /// The sequence number of the last use, which is the key in [`IdlePool::by_last_use`].
     last_use: u64,
     senders: Vec<Sender>,
 }
 
-/// Idle connections by address, and the addresses in the order of their last use.
+/// The idle connections by address, and the addresses in the order of their last use.
 #[derive(Default)]
 struct IdlePool {
     by_address: HashMap<SocketAddr, IdleConnections>,
-    by_use: BTreeMap<u64, SocketAddr>,
-    uses: u64,
+    by_last_use: BTreeMap<u64, SocketAddr>,
+    /// The number of uses so far.
+    use_count: u64,
 }
 
 impl IdlePool {
-    /// Takes a connection to the address that is still open.
+    /// Takes a connection to the address that is still open, and drops those that are not.
     fn take(&mut self, addr: SocketAddr) -> Option<Sender> {
         let senders = &mut self.by_address.get_mut(&addr)?.senders;
         while let Some(sender) = senders.pop() {
@@ -75,20 +77,21 @@
         None
     }
 
-    /// Keeps a connection, in place of those to the addresses that were used longest ago.
+    /// Adds a connection to the pool, and evicts the connections to the least recently used addresses if
+    /// there are more than `max_addresses` addresses.
     fn put(&mut self, addr: SocketAddr, sender: Sender, max_addresses: usize) {
-        self.uses += 1;
+        self.use_count += 1;
         let entry = self.by_address.entry(addr).or_default();
-        self.by_use.remove(&entry.last_use);
-        self.by_use.insert(self.uses, addr);
-        entry.last_use = self.uses;
+        self.by_last_use.remove(&entry.last_use);
+        self.by_last_use.insert(self.use_count, addr);
+        entry.last_use = self.use_count;
         entry.senders.retain(|sender| !sender.is_closed());
         if entry.senders.len() < MAX_IDLE_PER_ADDRESS {
             entry.senders.push(sender);
         }
-        // Machines come and go: connections to those long gone must not take the others' places.
+        // Without eviction, connections to machines that no longer exist would fill the pool.
         while self.by_address.len() > max_addresses {
-            let Some((_, oldest)) = self.by_use.pop_first() else {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else {
                 return;
             };
             self.by_address.remove(&oldest);
@@ -96,38 +99,40 @@
     }
 }
 
-/// An HTTP client for any number of addresses.
+/// An HTTP client with a pool of idle connections.
 pub struct Client {
-    idle: Mutex<IdlePool>,
+    idle_pool: Mutex<IdlePool>,
     max_addresses: usize,
 }
 
-/// An answer, and whether the connection on which it came can be used again.
+/// A response, and whether its connection must be closed instead of reused.
 struct Exchange {
     reply: Reply,
-    closes: bool,
+    must_close: bool,
 }
 
 impl Client {
-    /// Keeps connections to about `max_addresses` addresses, those used last.
+    /// Creates a client that keeps idle connections to the `max_addresses` most recently used addresses,
+    /// or to [`ADDRESS_LIMIT_FLOOR`] if that is more.
     pub fn new(max_addresses: usize) -> Client {
         Client {
-            idle: Mutex::default(),
-            max_addresses: max_addresses.max(MIN_ADDRESSES),
+            idle_pool: Mutex::default(),
+            max_addresses: max_addresses.max(ADDRESS_LIMIT_FLOOR),
         }
     }
 
-    /// Sends one request and reads its whole answer within `limit`, after connecting if need be.
+    /// Sends one request and reads its whole response within `time_limit`. The time to connect, if there
+    /// is no idle connection, is limited separately.
     pub async fn call(
         &self,
         addr: SocketAddr,
         method: Method,
         path: &str,
         body: Vec<u8>,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<Reply, CallError> {
-        let kept = lock(&self.idle).take(addr);
-        let mut sender = match kept {
+        let idle_sender = lock(&self.idle_pool).take(addr);
+        let mut sender = match idle_sender {
             Some(sender) => sender,
             None => connect(addr).await?,
         };
@@ -138,16 +143,17 @@
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body)))
             .map_err(|_| CallError::NotSent)?;
-        let exchange = timeout(limit, exchange(&mut sender, request))
+        let exchange = timeout(time_limit, exchange(&mut sender, request))
             .await
             .map_err(|_| CallError::Unknown)??;
-        if !exchange.closes {
-            lock(&self.idle).put(addr, sender, self.max_addresses);
+        if !exchange.must_close {
+            lock(&self.idle_pool).put(addr, sender, self.max_addresses);
         }
         Ok(exchange.reply)
     }
 }
 
+/// Opens a connection and spawns the task that drives it.
 async fn connect(addr: SocketAddr) -> Result<Sender, CallError> {
     let tcp = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr))
         .await
@@ -163,6 +169,7 @@
     Ok(sender)
 }
 
+/// Sends one request on a connection and reads the response.
 async fn exchange(
     sender: &mut Sender,
     request: Request<Full<Bytes>>,
@@ -174,14 +181,14 @@
             CallError::Unknown
         }
     })?;
-    read_answer(response).await
+    read_reply(response).await
 }
 
-async fn read_answer(response: Response<Incoming>) -> Result<Exchange, CallError> {
+async fn read_reply(response: Response<Incoming>) -> Result<Exchange, CallError> {
     let status = response.status().as_u16();
-    let closes = closes_connection(response.headers());
+    let must_close = has_connection_close(response.headers());
     let retry_after_s = retry_after_s(response.headers());
-    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+    let body = Limited::new(response.into_body(), MAX_REPLY_BYTES)
         .collect()
         .await
         .map_err(|_| CallError::Unknown)?
@@ -191,16 +198,17 @@
         body,
         retry_after_s,
     };
-    Ok(Exchange { reply, closes })
+    Ok(Exchange { reply, must_close })
 }
 
-fn closes_connection(headers: &HeaderMap) -> bool {
+/// Returns whether the server closes the connection after this response.
+fn has_connection_close(headers: &HeaderMap) -> bool {
     headers
         .get(CONNECTION)
         .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"))
 }
 
-/// `Retry-After` in seconds; its other form, a date, is passed over.
+/// Returns the `Retry-After` header in seconds. The header's other form, a date, is ignored.
 fn retry_after_s(headers: &HeaderMap) -> Option<u64> {
     headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()
 }
--- a/crates/saltpitch/src/leadership.rs
+++ b/crates/saltpitch/src/leadership.rs
@@ -20,8 +20,8 @@
 const LOST_ELECTION_PAUSE_MS: u64 = 300;
 const ELECTION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// As a follower, stands for election when there is no leader. As the leader, renews the leadership lease, and
-/// resigns when agents cannot reach this node. Never returns.
+/// As a follower, stands for election when there is no leader. As the leader, renews the leadership
+/// lease, and resigns when agents cannot reach this node. Never returns.
 pub async fn hold_leadership(node: Arc<Node>) {
     let mut leaderless_since: Option<Micros> = None;
     loop {
@@ -52,8 +52,8 @@
     node.store.set_leading(node.controller().is_leader());
 }
 
-/// Returns whether to stand for election now. `leaderless_since` is the time since which every check has found
-/// no leader.
+/// Returns whether to stand for election now. `leaderless_since` is the time since which every check has
+/// found no leader.
 fn should_campaign(node: &Node, leaderless_since: &mut Option<Micros>) -> bool {
     let now = node.now();
     match node.controller().candidacy(now, node.random()) {
@@ -101,8 +101,8 @@
     }
 }
 
-/// Stands for election once with a newly granted leadership lease, and revokes the lease if the election is
-/// lost. Returns whether this node was elected.
+/// Stands for election once with a newly granted leadership lease, and revokes the lease if the election
+/// is lost. Returns whether this node was elected.
 async fn stand_for_election(node: &Node) -> bool {
     if !node.read_latest_records().await {
         return false;
@@ -120,8 +120,8 @@
     false
 }
 
-/// Writes an election attempt whose leader record is deleted when the lease ends. Returns whether this node was
-/// elected.
+/// Writes an election attempt whose leader record is deleted when the lease ends. Returns whether this
+/// node was elected.
 async fn campaign(node: &Node, store_lease: u64, lease_granted_at: Micros) -> bool {
     let Some(attempt) = node.controller().campaign(node.clock.wall_time()) else {
         return false;
--- a/crates/saltpitch/src/node.rs
+++ b/crates/saltpitch/src/node.rs
@@ -1,5 +1,5 @@
-//! The state that the tasks of one controller process share: the state machine, the settings, and the
-//! clients of the systems around it.
+//! The state shared by the tasks of one controller process: the controller's state machine, the
+//! settings, and the clients of the external services, the agents and the peers.
 
 use std::ops::{Deref, DerefMut};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -22,19 +22,20 @@
 use crate::settings::Settings;
 use crate::store::StoreClient;
 
-/// How the sockets are shared out, in percent: connections accepted from users and agents, and kept ones
-/// to machines. [`crate::server`] takes those that wait to be accepted; the rest is for the store, the
-/// cloud, the peers and calls in flight.
-const ACCEPTED_PERCENT: usize = 70;
-const KEPT_PERCENT: usize = 10;
-/// Queries of users that may wait for the latest records at a time, as a part of the sockets: heartbeats,
-/// submissions and cancellations share the processor with them.
-const QUERIES_PERCENT: usize = 20;
-
-/// How long after its last answer the state service counts as reachable in heartbeats to peers, and when
-/// the load balancer asks for this node's health.
-const STORE_REACHABLE_WITHIN: Micros = Micros::from_secs(12);
-const HEALTHY_WITHIN: Micros = Micros::from_secs(15);
+/// The percentages of the sockets for connections accepted from users and agents, and for idle
+/// connections that the HTTP client keeps. [`crate::server`] reserves sockets for connections that wait
+/// to be accepted. The rest is for the store, the cloud, the peers and calls in flight.
+const INBOUND_CONNECTIONS_PERCENT: usize = 70;
+const IDLE_CONNECTIONS_PERCENT: usize = 10;
+/// The maximum number of users' queries that wait for the latest records at a time, as a percentage of
+/// the sockets. It is limited because heartbeats, submissions and cancellations share the processor with
+/// queries.
+const WAITING_QUERIES_PERCENT: usize = 20;
+
+/// How long after its last response the state service counts as reachable: in heartbeats to peers, and
+/// in health checks of the load balancer.
+const STORE_REACHABLE_WINDOW: Micros = Micros::from_secs(12);
+const HEALTHY_WINDOW: Micros = Micros::from_secs(15);
 
 /// One controller process.
 pub struct Node {
@@ -42,23 +43,23 @@
     pub settings: Settings,
     /// This process's clocks.
     pub clock: Clock,
-    /// The state service.
+    /// The client of the state service.
     pub store: StoreClient,
-    /// The cloud.
+    /// The client of the cloud.
     pub cloud: CloudClient,
-    /// The client of the agents.
+    /// The HTTP client that calls the agents, the state service and the cloud.
     pub http: Arc<Client>,
-    /// The other controllers.
+    /// The client of the other controllers.
     pub peers: PeerClient,
-    /// The connections of users and agents.
+    /// The connections accepted from users and agents.
     pub connections: Arc<Connections>,
     /// Wakes the task that runs the scheduler.
     pub scheduler_wakeup: Notify,
-    /// Reads of the latest records that requests wait for.
+    /// The reads of the latest records for which requests wait.
     pub fresh_reads: FreshReads,
-    /// Queries of users that may wait for them.
+    /// Limits the users' queries that wait for the latest records.
     pub query_permits: Semaphore,
-    /// Delegations to other cells, if there is a file on cells.
+    /// The delegations to other cells, if a cells file is configured.
     pub cells: Option<Cells>,
     controller: Mutex<Controller>,
     rng: Mutex<SmallRng>,
@@ -95,11 +96,13 @@
 }
 
 impl Node {
-    /// A controller that has not begun to serve.
+    /// Creates the state of a controller that does not serve yet.
     pub fn new(settings: Settings) -> Node {
-        let query_permits = Semaphore::new(settings.max_sockets * QUERIES_PERCENT / 100);
+        let query_permits = Semaphore::new(settings.max_sockets * WAITING_QUERIES_PERCENT / 100);
         let clock = Clock::start();
-        let http = Arc::new(Client::new(settings.max_sockets * KEPT_PERCENT / 100));
+        let http = Arc::new(Client::new(
+            settings.max_sockets * IDLE_CONNECTIONS_PERCENT / 100,
+        ));
         let store = StoreClient::new(
             http.clone(),
             settings.store_addr,
@@ -113,7 +116,7 @@
         let controller =
             Controller::new(settings.controller_config(), process, clock.wall_time().0);
         let cells = settings.cells.clone().map(Cells::new);
-        let accepted = settings.max_sockets * ACCEPTED_PERCENT / 100;
+        let connection_limit = settings.max_sockets * INBOUND_CONNECTIONS_PERCENT / 100;
         Node {
             settings,
             clock,
@@ -121,7 +124,7 @@
             cloud,
             http,
             peers: PeerClient::default(),
-            connections: Arc::new(Connections::new(accepted)),
+            connections: Arc::new(Connections::new(connection_limit)),
             scheduler_wakeup: Notify::new(),
             fresh_reads: FreshReads::default(),
             query_permits,
@@ -136,37 +139,40 @@
         ControllerGuard(lock(&self.controller))
     }
 
-    /// The time on the monotonic clock.
+    /// Returns the monotonic time.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// A random number.
+    /// Returns a random number.
     pub fn random(&self) -> u64 {
         lock(&self.rng).random()
     }
 
-    /// A pause of about `ms`, spread by half either way so that nodes don't act in step.
+    /// Sleeps for `ms` milliseconds with a jitter of half of it in each direction, so that nodes do not
+    /// act in lockstep.
     pub async fn pause(&self, ms: u64) {
-        let spread = self.random() % (ms + 1);
-        tokio::time::sleep(Duration::from_millis(ms / 2 + 1 + spread)).await;
+        let jitter = self.random() % (ms + 1);
+        tokio::time::sleep(Duration::from_millis(ms / 2 + 1 + jitter)).await;
     }
 
-    /// How the state service has served this process, for heartbeats to peers.
+    /// Returns how the state service has served this process, for heartbeats to peers.
     pub fn store_health(&self) -> StoreHealth {
         StoreHealth {
-            reachable: self.store.is_up(STORE_REACHABLE_WITHIN),
+            reachable: self.store.is_up(STORE_REACHABLE_WINDOW),
             last_success_at: self.store.last_success_at(),
         }
     }
 
-    /// Whether this node can take requests. When the state service fails for all nodes, all stay up: the
-    /// load balancer would take longer to bring them back than most outages last.
+    /// Returns whether this node can take requests, for health checks. It must have read the records and
+    /// the catalogue. Without the state service, the node is still up while it has live peers, so that
+    /// all nodes stay up when the state service fails for all of them: the load balancer would take
+    /// longer to bring them back than most outages last.
     pub fn is_up(&self) -> bool {
         let controller = self.controller();
         if !controller.is_synced() || controller.catalog().is_none() {
             return false;
         }
-        self.store.is_up(HEALTHY_WITHIN) || controller.live_peers(self.now()) > 0
+        self.store.is_up(HEALTHY_WINDOW) || controller.live_peers(self.now()) > 0
     }
 }
--- a/crates/saltpitch/src/peer.rs
+++ b/crates/saltpitch/src/peer.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to the other controllers, and answers to their requests.
+//! Sends heartbeats to the other controllers and handles their requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,44 +15,46 @@
 use crate::peer_link::{decode, encode, framed};
 use crate::settings::Peer;
 
-/// The most connections accepted from other controllers.
-const MAX_CONNECTIONS: usize = 64;
-/// A connection on which no request comes for this long is closed.
+/// The maximum number of connections accepted from other controllers.
+const MAX_INBOUND_CONNECTIONS: usize = 64;
+/// A connection without a request for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 const SEND_TIMEOUT: Duration = Duration::from_secs(5);
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The pause between two heartbeats to a peer, in milliseconds; spread by half either way.
+/// The mean pause between two heartbeats to a peer, in milliseconds. The jitter is half of it in each
+/// direction.
 const HEARTBEAT_PAUSE_MS: u64 = 700;
-/// The pause after a connection that could not be accepted.
+/// The pause after a connection could not be accepted.
 const FAILED_ACCEPT_PAUSE: Duration = Duration::from_millis(200);
 
-/// Accepts connections from the other controllers.
+/// Accepts connections from the other controllers, and closes those that exceed the limit. Never
+/// returns.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
-    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let connection_permits = Arc::new(Semaphore::new(MAX_INBOUND_CONNECTIONS));
     loop {
         let Ok((tcp, from)) = listener.accept().await else {
             tokio::time::sleep(FAILED_ACCEPT_PAUSE).await;
             continue;
         };
-        let Ok(slot) = slots.clone().try_acquire_owned() else {
+        let Ok(permit) = connection_permits.clone().try_acquire_owned() else {
             continue;
         };
         let node = node.clone();
         tokio::spawn(async move {
             serve_connection(node, tcp, from).await;
-            drop(slot);
+            drop(permit);
         });
     }
 }
 
-/// Answers the requests of one connection until it ends.
+/// Handles the requests of one connection until it fails, becomes idle or sends an unreadable frame.
 async fn serve_connection(node: Arc<Node>, tcp: TcpStream, from: SocketAddr) {
     let mut link = framed(tcp);
     while let Ok(Some(Ok(frame))) = timeout(IDLE_TIMEOUT, link.next()).await {
         let Some(request) = decode(&frame, from) else {
             return;
         };
-        let response = respond(&node, request).await;
+        let response = handle_request(&node, request).await;
         let Some(frame) = encode(&response) else {
             return;
         };
@@ -63,7 +65,7 @@
     }
 }
 
-async fn respond(node: &Node, request: PeerRequest) -> PeerResponse {
+async fn handle_request(node: &Node, request: PeerRequest) -> PeerResponse {
     match request {
         PeerRequest::Heartbeat(heartbeat) => {
             let (store, now) = (node.store_health(), node.now());
@@ -82,7 +84,7 @@
     }
 }
 
-/// Starts sending heartbeats to every peer, about one a second.
+/// Spawns a task for each peer that sends it a heartbeat about once per second.
 pub fn spawn_heartbeats(node: &Arc<Node>) {
     for peer in node.settings.peers.clone() {
         tokio::spawn(send_heartbeats(node.clone(), peer));
@@ -91,14 +93,15 @@
 
 async fn send_heartbeats(node: Arc<Node>, peer: Peer) {
     loop {
-        let sends_another = send_heartbeat(&node, &peer).await;
-        if !sends_another {
+        let has_more = send_heartbeat(&node, &peer).await;
+        if !has_more {
             node.pause(HEARTBEAT_PAUSE_MS).await;
         }
     }
 }
 
-/// Sends one heartbeat; whether the next is to follow at once.
+/// Sends one heartbeat. Returns whether the next one must follow at once because the peer's
+/// acknowledgement of cancellations has another page.
 async fn send_heartbeat(node: &Node, peer: &Peer) -> bool {
     let sent_at = node.now();
     let (heartbeat, epoch) = {
@@ -116,9 +119,9 @@
         return false;
     };
     let now = node.now();
-    let sends_another = node
+    let has_more = node
         .controller()
         .peer_heartbeat_answered(answer, sent_at, epoch, now);
     node.scheduler_wakeup.notify_one();
-    sends_another
+    has_more
 }
--- a/crates/saltpitch/src/peer_link.rs
+++ b/crates/saltpitch/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! The link between controllers: length-delimited frames of MessagePack that carry the messages of
+//! The protocol between controllers: length-delimited MessagePack frames that carry the messages of
 //! `saltpitch_core::messages`.
 
 use std::collections::HashMap;
@@ -17,16 +17,16 @@
 
 use crate::mutex::lock;
 
-/// The largest frame in bytes.
+/// The maximum length of a frame.
 const MAX_FRAME_BYTES: usize = 128 * 1024;
-/// The most idle connections kept to each other controller.
-const MAX_KEPT_CONNECTIONS: usize = 4;
+/// The maximum number of idle connections kept to each of the other controllers.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// One connection to another controller.
+/// A connection to another controller.
 pub type PeerLink = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// A connection with the protocol's framing. Frames are small and each is waited for, so they are sent
-/// without delay.
+/// Adds the protocol's framing to a connection. Disables Nagle's algorithm because frames are small and
+/// the sender waits for the response to each.
 pub fn framed(tcp: TcpStream) -> PeerLink {
     let _ = tcp.set_nodelay(true);
     let codec = LengthDelimitedCodec::builder()
@@ -35,13 +35,14 @@
     Framed::new(tcp, codec)
 }
 
-/// Frames name their fields: a peer of another version skips those that it does not know. The reader
-/// also takes frames of protocol version 0, whose fields go by position.
+/// Encodes a message with the names of its fields, so that a peer of another version ignores fields that
+/// it does not know. [`decode`] also accepts frames of protocol version 0, whose fields are identified
+/// by position.
 pub fn encode<T: Serialize>(message: &T) -> Option<Vec<u8>> {
     rmp_serde::to_vec_named(message).ok()
 }
 
-/// A frame that this version cannot read is refused as a whole, with one log line.
+/// Decodes a frame. Returns `None` and logs a line if this version cannot read the whole frame.
 pub fn decode<T: DeserializeOwned>(frame: &[u8], from: SocketAddr) -> Option<T> {
     match rmp_serde::from_slice(frame) {
         Ok(message) => Some(message),
@@ -55,48 +56,54 @@
     }
 }
 
-/// The client's side of the links to the other controllers, with the connections that it keeps.
+/// The client side of the connections to the other controllers, with a pool of idle connections.
 #[derive(Default)]
 pub struct PeerClient {
     idle: Mutex<HashMap<SocketAddr, Vec<PeerLink>>>,
 }
 
 impl PeerClient {
-    /// Sends a request and waits for its answer. `None`: no answer in time.
+    /// Sends a request and waits for its response. Returns `None` if there is no response within
+    /// `time_limit`, or no readable one. A request on a reused connection that fails is retried once on
+    /// a new connection.
     pub async fn request(
         &self,
         addr: SocketAddr,
         request: &PeerRequest,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Option<PeerResponse> {
         let frame = encode(request)?;
-        let kept = self.take(addr);
-        let reused = kept.is_some();
-        let first = timeout(limit, exchange(kept, addr, &frame)).await;
+        let idle = self.take_idle(addr);
+        let is_reused = idle.is_some();
+        let first = timeout(time_limit, exchange(idle, addr, &frame)).await;
         let (link, response) = match first {
             Ok(Some(answered)) => answered,
-            // A kept connection may have been closed meanwhile; requests are idempotent.
-            Ok(None) if reused => timeout(limit, exchange(None, addr, &frame)).await.ok()??,
+            // The peer may have closed the idle connection in the meantime. Requests are idempotent.
+            Ok(None) if is_reused => timeout(time_limit, exchange(None, addr, &frame))
+                .await
+                .ok()??,
             _ => return None,
         };
-        self.keep(addr, link);
+        self.put_idle(addr, link);
         Some(response)
     }
 
-    fn take(&self, addr: SocketAddr) -> Option<PeerLink> {
+    /// Takes an idle connection from the pool.
+    fn take_idle(&self, addr: SocketAddr) -> Option<PeerLink> {
         lock(&self.idle).get_mut(&addr).and_then(Vec::pop)
     }
 
-    fn keep(&self, addr: SocketAddr, link: PeerLink) {
+    /// Returns a connection to the pool, or closes it if the pool is full.
+    fn put_idle(&self, addr: SocketAddr, link: PeerLink) {
         let mut idle = lock(&self.idle);
-        let kept = idle.entry(addr).or_default();
-        if kept.len() < MAX_KEPT_CONNECTIONS {
-            kept.push(link);
+        let links = idle.entry(addr).or_default();
+        if links.len() < MAX_IDLE_CONNECTIONS {
+            links.push(link);
         }
     }
 }
 
-/// One request and its answer, on the given connection or a new one.
+/// Sends one request frame and reads its response, on the given connection or a new one.
 async fn exchange(
     link: Option<PeerLink>,
     addr: SocketAddr,
@@ -107,7 +114,7 @@
         None => framed(TcpStream::connect(addr).await.ok()?),
     };
     link.send(Bytes::copy_from_slice(frame)).await.ok()?;
-    let answer = link.next().await?.ok()?;
-    let response = decode(&answer, addr)?;
+    let response_frame = link.next().await?.ok()?;
+    let response = decode(&response_frame, addr)?;
     Some((link, response))
 }
--- a/crates/saltpitch/src/record_sync.rs
+++ b/crates/saltpitch/src/record_sync.rs
@@ -26,8 +26,8 @@
 const POST_LISTING_PAUSE_MS: u64 = 200;
 
 impl Node {
-    /// Waits until the records in memory are at least as new as this call. Returns false if the state service
-    /// could not be read in time.
+    /// Waits until the records in memory are at least as new as this call. Returns false if the state
+    /// service could not be read in time.
     pub async fn read_latest_records(&self) -> bool {
         tokio::time::timeout(FRESH_READ_TIMEOUT, self.fresh_reads.wait())
             .await
@@ -50,7 +50,8 @@
     }
 }
 
-/// Announces this process and follows the changes of the records, with one watch at a time. Never returns.
+/// Announces this process and follows the changes of the records, with one watch at a time. Never
+/// returns.
 pub async fn follow_changes(node: Arc<Node>) {
     let mut failed_watches = 0;
     loop {
@@ -86,8 +87,8 @@
         WatchOutcome::Failed => {
             node.pause(FAILED_READ_PAUSE_MS).await;
             *failed_watches += 1;
-            // After a long disconnection there may be too many changes for one response, whereas a listing
-            // is read in pages.
+            // After a long disconnection there may be too many changes for one response, whereas a
+            // listing is read in pages.
             if failed_watches.is_multiple_of(FAILED_WATCHES_BEFORE_LISTING) {
                 list_records(node).await;
             }
@@ -95,8 +96,8 @@
     }
 }
 
-/// Applies the changes after `from_revision` up to `last_revision`, and wakes the scheduler's task if a job has
-/// changed and this node leads.
+/// Applies the changes after `from_revision` up to `last_revision`, and wakes the scheduler's task if a
+/// job has changed and this node leads.
 fn apply_changes(node: &Node, from_revision: u64, changes: Vec<RecordChange>, last_revision: u64) {
     let (now, wall) = (node.now(), node.clock.wall_time());
     let mut controller = node.controller();
@@ -106,8 +107,8 @@
     }
 }
 
-/// Lists all records and replaces those in memory. Returns false if they could not be listed or have the layout
-/// of an earlier version.
+/// Lists all records and replaces those in memory. Returns false if they could not be listed or have the
+/// layout of an earlier version.
 async fn list_records(node: &Node) -> bool {
     let mut records = RecordCache::default();
     let put_page = |page: Vec<RecordChange>| {
--- a/crates/saltpitch/src/server.rs
+++ b/crates/saltpitch/src/server.rs
@@ -15,7 +15,8 @@
 
 /// A connection of a user or agent without traffic for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
-/// The percentage of the sockets that is reserved for connections of users and agents that wait to be accepted.
+/// The percentage of the sockets that is reserved for connections of users and agents that wait to be
+/// accepted.
 const BACKLOG_PERCENT: usize = 10;
 
 /// Runs a controller until the process is killed.
--- a/crates/saltpitch/src/store.rs
+++ b/crates/saltpitch/src/store.rs
@@ -25,7 +25,8 @@
 /// The number of records requested per page of a listing.
 const PAGE_SIZE: usize = 1_000;
 const LIST_TIMEOUT: Duration = Duration::from_secs(3);
-/// The time that the response to a watch may take beyond the time for which the service may hold it open.
+/// The time that the response to a watch may take beyond the time for which the service may hold it
+/// open.
 const WATCH_GRACE: Duration = Duration::from_millis(1_500);
 const LEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -50,8 +51,8 @@
     Unknown,
 }
 
-/// Returns a transaction that writes one record if the record still has the given revision. Revision 0 requires
-/// that the record does not exist yet.
+/// Returns a transaction that writes one record if the record still has the given revision. Revision 0
+/// requires that the record does not exist yet.
 pub fn conditional_write(key: &str, value: &str, revision: u64) -> Transaction {
     Transaction {
         preconditions: vec![Precondition::new(key, revision)],
@@ -72,7 +73,8 @@
 }
 
 impl StoreClient {
-    /// Creates a client for one of `controller_count` controllers, with a follower's share of the rate limits.
+    /// Creates a client for one of `controller_count` controllers, with a follower's share of the rate
+    /// limits.
     pub fn new(
         http: Arc<Client>,
         addr: SocketAddr,
@@ -94,8 +96,8 @@
         lock(&self.rate_limits).set_leading(is_leader);
     }
 
-    /// Returns the pause between two requests of a kind that may use this fraction of an equal share of the
-    /// request rate.
+    /// Returns the pause between two requests of a kind that may use this fraction of an equal share of
+    /// the request rate.
     pub fn pace(&self, fraction: f64) -> Duration {
         lock(&self.rate_limits).pace(fraction)
     }
@@ -105,7 +107,8 @@
         lock(&self.rate_limits).try_request(self.clock.now())
     }
 
-    /// Takes one request with `changes` changes from the budgets. Returns false if one of them is exhausted.
+    /// Takes one request with `changes` changes from the budgets. Returns false if one of them is
+    /// exhausted.
     fn try_changes(&self, changes: usize) -> bool {
         lock(&self.rate_limits).try_changes(changes, self.clock.now())
     }
@@ -129,7 +132,8 @@
         lock(&self.health).is_up(within, self.clock.now())
     }
 
-    /// Sends a request and records whether the service served it. A response of 503 counts as not served.
+    /// Sends a request and records whether the service served it. A response of 503 counts as not
+    /// served.
     async fn call(
         &self,
         method: Method,
@@ -143,8 +147,9 @@
         result
     }
 
-    /// Lists all records under this program's prefix and passes them to `handle_page` page by page, because all
-    /// of them together may exceed the memory of this process. Returns the revision from which to follow changes.
+    /// Lists all records under this program's prefix and passes them to `handle_page` page by page,
+    /// because all of them together may exceed the memory of this process. Returns the revision from
+    /// which to follow changes.
     pub async fn list_records(
         &self,
         mut handle_page: impl FnMut(Vec<RecordChange>),
@@ -188,8 +193,8 @@
             .ok()
     }
 
-    /// Reads the changes after a revision, and waits up to `wait` for the first one. The caller must pace watches
-    /// that wait; a watch with a `wait` of zero is taken from the request budget.
+    /// Reads the changes after a revision, and waits up to `wait` for the first one. The caller must
+    /// pace watches that wait; a watch with a `wait` of zero is taken from the request budget.
     pub async fn watch(&self, from: u64, wait: Duration) -> WatchOutcome {
         if wait.is_zero() && !self.try_request() {
             return WatchOutcome::Failed;
@@ -222,8 +227,8 @@
         self.commit_with_lease(transaction, None, timeout).await
     }
 
-    /// Commits a transaction within this controller's budgets of requests and changes. With `lease`, the service
-    /// deletes the attached key when the lease ends.
+    /// Commits a transaction within this controller's budgets of requests and changes. With `lease`, the
+    /// service deletes the attached key when the lease ends.
     pub async fn commit_with_lease(
         &self,
         transaction: &Transaction,
@@ -236,8 +241,8 @@
         self.send_transaction(transaction, lease, timeout).await
     }
 
-    /// Commits a transaction of the leader's scheduler. It is only taken from the request budget, because the
-    /// scheduler paces its changes itself.
+    /// Commits a transaction of the leader's scheduler. It is only taken from the request budget,
+    /// because the scheduler paces its changes itself.
     pub async fn commit_as_leader(
         &self,
         transaction: &Transaction,
@@ -322,8 +327,8 @@
         }
     }
 
-    /// Revokes a lease, which deletes the key attached to it. If the request fails, the lease expires after its
-    /// time to live.
+    /// Revokes a lease, which deletes the key attached to it. If the request fails, the lease expires
+    /// after its time to live.
     pub async fn revoke_lease(&self, lease: u64) {
         let path = format!("/holds/{lease}");
         let _ = self
--- a/crates/saltpitch/src/store/rate_limits.rs
+++ b/crates/saltpitch/src/store/rate_limits.rs
@@ -1,4 +1,5 @@
-//! This controller's share of the state service's rate limits, and the detection of the service's next limits.
+//! This controller's share of the state service's rate limits, and the detection of the service's next
+//! limits.
 
 use std::time::Duration;
 
@@ -12,14 +13,14 @@
 const REFUSALS_FOR_NEXT_LIMITS: usize = 5;
 const REFUSAL_WINDOW: Micros = Micros::from_secs(10);
 
-/// The shares of the request rate: of a controller that is the only one, of the leader among several, and of all
-/// followers together.
+/// The shares of the request rate: of a controller that is the only one, of the leader among several,
+/// and of all followers together.
 const ONLY_CONTROLLER_SHARE: f64 = 0.9;
 const LEADER_SHARE: f64 = 0.5;
 const FOLLOWERS_SHARE: f64 = 0.45;
 
-/// Bounds of the pause between two paced requests, in seconds, and the lowest rate in requests per second from
-/// which it is computed.
+/// Bounds of the pause between two paced requests, in seconds, and the lowest rate in requests per
+/// second from which it is computed.
 const MIN_PAUSE_S: f64 = 0.02;
 const MAX_PAUSE_S: f64 = 2.0;
 const MIN_PACED_RATE: f64 = 0.5;
@@ -69,9 +70,10 @@
         self.update_rates();
     }
 
-    /// Recomputes the rates of both budgets. The leader may use half of the requests, and the followers share the
-    /// rest. Changes that users request are few but come in bursts to any controller, so each controller may use
-    /// all that the leader's scheduler leaves; the service itself refuses what exceeds the total.
+    /// Recomputes the rates of both budgets. The leader may use half of the requests, and the followers
+    /// share the rest. Changes that users request are few but come in bursts to any controller, so each
+    /// controller may use all that the leader's scheduler leaves; the service itself refuses what
+    /// exceeds the total.
     fn update_rates(&mut self) {
         let share = match (self.is_leader, self.controller_count) {
             (_, 1) => ONLY_CONTROLLER_SHARE,
@@ -104,15 +106,17 @@
         self.requests.try_spend(1.0, now)
     }
 
-    /// Takes one request with `changes` changes from the budgets. Returns false if one of them is exhausted.
+    /// Takes one request with `changes` changes from the budgets. Returns false if one of them is
+    /// exhausted.
     pub fn try_changes(&mut self, changes: usize, now: Micros) -> bool {
         self.requests.try_spend(1.0, now)
             && (changes == 0 || self.changes.try_spend(changes as f64, now))
     }
 
-    /// Records that the service refused a transaction because of the rate of changes. Occasional refusals are due to
-    /// bursts. Several within [`REFUSAL_WINDOW`] mean that the service's next limits have come into force, which
-    /// happens without notice. Returns whether this refusal is the one that shows it.
+    /// Records that the service refused a transaction because of the rate of changes. Occasional
+    /// refusals are due to bursts. Several within [`REFUSAL_WINDOW`] mean that the service's next limits
+    /// have come into force, which happens without notice. Returns whether this refusal is the one that
+    /// shows it.
     pub fn record_refusal(&mut self, now: Micros) -> bool {
         let window_start = now.since(REFUSAL_WINDOW);
         self.refusal_times.push(now);
@@ -125,8 +129,8 @@
         true
     }
 
-    /// Returns the pause between two requests of a kind that may use this fraction of an equal share of the
-    /// request rate.
+    /// Returns the pause between two requests of a kind that may use this fraction of an equal share of
+    /// the request rate.
     pub fn pace(&self, fraction: f64) -> Duration {
         let rate = self.rates().requests * fraction / self.controller_count as f64;
         let pause_s = (1.0 / rate.max(MIN_PACED_RATE)).clamp(MIN_PAUSE_S, MAX_PAUSE_S);
--- a/crates/saltpitch/src/store/rate_limits/tests.rs
+++ b/crates/saltpitch/src/store/rate_limits/tests.rs
@@ -17,7 +17,8 @@
     Micros::from_secs(1_000 + seconds)
 }
 
-/// Returns the number of requests allowed in the tenth second, after the budget was used up in the ninth.
+/// Returns the number of requests allowed in the tenth second, after the budget was used up in the
+/// ninth.
 fn requests_per_second(rate_limits: &mut RateLimits) -> usize {
     let spend_all = |rate_limits: &mut RateLimits, now: Micros| {
         (0..1_000).filter(|_| rate_limits.try_request(now)).count()
