--- a/crates/saltpitch/src/connection_limit.rs
+++ b/crates/saltpitch/src/connection_limit.rs
@@ -131,13 +131,13 @@
 
     /// Adds a new connection, and evicts idle ones if the limit is reached. Returns `None` if none is
     /// idle: the new connection must then be closed.
-    fn admit(&self, from: SocketAddr, now: Micros) -> Option<Arc<Connection>> {
+    fn admit(&self, remote_addr: SocketAddr, now: Micros) -> Option<Arc<Connection>> {
         let mut table = lock(&self.table);
         if table.count_staying_open() >= self.limit && !self.evict_idle(&mut table, now) {
             return None;
         }
         let connection = Arc::new(Connection::new(now));
-        let replaced = table.open.insert(from, connection.clone());
+        let replaced = table.open.insert(remote_addr, connection.clone());
         if replaced.is_some_and(|replaced| replaced.is_closing()) {
             table.closing_count -= 1;
         }
@@ -157,37 +157,37 @@
             .collect();
         idle.sort_unstable_by_key(|(last_read_at, _)| *last_read_at);
         idle.truncate((self.limit / EVICTION_DIVISOR).max(1));
-        let evicted = idle.len();
+        let evicted_count = idle.len();
         for (_, connection) in idle {
             connection.close();
         }
-        table.closing_count += evicted;
-        if evicted == 0 {
+        table.closing_count += evicted_count;
+        if evicted_count == 0 {
             table.next_eviction_at = now.plus(EVICTION_RETRY_DELAY);
         }
-        evicted > 0
+        evicted_count > 0
     }
 
     /// Removes a connection that has been closed.
-    fn release(&self, from: SocketAddr, connection: &Arc<Connection>) {
+    fn release(&self, remote_addr: SocketAddr, connection: &Arc<Connection>) {
         let mut table = lock(&self.table);
         // A newer connection from the same address may have replaced this one.
         let is_current = table
             .open
-            .get(&from)
+            .get(&remote_addr)
             .is_some_and(|current| Arc::ptr_eq(current, connection));
         if !is_current {
             return;
         }
-        table.open.remove(&from);
+        table.open.remove(&remote_addr);
         if connection.is_closing() {
             table.closing_count -= 1;
         }
     }
 
     /// Records that a heartbeat arrived on the connection from this address.
-    pub fn mark_agent(&self, from: &SocketAddr) {
-        if let Some(connection) = lock(&self.table).open.get(from) {
+    pub fn mark_agent(&self, remote_addr: &SocketAddr) {
+        if let Some(connection) = lock(&self.table).open.get(remote_addr) {
             connection.is_agent.store(true, Ordering::Relaxed);
         }
     }
--- a/crates/saltpitch/src/connection_limit/acceptor.rs
+++ b/crates/saltpitch/src/connection_limit/acceptor.rs
@@ -73,13 +73,13 @@
                     return Err(error);
                 }
             };
-            let Some(&from) = remote.as_socket_addr() else {
+            let Some(&remote_addr) = remote.as_socket_addr() else {
                 continue;
             };
-            if let Some(connection) = self.connections.admit(from, self.clock.now()) {
+            if let Some(connection) = self.connections.admit(remote_addr, self.clock.now()) {
                 let io = LimitedConnection {
                     io,
-                    from,
+                    remote_addr,
                     connection,
                     clock: self.clock,
                     connections: self.connections.clone(),
@@ -94,7 +94,7 @@
 /// is dropped.
 pub struct LimitedConnection<I> {
     io: I,
-    from: SocketAddr,
+    remote_addr: SocketAddr,
     connection: Arc<Connection>,
     clock: Clock,
     connections: Arc<Connections>,
@@ -102,7 +102,7 @@
 
 impl<I> Drop for LimitedConnection<I> {
     fn drop(&mut self) {
-        self.connections.release(self.from, &self.connection);
+        self.connections.release(self.remote_addr, &self.connection);
     }
 }
 
--- a/crates/saltpitch/src/node.rs
+++ b/crates/saltpitch/src/node.rs
@@ -23,8 +23,8 @@
 use crate::store::StoreClient;
 
 /// The percentages of the sockets for connections accepted from users and agents, and for idle
-/// connections that the HTTP client keeps. [`crate::server`] reserves sockets for connections that wait
-/// to be accepted. The rest is for the store, the cloud, the peers and calls in flight.
+/// connections kept to machines. [`crate::server`] reserves sockets for connections that wait to be
+/// accepted. The rest is for the store, the cloud, the peers and calls in flight.
 const INBOUND_CONNECTIONS_PERCENT: usize = 70;
 const IDLE_CONNECTIONS_PERCENT: usize = 10;
 /// The maximum number of users' queries that wait for the latest records at a time, as a percentage of
--- a/crates/saltpitch/src/peer.rs
+++ b/crates/saltpitch/src/peer.rs
@@ -32,7 +32,7 @@
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     let connection_permits = Arc::new(Semaphore::new(MAX_INBOUND_CONNECTIONS));
     loop {
-        let Ok((tcp, from)) = listener.accept().await else {
+        let Ok((tcp, remote_addr)) = listener.accept().await else {
             tokio::time::sleep(FAILED_ACCEPT_PAUSE).await;
             continue;
         };
@@ -41,25 +41,25 @@
         };
         let node = node.clone();
         tokio::spawn(async move {
-            serve_connection(node, tcp, from).await;
+            serve_connection(node, tcp, remote_addr).await;
             drop(permit);
         });
     }
 }
 
 /// Handles the requests of one connection until it fails, becomes idle or sends an unreadable frame.
-async fn serve_connection(node: Arc<Node>, tcp: TcpStream, from: SocketAddr) {
+async fn serve_connection(node: Arc<Node>, tcp: TcpStream, remote_addr: SocketAddr) {
     let mut link = framed(tcp);
     while let Ok(Some(Ok(frame))) = timeout(IDLE_TIMEOUT, link.next()).await {
-        let Some(request) = decode(&frame, from) else {
+        let Some(request) = decode(&frame, remote_addr) else {
             return;
         };
         let response = handle_request(&node, request).await;
         let Some(frame) = encode(&response) else {
             return;
         };
-        let sent = timeout(SEND_TIMEOUT, link.send(Bytes::from(frame))).await;
-        if !matches!(sent, Ok(Ok(()))) {
+        let send_result = timeout(SEND_TIMEOUT, link.send(Bytes::from(frame))).await;
+        if !matches!(send_result, Ok(Ok(()))) {
             return;
         }
     }
--- a/crates/saltpitch/src/peer_link.rs
+++ b/crates/saltpitch/src/peer_link.rs
@@ -43,13 +43,13 @@
 }
 
 /// Decodes a frame. Returns `None` and logs a line if this version cannot read the whole frame.
-pub fn decode<T: DeserializeOwned>(frame: &[u8], from: SocketAddr) -> Option<T> {
+pub fn decode<T: DeserializeOwned>(frame: &[u8], remote_addr: SocketAddr) -> Option<T> {
     match rmp_serde::from_slice(frame) {
         Ok(message) => Some(message),
         Err(error) => {
             let length = frame.len();
             tracing::info!(
-                "frame of {length} bytes from {from} is unreadable and was refused: {error}"
+                "frame of {length} bytes from {remote_addr} is unreadable and was refused: {error}"
             );
             None
         }
