--- a/crates/saltpitch-cells/src/host.rs
+++ b/crates/saltpitch-cells/src/host.rs
@@ -1,7 +1,8 @@
-//! The host cell's side: which of a peer cell's jobs are taken, and as what.
+//! The host cell's side: admission of a peer cell's jobs.
 //!
-//! Every controller decides on its own copy of the records, which the caller has made as new as the
-//! request. Two controllers asked at the same moment may exceed a bound by one job each.
+//! Each controller decides on its own copy of the records. The caller updates the copy first, so that it is at
+//! least as new as the request. Two controllers that admit jobs at the same time may each exceed a limit by one
+//! job.
 
 use saltpitch_core::catalog::Catalog;
 use saltpitch_core::job::{Infeasible, JobKind, JobSpec, JobState, Priority};
@@ -13,36 +14,36 @@
 use crate::link::{HostStatus, Submission};
 use crate::settings::HostingSettings;
 
-/// How soon a peer cell may ask again when there is no room.
+/// The time after which a peer cell may retry a submission that was refused for lack of capacity.
 const RETRY_AFTER: Micros = Micros::from_secs(5);
 
-/// Why a peer cell's job is not taken.
+/// The reason why a peer cell's job is not admitted. The peer cell receives and logs the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdmissionError {
-    /// Services stay where they are.
-    #[error("services are not taken from other cells")]
+    /// The job is a service. Services are never delegated.
+    #[error("services are not accepted from other cells")]
     Service,
-    /// It waits on other jobs, which this cell does not know.
-    #[error("jobs that wait on others are not taken from other cells")]
+    /// The job depends on other jobs, which this cell does not know.
+    #[error("jobs with dependencies are not accepted from other cells")]
     Dependencies,
-    /// It would never fit into the bounds.
-    #[error("the job has more tasks than are taken from the cell at a time")]
+    /// The job alone exceeds the limit on the peer cell's tasks.
+    #[error("the job has more tasks than this cell accepts from the peer cell at a time")]
     TooLarge,
-    /// This cell could never run it.
+    /// This cell could never run the job.
     #[error("{0}")]
     Infeasible(Infeasible),
-    /// There is no room at present.
-    #[error("no room to spare at present")]
+    /// This cell has no capacity for the job at present.
+    #[error("no capacity for delegated jobs at present")]
     NoRoom,
 }
 
 impl AdmissionError {
-    /// When to come back; `None`: the answer will not change.
+    /// Returns the time after which the peer cell may retry, or `None` if the refusal is permanent.
     pub fn retry_after(&self) -> Option<Micros> {
         (*self == AdmissionError::NoRoom).then_some(RETRY_AFTER)
     }
 
-    /// The HTTP status that says so.
+    /// Returns the HTTP status of the refusal.
     pub fn status(&self) -> u16 {
         match self {
             AdmissionError::NoRoom => 429,
@@ -51,30 +52,30 @@
     }
 }
 
-/// What a peer cell's jobs take of this cell at present.
+/// The load that a peer cell's jobs put on this cell at present.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostedLoad {
-    /// Active jobs.
+    /// The number of active jobs.
     pub jobs: usize,
-    /// Their tasks.
+    /// The number of tasks of these jobs.
     pub tasks: u64,
-    /// Those of which nothing is placed.
+    /// The number of these jobs that have no placed or completed task.
     pub waiting: usize,
 }
 
 impl HostedLoad {
-    /// What `cell`'s jobs take according to the records.
+    /// Computes the load of `cell`'s jobs from the records.
     pub fn from_records(records: &RecordCache, cell: &str) -> HostedLoad {
         let mut load = HostedLoad::default();
         for id in records.guest_jobs() {
             let Some(record) = records.jobs.get(id).map(|entry| &entry.record) else {
                 continue;
             };
-            let from_cell = record
+            let is_from_cell = record
                 .guest
                 .as_ref()
                 .is_some_and(|guest| guest.cell == cell);
-            let Some(spec) = record.spec.as_ref().filter(|_| from_cell) else {
+            let Some(spec) = record.spec.as_ref().filter(|_| is_from_cell) else {
                 continue;
             };
             let (running, done) = records.task_counts(id);
@@ -85,7 +86,7 @@
         load
     }
 
-    /// Whether the peer cell may send a job now.
+    /// Returns whether the load is below every limit, so that the peer cell may submit a job now.
     pub fn has_room(&self, settings: &HostingSettings) -> bool {
         self.jobs < settings.max_jobs
             && self.tasks < settings.max_tasks
@@ -93,38 +94,39 @@
     }
 }
 
-/// What a controller of the host does about a submission.
+/// How a controller of the host proceeds with a submission that it does not refuse.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
-    /// The job is known: its status is the answer.
+    /// The job is known. The answer is its status.
     Known(HostStatus),
-    /// This record is to be created, on condition that there is none; its status is the answer then.
+    /// The job is new. The controller creates this record on condition that the job has none yet, and answers
+    /// with the job's status.
     Create(JobRecord),
 }
 
-/// The listener that is open for one peer cell, as a function of the records.
+/// Admits and queries the jobs of one peer cell, based on the records.
 #[derive(Clone, Debug)]
 pub struct HostAdmission {
-    /// The peer cell.
+    /// The name of the peer cell.
     pub cell: String,
-    /// On what terms its jobs are taken.
+    /// The limits and the team for the peer cell's jobs.
     pub settings: HostingSettings,
 }
 
 impl HostAdmission {
-    /// The id under which the records hold what the peer cell sent as `sent`.
-    pub fn hosted_job_id(&self, sent: &str) -> String {
-        ids::hosted_job_id(&self.cell, sent)
+    /// Returns the id under which the records hold the job that the peer cell submitted with the id `sent_id`.
+    pub fn hosted_job_id(&self, sent_id: &str) -> String {
+        ids::hosted_job_id(&self.cell, sent_id)
     }
 
-    /// Whether the peer cell may send a job now.
+    /// Returns whether the peer cell may submit a job now.
     pub fn has_room(&self, records: &RecordCache) -> bool {
         HostedLoad::from_records(records, &self.cell).has_room(&self.settings)
     }
 
-    /// A job's status, `None` if it is not known. A cell's answers are as new as `records`.
-    pub fn status(&self, records: &RecordCache, sent: &str) -> Option<HostStatus> {
-        let id = self.hosted_job_id(sent);
+    /// Returns a job's status according to `records`, or `None` if they do not have the job.
+    pub fn status(&self, records: &RecordCache, sent_id: &str) -> Option<HostStatus> {
+        let id = self.hosted_job_id(sent_id);
         let (running, done) = records.task_counts(&id);
         Some(match records.job_state(&id)? {
             JobState::Done => HostStatus::Done,
@@ -134,17 +136,17 @@
         })
     }
 
-    /// Whether a job is to be cancelled on these records. A job that began while the peer cell's request was
-    /// under way stays, so that no work is done twice.
-    pub fn should_cancel(&self, records: &RecordCache, sent: &str, unless_begun: bool) -> bool {
-        match self.status(records, sent) {
+    /// Returns whether a cancellation request cancels the job. With `unless_begun`, a job that has started
+    /// continues, even if it started while the request was in flight, so that no work is done twice.
+    pub fn should_cancel(&self, records: &RecordCache, sent_id: &str, unless_begun: bool) -> bool {
+        match self.status(records, sent_id) {
             Some(HostStatus::Pending) => true,
             Some(HostStatus::Running) => !unless_begun,
             Some(HostStatus::Done | HostStatus::Withdrawn) | None => false,
         }
     }
 
-    /// What to do about a submission.
+    /// Decides on a submission. `wall` is the submission time that a new record gets.
     pub fn admit(
         &self,
         records: &RecordCache,
@@ -156,16 +158,16 @@
             return Ok(Admission::Known(status));
         }
         if submission.closing {
-            return Ok(Admission::Create(closed()));
+            return Ok(Admission::Create(closed_record()));
         }
-        let spec = self.adopt(submission);
-        self.check(&spec, &HostedLoad::from_records(records, &self.cell))?;
+        let spec = self.hosted_spec(submission);
+        self.check_limits(&spec, &HostedLoad::from_records(records, &self.cell))?;
         spec.can_ever_run(limits.catalog, limits.teams)
             .map_err(AdmissionError::Infeasible)?;
-        Ok(Admission::Create(self.record(wall, spec)))
+        Ok(Admission::Create(self.hosted_record(wall, spec)))
     }
 
-    fn check(&self, spec: &JobSpec, load: &HostedLoad) -> Result<(), AdmissionError> {
+    fn check_limits(&self, spec: &JobSpec, load: &HostedLoad) -> Result<(), AdmissionError> {
         if spec.kind == JobKind::Service {
             return Err(AdmissionError::Service);
         }
@@ -182,9 +184,10 @@
         Ok(())
     }
 
-    /// What the peer cell's job becomes here: it belongs to the team for delegated jobs and has the lowest priority.
-    /// Its class is told apart from this cell's own, so that none of their aims counts for it.
-    fn adopt(&self, submission: &Submission) -> JobSpec {
+    /// Returns the specification under which this cell runs the peer cell's job. The job belongs to the team
+    /// for delegated jobs and has the lowest priority. Its class gets the peer cell's name as a prefix, so that
+    /// the objectives for this cell's own classes do not apply to it.
+    fn hosted_spec(&self, submission: &Submission) -> JobSpec {
         let spec = JobSpec::clone(&submission.spec);
         JobSpec {
             class: format!("{}.{}", self.cell, spec.class),
@@ -195,28 +198,28 @@
         }
     }
 
-    fn record(&self, submitted: Micros, spec: JobSpec) -> JobRecord {
+    fn hosted_record(&self, submitted_at: Micros, spec: JobSpec) -> JobRecord {
         JobRecord {
             guest: Some(Box::new(Guest {
                 cell: self.cell.clone(),
                 may_rent: self.settings.may_rent,
             })),
-            ..JobRecord::accepted(submitted, spec.into())
+            ..JobRecord::accepted(submitted_at, spec.into())
         }
     }
 }
 
-/// What the host cell has, for jobs that can never run in it.
+/// The machine types and team limits of the host cell, which decide whether a job can ever run there.
 #[derive(Clone, Copy, Debug)]
 pub struct HostLimits<'a> {
-    /// Its machine types.
+    /// The machine types of the host cell.
     pub catalog: &'a Catalog,
-    /// Its teams.
+    /// The teams of the host cell.
     pub teams: &'a [TeamLimits],
 }
 
-/// The record that a closing submission of an unknown job leaves: late copies of the submission find the
-/// job withdrawn.
-fn closed() -> JobRecord {
+/// Returns the record for a closing submission of an unknown job. Copies of the submission that arrive later
+/// find the job withdrawn.
+fn closed_record() -> JobRecord {
     JobRecord::final_record(JobState::Cancelled, None)
 }
--- a/crates/saltpitch-cells/src/lib.rs
+++ b/crates/saltpitch-cells/src/lib.rs
@@ -1,18 +1,20 @@
-//! Batch work that one cell delegates to another, as a state machine without input or output.
+//! Delegation of batch jobs from one cell to another, as a state machine that does no I/O.
 //!
-//! A cell is one deployment. The origin cell's leader hands over whole jobs and stays accountable for
-//! them; the host cell runs them as delegated jobs. docs/cells.md has the design and why it is safe.
+//! A cell is one deployment. The leader of the origin cell, to which a job was submitted, delegates whole jobs
+//! and stays responsible for them. The host cell runs them as delegated jobs. See docs/cells.md for the design
+//! and for why it is safe.
 //!
 //! # Modules
 //!
-//! - [`settings`]: the operators' file, checked field by field.
-//! - [`origin`]: the origin cell's side: [`origin::Delegator`] decides what is offered, asked for, taken back and
-//!   written. It lives as long as one leadership.
-//! - [`host`]: the host cell's side: which delegated jobs are taken, and as what.
-//! - [`link`]: what is asked over the link and what may be answered, [`peer_link`]: how a peer cell has
-//!   answered, and when it may be called.
-//! - [`ids`]: the ids under which a delegated job is known.
-//! - [`notice`]: what the log is told.
+//! - [`settings`]: the operators' cells file and its validation.
+//! - [`origin`]: the origin cell's side: [`origin::Delegator`] decides which jobs to offer, query and reclaim and
+//!   which records to write. It exists as long as its
+//!   controller leads.
+//! - [`host`]: the host cell's side: admission of delegated jobs.
+//! - [`link`]: the requests and answers of the link between two cells.
+//! - [`peer_link`]: the state of the link to one peer cell: backoff, rate limit and readiness.
+//! - [`ids`]: the ids of a delegated job at the origin, on the link and at the host.
+//! - [`notice`]: log messages about delegations.
 
 pub mod host;
 pub mod ids;
--- a/crates/saltpitch-cells/src/link.rs
+++ b/crates/saltpitch-cells/src/link.rs
@@ -1,4 +1,4 @@
-//! What is asked over the link between two cells, in the users' protocol, and what may be answered.
+//! The requests and answers of the link between two cells, which uses the users' protocol.
 
 use std::sync::Arc;
 
@@ -8,20 +8,20 @@
 /// A request to the listener that a peer cell has opened for this cell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkRequest {
-    /// `GET /up`: whether delegated jobs are taken now.
+    /// `GET /up`: asks whether the peer cell accepts delegated jobs now.
     Readiness,
-    /// `POST /v2/runs`.
+    /// `POST /v2/runs`: submits a delegated job.
     Submit(Submission),
-    /// `GET /v2/runs/ID`.
+    /// `GET /v2/runs/ID`: queries a job's status.
     Status {
-        /// The id sent.
+        /// The job's id on the link.
         id: String,
     },
-    /// `POST /v2/runs/ID/abort`.
+    /// `POST /v2/runs/ID/abort`: cancels a job.
     Abort {
-        /// The id sent.
+        /// The job's id on the link.
         id: String,
-        /// Only if nothing of it has been placed: otherwise the answer is its status.
+        /// Cancels the job only if none of its tasks has been placed. Otherwise the answer is the job's status.
         unless_begun: bool,
     },
 }
@@ -29,66 +29,66 @@
 /// A submission to a peer cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// The id sent.
+    /// The job's id on the link.
     pub id: String,
-    /// The job's description.
+    /// The job's specification.
     pub spec: Arc<JobSpec>,
-    /// What is left of its deadline.
+    /// The time left until the job's deadline.
     pub deadline: Option<Micros>,
-    /// A job that the host does not know is to be recorded as withdrawn, never started: the origin takes the
-    /// delegation back, and earlier copies of its submission may still arrive.
+    /// If the host does not know the job, it records the job as withdrawn and never starts it. The origin sends
+    /// this when it takes a delegation back, because earlier copies of the submission may still arrive.
     pub closing: bool,
 }
 
-/// A job's status in the users' protocol.
+/// The status of a delegated job at the host, as the users' protocol reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostStatus {
-    /// Accepted, and nothing of it has begun.
+    /// The host has accepted the job, and none of its tasks has started.
     Pending,
-    /// Tasks of it run or have completed.
+    /// Some of the job's tasks run or have completed.
     Running,
-    /// All of its tasks have completed. Final.
+    /// All of the job's tasks have completed. This status is final.
     Done,
-    /// Cancelled. Final.
+    /// The job is cancelled. This status is final.
     Withdrawn,
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkAnswer {
-    /// `GET /up` was answered with 200.
+    /// `GET /up` was answered with 200: the peer cell accepts delegated jobs.
     Ready,
-    /// 200 with a status, or 201 to a submission of a job that the host did not know.
+    /// The host answered 200 with a status, or 201 to the submission of a job that it did not know.
     Status(HostStatus),
-    /// 201 to a closing submission: the host did not know the job, and will never start it.
+    /// The host answered 201 to a closing submission: it did not know the job and will never start it.
     Closed,
-    /// 404.
+    /// The host answered 404.
     NotFound,
-    /// Another status.
+    /// The host answered with another HTTP status.
     Refused(Refusal),
     /// The request was not sent and never will be.
     NotSent,
-    /// No answer: the request may have been carried out, or may yet be.
+    /// No answer arrived: the host may have carried out the request or may still do so.
     NoAnswer,
-    /// An answer that cannot be read.
+    /// The answer cannot be decoded; the string says why.
     Malformed(String),
 }
 
-/// An answer that is neither a status nor 404.
+/// An answer other than a job's status or 404.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
     /// The HTTP status.
     pub status: u16,
-    /// `Retry-After`, if it was given.
+    /// The value of `Retry-After`, if the answer had one.
     pub retry_after: Option<Micros>,
-    /// What the peer cell says.
+    /// The reason that the peer cell gave.
     pub reason: String,
 }
 
 impl Refusal {
-    /// Whether a submission had no effect. That does not end a delegation, since a copy of the submission may
-    /// arrive when the host takes it; a 503 does not even say so much: the host's own transaction may be
-    /// applied late.
+    /// Returns whether the refused submission had no effect. This alone does not end a delegation, because
+    /// another copy of the submission may arrive when the host accepts it. A 503 is not definite: the host's
+    /// transaction may still be applied later.
     pub fn is_definite(&self) -> bool {
         matches!(self.status, 400 | 422 | 429)
     }
--- a/crates/saltpitch-cells/src/notice.rs
+++ b/crates/saltpitch-cells/src/notice.rs
@@ -1,4 +1,4 @@
-//! What the log is told about delegations. The shell writes each notice as one line.
+//! Log messages about delegations. The caller of the delegator writes each notice as one line.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use crate::origin::Transition;
 
-/// One event for the log.
+/// An event that is logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// A job is offered to a peer cell.
@@ -14,82 +14,82 @@
         /// The job.
         job: String,
         /// The peer cell.
-        neighbour: String,
-        /// The id that the peer cell is sent.
+        peer_cell: String,
+        /// The job's id on the link.
         sent_id: String,
     },
-    /// A delegation's record was written.
+    /// A change of a delegation's record was committed.
     Written {
         /// The job.
         job: String,
         /// The peer cell.
-        neighbour: String,
+        peer_cell: String,
         /// The change.
         transition: Transition,
     },
-    /// The host has withdrawn a job; the origin waits until its tasks must be gone.
+    /// The host has withdrawn a job. The origin waits until the job's tasks must have ended.
     Withdrawn {
         /// The job.
         job: String,
         /// The peer cell.
-        neighbour: String,
-        /// How long the origin waits.
+        peer_cell: String,
+        /// The time that the origin waits.
         wait: Micros,
     },
-    /// A job is fetched back.
+    /// The origin reclaims a job from the host.
     Reclaimed {
         /// The job.
         job: String,
         /// The peer cell.
-        neighbour: String,
+        peer_cell: String,
     },
-    /// The host did not take a job.
+    /// The host refused a request about a job.
     Refused {
         /// The job.
         job: String,
         /// The peer cell.
-        neighbour: String,
+        peer_cell: String,
         /// The HTTP status.
         status: u16,
-        /// What the peer cell said.
+        /// The reason that the peer cell gave.
         reason: String,
     },
-    /// The host does not know a job that it had accepted.
-    LostByHost {
+    /// The host no longer knows a job that it had accepted.
+    UnknownToHost {
         /// The job.
         job: String,
         /// The peer cell.
-        neighbour: String,
+        peer_cell: String,
     },
-    /// An answer that cannot be read was passed over.
+    /// An answer that cannot be decoded was ignored.
     Malformed {
         /// The peer cell.
-        neighbour: String,
-        /// What is wrong with it.
+        peer_cell: String,
+        /// Why the answer cannot be decoded.
         reason: String,
     },
-    /// A delegation names a cell that the settings don't, or cannot be read.
+    /// A delegation cannot be read, or the settings do not name its host.
     Blocked {
         /// The job.
         job: String,
-        /// Why nothing can be done about it.
+        /// Why the job is neither run nor delegated.
         reason: &'static str,
     },
-    /// The link to a peer cell has failed, or works again.
+    /// The link to a peer cell has failed or works again.
     Link {
         /// The peer cell.
-        neighbour: String,
-        /// Whether it answers.
-        answers: bool,
+        peer_cell: String,
+        /// Whether the link works.
+        is_working: bool,
     },
 }
 
 impl Notice {
-    /// Whether an operator has to act on it.
+    /// Returns whether the event is an error, on which an operator has to act.
     pub fn is_error(&self) -> bool {
         matches!(
             self,
-            Notice::LostByHost { .. } | Notice::Malformed { .. } | Notice::Blocked { .. }
+            Notice::UnknownToHost { .. } | Notice::Malformed { .. } | Notice::Blocked { .. }
         )
     }
 }
@@ -99,42 +99,42 @@
         match self {
             Notice::Offered {
                 job,
-                neighbour,
+                peer_cell,
                 sent_id,
-            } => write!(f, "{job} is offered to cell {neighbour} as {sent_id}"),
+            } => write!(f, "{job} is offered to cell {peer_cell} as {sent_id}"),
             Notice::Written {
                 job,
-                neighbour,
+                peer_cell,
                 transition,
-            } => write!(f, "{job} at cell {neighbour}: {transition}"),
+            } => write!(f, "{job} at cell {peer_cell}: {transition}"),
             Notice::Withdrawn {
                 job,
-                neighbour,
+                peer_cell,
                 wait,
             } => {
                 let seconds = wait.as_secs_f64();
-                write!(f, "{job} is withdrawn at cell {neighbour}; its tasks count as gone in {seconds:.0} s")
+                write!(f, "{job} is withdrawn at cell {peer_cell}; its tasks count as gone in {seconds:.0} s")
             }
-            Notice::Reclaimed { job, neighbour } => {
-                write!(f, "{job} is fetched back from cell {neighbour}")
+            Notice::Reclaimed { job, peer_cell } => {
+                write!(f, "{job} is fetched back from cell {peer_cell}")
             }
             Notice::Refused {
                 job,
-                neighbour,
+                peer_cell,
                 status,
                 reason,
-            } => write!(f, "{job} is refused by cell {neighbour}: {status} {reason}"),
-            Notice::LostByHost { job, neighbour } => write!(
+            } => write!(f, "{job} is refused by cell {peer_cell}: {status} {reason}"),
+            Notice::UnknownToHost { job, peer_cell } => write!(
                 f,
-                "{job}: cell {neighbour} accepted it and does not know it any more; see docs/cells-operations.md"
+                "{job}: cell {peer_cell} accepted it and does not know it any more; see docs/cells-operations.md"
             ),
-            Notice::Malformed { neighbour, reason } => {
-                write!(f, "cell {neighbour} sent an unreadable answer: {reason}")
+            Notice::Malformed { peer_cell, reason } => {
+                write!(f, "cell {peer_cell} sent an unreadable answer: {reason}")
             }
             Notice::Blocked { job, reason } => write!(f, "{job} is placed nowhere: {reason}"),
-            Notice::Link { neighbour, answers } => match answers {
-                true => write!(f, "the link to cell {neighbour} works"),
-                false => write!(f, "the link to cell {neighbour} fails"),
+            Notice::Link { peer_cell, is_working } => match is_working {
+                true => write!(f, "the link to cell {peer_cell} works"),
+                false => write!(f, "the link to cell {peer_cell} fails"),
             },
         }
     }
--- a/crates/saltpitch-cells/src/origin/answers.rs
+++ b/crates/saltpitch-cells/src/origin/answers.rs
@@ -1,66 +1,68 @@
-//! What the answers of a peer cell mean for its link and for the delegation that was asked about.
+//! Handling of a peer cell's answers: their effects on its link and on the delegation that a call was about.
 
 use rand::Rng;
 use saltpitch_core::Micros;
 
 use super::step::Request;
-use super::{CallSubject, Delegator, Neighbour, ASK_INTERVAL, DOUBT_INTERVAL};
+use super::{CallSubject, Delegator, PeerCell, REQUEST_INTERVAL, UNCLEAR_ANSWER_INTERVAL};
 use crate::link::{HostStatus, LinkAnswer, Refusal};
 use crate::notice::Notice;
 
 impl Delegator {
-    /// A call ended.
+    /// Handles the outcome of a call.
     pub fn call_ended(&mut self, id: u64, answer: LinkAnswer, now: Micros) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        self.note_link(call.neighbour, &answer, now);
-        match call.about {
-            None => self.note_readiness(call.neighbour, &answer, now),
-            Some(subject) => self.answered(call.neighbour, &subject, answer, now),
+        self.update_link(call.peer, &answer, now);
+        match call.subject {
+            None => self.update_readiness(call.peer, &answer, now),
+            Some(subject) => self.update_delegation(call.peer, &subject, answer, now),
         }
     }
 
-    /// What an answer says about the link as such.
-    fn note_link(&mut self, neighbour: usize, answer: &LinkAnswer, now: Micros) {
-        let Neighbour { name, link, .. } = &mut self.neighbours[neighbour];
-        let fails = matches!(answer, LinkAnswer::NotSent | LinkAnswer::NoAnswer);
-        let changed = match fails {
-            true => link.failed(&mut self.random, now),
-            false => link.answered(),
+    /// Updates the state of the link, and reports a change of it and answers that cannot be decoded.
+    fn update_link(&mut self, peer: usize, answer: &LinkAnswer, now: Micros) {
+        let PeerCell { name, link, .. } = &mut self.peer_cells[peer];
+        let has_failed = matches!(answer, LinkAnswer::NotSent | LinkAnswer::NoAnswer);
+        let has_changed = match has_failed {
+            true => link.record_failure(&mut self.random, now),
+            false => link.record_answer(),
         };
         let name = name.clone();
-        if changed {
+        if has_changed {
             self.notify(Notice::Link {
-                neighbour: name.clone(),
-                answers: !fails,
+                peer_cell: name.clone(),
+                is_working: !has_failed,
             });
         }
         if let LinkAnswer::Malformed(reason) = answer {
             self.notify(Notice::Malformed {
-                neighbour: name,
+                peer_cell: name,
                 reason: reason.clone(),
             });
         }
     }
 
-    fn note_readiness(&mut self, neighbour: usize, answer: &LinkAnswer, now: Micros) {
-        let link = &mut self.neighbours[neighbour].link;
+    /// Handles the answer to `GET /up`.
+    fn update_readiness(&mut self, peer: usize, answer: &LinkAnswer, now: Micros) {
+        let link = &mut self.peer_cells[peer].link;
         match answer {
-            LinkAnswer::Ready => link.is_ready(now),
-            LinkAnswer::Refused(refusal) => link.takes_no_guests(refusal.retry_after, now),
+            LinkAnswer::Ready => link.record_ready(now),
+            LinkAnswer::Refused(refusal) => link.record_not_ready(refusal.retry_after, now),
             _ => {}
         }
     }
 
-    fn answered(
+    /// Handles the answer to a request about a delegation.
+    fn update_delegation(
         &mut self,
-        neighbour: usize,
+        peer: usize,
         subject: &CallSubject,
         answer: LinkAnswer,
         now: Micros,
     ) {
-        let spread = ASK_INTERVAL.times(self.random.random_range(0.75..1.25));
+        let interval = REQUEST_INTERVAL.times(self.random.random_range(0.75..1.25));
         let CallSubject {
             job,
             number,
@@ -70,75 +72,78 @@
         let Some(tracked) = tracked.filter(|tracked| tracked.number == *number) else {
             return;
         };
-        tracked.called = false;
-        let known = &mut tracked.known;
-        known.ask_at = now.plus(spread);
-        let submission = matches!(request, Request::Submit | Request::Close);
+        tracked.call_in_flight = false;
+        let observed = &mut tracked.observed;
+        observed.next_request_at = now.plus(interval);
+        let is_submission = matches!(request, Request::Submit | Request::Close);
         match answer {
-            LinkAnswer::Status(status) => self.heard(neighbour, job, status, now),
+            LinkAnswer::Status(status) => self.update_status(peer, job, status, now),
             LinkAnswer::Refused(refusal) => {
-                known.submissions.sent |= submission;
-                known.refused |= submission && refusal.is_definite();
-                self.refused(neighbour, job, submission, &refusal, now);
+                observed.submissions.any_sent |= is_submission;
+                observed.offer_failed |= is_submission && refusal.is_definite();
+                self.handle_refusal(peer, job, is_submission, &refusal, now);
             }
             LinkAnswer::NotSent => {
-                // A job of which no copy can arrive need not wait for the link.
-                known.refused |= submission && known.submissions.never_sent();
+                // If no submission was ever sent, none can arrive: the job can return without waiting for the
+                // link.
+                observed.offer_failed |= is_submission && observed.submissions.none_sent();
+            }
+            LinkAnswer::Closed => observed.is_closed = request == &Request::Close,
+            LinkAnswer::NoAnswer | LinkAnswer::Ready => {
+                observed.submissions.any_sent |= is_submission;
             }
-            LinkAnswer::Closed => known.closed = request == &Request::Close,
-            LinkAnswer::NoAnswer | LinkAnswer::Ready => known.submissions.sent |= submission,
             LinkAnswer::Malformed(_) => {
-                known.submissions.sent |= submission;
-                known.ask_at = now.plus(DOUBT_INTERVAL);
+                observed.submissions.any_sent |= is_submission;
+                observed.next_request_at = now.plus(UNCLEAR_ANSWER_INTERVAL);
             }
             LinkAnswer::NotFound => {
-                known.submissions.sent |= submission;
-                known.ask_at = now.plus(DOUBT_INTERVAL);
-                if !submission {
-                    let neighbour = self.neighbours[neighbour].name.clone();
+                observed.submissions.any_sent |= is_submission;
+                observed.next_request_at = now.plus(UNCLEAR_ANSWER_INTERVAL);
+                if !is_submission {
+                    let peer_cell = self.peer_cells[peer].name.clone();
                     let job = job.to_owned();
-                    self.notify(Notice::LostByHost { job, neighbour });
+                    self.notify(Notice::UnknownToHost { job, peer_cell });
                 }
             }
         }
     }
 
-    /// The host's status of a job.
-    fn heard(&mut self, neighbour: usize, job: &str, status: HostStatus, now: Micros) {
-        let name = self.neighbours[neighbour].name.clone();
-        let wait = self.neighbours[neighbour].settings.cancel().with_drift();
+    /// Records the status of a job at the host.
+    fn update_status(&mut self, peer: usize, job: &str, status: HostStatus, now: Micros) {
+        let peer_cell = self.peer_cells[peer].name.clone();
+        let wait = self.peer_cells[peer].settings.cancel_timeout().with_drift();
         let Some(tracked) = self.tracked.get_mut(job) else {
             return;
         };
-        let known = &mut tracked.known;
-        known.accepted = true;
-        known.status = Some(status);
-        known.wanted_back &= status == HostStatus::Pending;
-        if status == HostStatus::Withdrawn && known.withdrawn_at.is_none() {
-            known.withdrawn_at = Some(now);
+        let observed = &mut tracked.observed;
+        observed.is_accepted = true;
+        observed.status = Some(status);
+        observed.reclaim_if_not_started &= status == HostStatus::Pending;
+        if status == HostStatus::Withdrawn && observed.withdrawn_at.is_none() {
+            observed.withdrawn_at = Some(now);
             self.notify(Notice::Withdrawn {
                 job: job.to_owned(),
-                neighbour: name,
+                peer_cell,
                 wait,
             });
         }
     }
 
-    fn refused(
+    fn handle_refusal(
         &mut self,
-        neighbour: usize,
+        peer: usize,
         job: &str,
-        submission: bool,
+        is_submission: bool,
         refusal: &Refusal,
         now: Micros,
     ) {
-        let Neighbour { name, link, .. } = &mut self.neighbours[neighbour];
-        if submission {
-            link.takes_no_guests(refusal.retry_after, now);
+        let PeerCell { name, link, .. } = &mut self.peer_cells[peer];
+        if is_submission {
+            link.record_not_ready(refusal.retry_after, now);
         }
         let notice = Notice::Refused {
             job: job.to_owned(),
-            neighbour: name.clone(),
+            peer_cell: name.clone(),
             status: refusal.status,
             reason: refusal.reason.clone(),
         };
--- a/crates/saltpitch-cells/src/origin/messages.rs
+++ b/crates/saltpitch-cells/src/origin/messages.rs
@@ -1,4 +1,4 @@
-//! What is written and sent about one delegation.
+//! The records that are written and the requests that are sent for one delegation.
 
 use std::sync::Arc;
 
@@ -9,19 +9,20 @@
 use super::step::{Request, Transition};
 use crate::link::{LinkRequest, Submission};
 
-/// The record and the delegation of a job that another cell may own.
+/// Returns the record and the delegation of an active job that another cell may own.
 pub(super) fn open_delegation<'a>(
     records: &'a RecordCache,
     job: &str,
 ) -> Option<(&'a JobEntry, &'a Delegation)> {
     let entry = records.jobs.get(job)?;
     let delegation = entry.record.delegation.as_ref()?;
-    let open = entry.record.state == JobState::Active && delegation.is_open();
-    open.then_some((entry, delegation))
+    let is_open = entry.record.state == JobState::Active && delegation.is_open();
+    is_open.then_some((entry, delegation))
 }
 
-/// A job's record after a change of its delegation.
-pub(super) fn written_record(
+/// Returns a job's record after a change of its delegation. `wall` is the wall-clock time, at which a completed
+/// job is done.
+pub(super) fn updated_record(
     record: &JobRecord,
     transition: Transition,
     wall: Micros,
@@ -43,7 +44,8 @@
     record
 }
 
-/// All that a job waited on is done; the host would not know it.
+/// Removes the dependencies from a specification. A job is delegated only after they are done, and the host
+/// does not know them.
 fn without_dependencies(spec: Arc<JobSpec>) -> Arc<JobSpec> {
     if spec.dependencies.is_empty() {
         return spec;
@@ -53,7 +55,8 @@
     Arc::new(spec)
 }
 
-/// What is sent for a request.
+/// Returns the message for a request about the job that the host knows as `id`, or `None` if the job's record
+/// has no specification to submit. `wall` is the wall-clock time.
 pub fn link_request(
     id: String,
     record: &JobRecord,
@@ -69,10 +72,10 @@
         Request::Submit | Request::Close => {
             let spec = record.spec.clone()?;
             let age = wall.since(record.submitted_at);
-            let left = spec.deadline.map(|deadline| deadline.since(age));
+            let time_left = spec.deadline.map(|deadline| deadline.since(age));
             LinkRequest::Submit(Submission {
                 id,
-                deadline: left.filter(|left| *left > Micros::ZERO),
+                deadline: time_left.filter(|left| *left > Micros::ZERO),
                 spec: without_dependencies(spec),
                 closing: request == Request::Close,
             })
--- a/crates/saltpitch-cells/src/origin/mod.rs
+++ b/crates/saltpitch-cells/src/origin/mod.rs
@@ -1,7 +1,7 @@
-//! The origin cell's side: which jobs are offered, asked for, taken back and written.
+//! The origin cell's side: which jobs to offer, query and reclaim, and which records to write.
 //!
-//! A [`Delegator`] lives as long as one leadership. Everything that safety rests on is in the jobs' records and
-//! in what this leadership itself has sent; a later one starts with the records alone.
+//! A [`Delegator`] exists as long as its controller leads. Its safety depends only on the jobs' records and on
+//! the requests that the leader itself has sent. The next leader starts with the records alone.
 
 mod answers;
 mod messages;
@@ -22,87 +22,89 @@
 use crate::ids;
 use crate::link::LinkRequest;
 use crate::notice::Notice;
-use crate::peer_link::Link;
+use crate::peer_link::PeerLink;
 use crate::settings::{CellsSettings, DelegationSettings};
 
-use messages::{open_delegation, written_record};
+use messages::{open_delegation, updated_record};
 
 pub use messages::link_request;
 
-pub use step::{CancelTimes, ObservedDelegation, Request, Step, Submissions, Transition};
-pub use writes::{RecordWrite, Settled, Writes};
+pub use step::{CancelTimeouts, ObservedDelegation, Request, Step, Submissions, Transition};
+pub use writes::{PendingWrites, RecordWrite, SettledWrite};
 
-/// How often the host is asked about a job that it has.
-const ASK_INTERVAL: Micros = Micros::from_secs(1);
-/// How soon a job is asked about again that the host does not know any more, or whose answer could not
-/// be read.
-const DOUBT_INTERVAL: Micros = Micros::from_secs(10);
-/// How often it is looked at whether jobs should be lent or fetched back.
+/// The interval between requests about a delegated job, to which jitter is added.
+const REQUEST_INTERVAL: Micros = Micros::from_secs(1);
+/// The interval until the next request about a job that the host does not know, or about which its answer could
+/// not be decoded.
+const UNCLEAR_ANSWER_INTERVAL: Micros = Micros::from_secs(10);
+/// The interval at which the delegator decides which jobs to offer and to reclaim.
 const PLAN_INTERVAL: Micros = Micros::from_millis(500);
-/// Notices that wait to be written, at most.
+/// The most notices that are kept until they are logged. The oldest are dropped first.
 const MAX_NOTICES: usize = 256;
 
-/// What the shell is to do.
+/// An action that the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CellEffect {
-    /// Carry out a transaction and answer with [`Delegator::write_ended`].
+    /// Commit a transaction and report the outcome to [`Delegator::write_ended`].
     Write(RecordWrite),
-    /// Call a peer cell and answer with [`Delegator::call_ended`].
+    /// Call a peer cell and report the answer to [`Delegator::call_ended`].
     Call(LinkCall),
 }
 
 /// A call to a peer cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkCall {
-    /// Says which call an answer belongs to.
+    /// Identifies the call to which an answer belongs.
     pub id: u64,
-    /// The peer cell.
+    /// The name of the peer cell.
     pub cell: String,
-    /// Where to.
+    /// The address of the peer cell's listener.
     pub address: SocketAddr,
-    /// What is asked.
+    /// The request to send.
     pub request: LinkRequest,
 }
 
-/// A peer cell that work is lent to.
+/// A peer cell to which this cell delegates jobs.
 #[derive(Debug)]
-struct Neighbour {
+struct PeerCell {
     name: String,
     settings: DelegationSettings,
-    link: Link,
+    link: PeerLink,
 }
 
-/// A call under way.
+/// A call that has not been answered yet.
 #[derive(Debug)]
 struct PendingCall {
-    neighbour: usize,
+    /// The index of the peer cell.
+    peer: usize,
     /// `None` for `GET /up`.
-    about: Option<CallSubject>,
+    subject: Option<CallSubject>,
 }
 
-/// What a call is about.
+/// The delegation that a call is about, and the request.
 #[derive(Clone, Debug)]
 struct CallSubject {
     job: String,
-    /// Of the delegation.
+    /// The number of the delegation.
     number: u32,
     request: Request,
 }
 
-/// What this leadership knows of one delegation, and until when the origin has had room for it.
+/// The leader's state about one open delegation.
 #[derive(Debug, Default)]
 struct TrackedDelegation {
     cell: String,
     number: u32,
-    known: ObservedDelegation,
-    called: bool,
-    room_since: Option<Micros>,
-    reported_blocked: bool,
+    observed: ObservedDelegation,
+    call_in_flight: bool,
+    /// The time since which the origin has had capacity for the job.
+    local_capacity_since: Option<Micros>,
+    is_reported_blocked: bool,
 }
 
 impl TrackedDelegation {
-    /// What is known of a delegation that was found on record.
-    fn of(delegation: &Delegation) -> TrackedDelegation {
+    /// Returns the state about a delegation of which only the record is known.
+    fn from_record(delegation: &Delegation) -> TrackedDelegation {
         TrackedDelegation {
             cell: delegation.cell.clone(),
             number: delegation.number,
@@ -111,55 +113,55 @@
     }
 }
 
-/// The origin cell's side of all delegations, for one leadership.
+/// Decides on all delegations of the origin cell while its controller leads.
 #[derive(Debug)]
 pub struct Delegator {
-    cancel: Micros,
-    neighbours: Vec<Neighbour>,
+    cancel_timeout: Micros,
+    peer_cells: Vec<PeerCell>,
     tracked: BTreeMap<String, TrackedDelegation>,
-    writes: Writes,
+    writes: PendingWrites,
     calls: BTreeMap<u64, PendingCall>,
-    next_call: u64,
-    next_plan: Micros,
+    last_call_id: u64,
+    next_plan_at: Micros,
     random: SmallRng,
     notices: VecDeque<Notice>,
 }
 
 impl Delegator {
-    /// The delegations of a leadership that begins. `cancel` is the time within which this cell removes
+    /// Creates the delegator of a new leader. `cancel_timeout` is the time within which this cell removes
     /// the tasks of a cancelled job.
-    pub fn new(settings: &CellsSettings, cancel: Micros, seed: u64) -> Delegator {
-        let delegating = settings.neighbour.iter().filter_map(|neighbour| {
-            let settings = neighbour.lend.clone()?;
-            let link = Link::new(settings.addresses.clone(), settings.calls_per_s);
-            Some(Neighbour {
-                name: neighbour.name.clone(),
+    pub fn new(settings: &CellsSettings, cancel_timeout: Micros, seed: u64) -> Delegator {
+        let peer_cells = settings.neighbour.iter().filter_map(|peer| {
+            let settings = peer.lend.clone()?;
+            let link = PeerLink::new(settings.addresses.clone(), settings.calls_per_s);
+            Some(PeerCell {
+                name: peer.name.clone(),
                 settings,
                 link,
             })
         });
-        let neighbours: Vec<Neighbour> = delegating.collect();
-        let rates = neighbours.iter().map(|other| other.settings.changes_per_s);
-        let changes_per_s = rates.sum();
+        let peer_cells: Vec<PeerCell> = peer_cells.collect();
+        let rates = peer_cells.iter().map(|peer| peer.settings.changes_per_s);
+        let writes_per_s = rates.sum();
         Delegator {
-            cancel,
-            neighbours,
+            cancel_timeout,
+            peer_cells,
             tracked: BTreeMap::new(),
-            writes: Writes::new(changes_per_s),
+            writes: PendingWrites::new(writes_per_s),
             calls: BTreeMap::new(),
-            next_call: 0,
-            next_plan: Micros::ZERO,
+            last_call_id: 0,
+            next_plan_at: Micros::ZERO,
             random: SmallRng::seed_from_u64(seed),
             notices: VecDeque::new(),
         }
     }
 
-    /// What happened since the last call that the log should tell.
+    /// Removes and returns the events to be logged since the last call.
     pub fn take_notices(&mut self) -> Vec<Notice> {
         self.notices.drain(..).collect()
     }
 
-    /// Whatever is due. `wall` is the time of day.
+    /// Returns all actions that are due. `wall` is the wall-clock time.
     pub fn poll(
         &mut self,
         access: &mut DelegationAccess<'_>,
@@ -167,62 +169,65 @@
         wall: Micros,
     ) -> Vec<CellEffect> {
         for settled in self.writes.settle_by_records(access.records) {
-            self.settled(&settled, access.scheduler, now);
+            self.write_settled(&settled, access.scheduler, now);
         }
-        self.follow_records(access.records);
-        if now >= self.next_plan {
-            self.next_plan = now.plus(PLAN_INTERVAL);
+        self.sync_with_records(access.records);
+        if now >= self.next_plan_at {
+            self.next_plan_at = now.plus(PLAN_INTERVAL);
             self.plan_offers(access, now);
-            self.plan_returns(access, now);
+            self.plan_reclaims(access, now);
         }
-        let mut effects = self.steps(access, now, wall);
-        effects.extend(self.ask_up(now));
-        effects.extend(self.writes.due(now).into_iter().map(CellEffect::Write));
+        let mut effects = self.take_steps(access, now, wall);
+        effects.extend(self.request_readiness(now));
+        effects.extend(self.writes.take_due(now).into_iter().map(CellEffect::Write));
         effects
     }
 
-    /// Delegations that have come or gone on record.
-    fn follow_records(&mut self, records: &RecordCache) {
+    /// Adds the delegations that the records have as open and removes the others.
+    fn sync_with_records(&mut self, records: &RecordCache) {
         let writes = &self.writes;
         self.tracked.retain(|job, tracked| {
             let delegation = open_delegation(records, job);
-            let same = |(_, delegation): (_, &Delegation)| delegation.number == tracked.number;
-            // An offer that is being written is not on record yet.
-            delegation.map_or(writes.concerns(job), same)
+            let is_same = |(_, delegation): (_, &Delegation)| delegation.number == tracked.number;
+            // The records do not have an offer that is still being written.
+            delegation.map_or(writes.is_pending(job), is_same)
         });
         for job in records.delegated_jobs() {
             if self.tracked.contains_key(job) {
                 continue;
             }
             if let Some((_, delegation)) = open_delegation(records, job) {
-                let tracked = TrackedDelegation::of(delegation);
+                let tracked = TrackedDelegation::from_record(delegation);
                 self.tracked.insert(job.to_owned(), tracked);
             }
         }
     }
 
-    /// The next step of each delegation, those first that have waited longest for theirs.
-    fn steps(
+    /// Takes the next step of each delegation, in the order of the times at which their next requests were due.
+    fn take_steps(
         &mut self,
         access: &mut DelegationAccess<'_>,
         now: Micros,
         wall: Micros,
     ) -> Vec<CellEffect> {
-        let free = self.tracked.iter().filter(|(_, tracked)| !tracked.called);
-        let mut order: Vec<(Micros, String)> = free
-            .filter(|(job, tracked)| self.has_step(job, tracked, access.records, now))
-            .map(|(job, tracked)| (tracked.known.ask_at, job.clone()))
+        let idle = self
+            .tracked
+            .iter()
+            .filter(|(_, tracked)| !tracked.call_in_flight);
+        let mut order: Vec<(Micros, String)> = idle
+            .filter(|(job, tracked)| self.needs_step(job, tracked, access.records, now))
+            .map(|(job, tracked)| (tracked.observed.next_request_at, job.clone()))
             .collect();
         order.sort_unstable();
         let mut effects = Vec::new();
         for (_, job) in order {
-            effects.extend(self.step(&job, access, now, wall));
+            effects.extend(self.take_step(&job, access, now, wall));
         }
         effects
     }
 
-    /// Whether there is something to be done about a delegation now.
-    fn has_step(
+    /// Returns whether a delegation needs an action now.
+    fn needs_step(
         &self,
         job: &str,
         tracked: &TrackedDelegation,
@@ -232,54 +237,55 @@
         let Some((_, delegation)) = open_delegation(records, job) else {
             return false;
         };
-        let Some(times) = self.cancel_times(&delegation.cell) else {
+        let Some(timeouts) = self.cancel_timeouts(&delegation.cell) else {
             return true;
         };
-        let step = step::next_step(delegation, &tracked.known, times, now);
+        let step = step::next_step(delegation, &tracked.observed, timeouts, now);
         !matches!(step, Step::Wait(_))
     }
 
-    fn cancel_times(&self, cell: &str) -> Option<CancelTimes> {
-        let neighbour = self.neighbours.get(self.neighbour(cell)?)?;
-        Some(CancelTimes {
-            home: self.cancel,
-            host: neighbour.settings.cancel(),
+    fn cancel_timeouts(&self, cell: &str) -> Option<CancelTimeouts> {
+        let peer = self.peer_cells.get(self.peer_index(cell)?)?;
+        Some(CancelTimeouts {
+            origin: self.cancel_timeout,
+            host: peer.settings.cancel_timeout(),
         })
     }
 
-    fn step(
+    /// Takes the next step of a delegation. Returns the call to make, if the step is one.
+    fn take_step(
         &mut self,
         job: &str,
         access: &mut DelegationAccess<'_>,
         now: Micros,
         wall: Micros,
     ) -> Option<CellEffect> {
-        if self.writes.concerns(job) {
+        if self.writes.is_pending(job) {
             return None;
         }
         let (entry, delegation) = open_delegation(access.records, job)?;
-        let neighbour = self.neighbour(&delegation.cell);
-        let times = self.cancel_times(&delegation.cell);
-        let Some((neighbour, times)) = neighbour.zip(times) else {
+        let peer = self.peer_index(&delegation.cell);
+        let timeouts = self.cancel_timeouts(&delegation.cell);
+        let Some((peer, timeouts)) = peer.zip(timeouts) else {
             self.report_blocked(job, delegation);
             return None;
         };
-        let known = &self.tracked.get(job)?.known;
-        match step::next_step(delegation, known, times, now) {
+        let observed = &self.tracked.get(job)?.observed;
+        match step::next_step(delegation, observed, timeouts, now) {
             Step::Wait(_) => None,
             Step::Blocked => {
                 self.report_blocked(job, delegation);
                 None
             }
             Step::Write(transition) => {
-                if self.writes.take_credit(now) {
-                    let record = written_record(&entry.record, transition, wall);
+                if self.writes.try_take_token(now) {
+                    let record = updated_record(&entry.record, transition, wall);
                     let preconditions = vec![Precondition::new(
                         TERM_KEY,
                         access.scheduler.term_revision(),
                     )];
                     self.writes
-                        .begin(job, transition, record, entry.revision, preconditions);
+                        .add(job, transition, record, entry.revision, preconditions);
                 }
                 None
             }
@@ -291,45 +297,45 @@
                     number: delegation.number,
                     request,
                 };
-                self.call(neighbour, subject, message, now)
+                self.call(peer, subject, message, now)
             }
         }
     }
 
-    /// Calls the peer cell about a delegation, if its link may be called now.
+    /// Calls the peer cell about a delegation, if its link allows a call now.
     fn call(
         &mut self,
-        neighbour: usize,
+        peer: usize,
         subject: CallSubject,
         message: LinkRequest,
         now: Micros,
     ) -> Option<CellEffect> {
-        let address = self.neighbours[neighbour].link.take_call(now)?;
+        let address = self.peer_cells[peer].link.try_start_call(now)?;
         let tracked = self.tracked.get_mut(&subject.job)?;
-        tracked.called = true;
-        Some(self.send(neighbour, address, Some(subject), message))
+        tracked.call_in_flight = true;
+        Some(self.start_call(peer, address, Some(subject), message))
     }
 
-    fn send(
+    fn start_call(
         &mut self,
-        neighbour: usize,
+        peer: usize,
         address: SocketAddr,
-        about: Option<CallSubject>,
+        subject: Option<CallSubject>,
         request: LinkRequest,
     ) -> CellEffect {
-        self.next_call += 1;
-        let call = PendingCall { neighbour, about };
-        self.calls.insert(self.next_call, call);
+        self.last_call_id += 1;
+        let call = PendingCall { peer, subject };
+        self.calls.insert(self.last_call_id, call);
         CellEffect::Call(LinkCall {
-            id: self.next_call,
-            cell: self.neighbours[neighbour].name.clone(),
+            id: self.last_call_id,
+            cell: self.peer_cells[peer].name.clone(),
             address,
             request,
         })
     }
 
-    /// A transaction ended. If it was carried out, the records that [`Delegator::poll`] is given next show
-    /// it.
+    /// Handles the outcome of a transaction. If it was committed, the records at the next [`Delegator::poll`]
+    /// must include its write.
     pub fn write_ended(
         &mut self,
         job: &str,
@@ -337,45 +343,45 @@
         scheduler: &mut Scheduler,
         now: Micros,
     ) {
-        if let Some(settled) = self.writes.ended(job, outcome, now) {
-            self.settled(&settled, scheduler, now);
+        if let Some(settled) = self.writes.transaction_ended(job, outcome, now) {
+            self.write_settled(&settled, scheduler, now);
         }
     }
 
-    fn settled(&mut self, settled: &Settled, scheduler: &mut Scheduler, now: Micros) {
-        let Settled {
+    fn write_settled(&mut self, settled: &SettledWrite, scheduler: &mut Scheduler, now: Micros) {
+        let SettledWrite {
             job,
             transition,
-            written,
+            is_committed,
         } = settled;
-        if *transition == Transition::Offer && !written {
+        if *transition == Transition::Offer && !is_committed {
             self.tracked.remove(job);
             return scheduler.release_reservation(job, now);
         }
         let cell = self.tracked.get(job).map(|tracked| tracked.cell.clone());
-        if let Some(neighbour) = cell.filter(|_| *written) {
+        if let Some(peer_cell) = cell.filter(|_| *is_committed) {
             self.notify(Notice::Written {
                 job: job.clone(),
-                neighbour,
+                peer_cell,
                 transition: *transition,
             });
         }
     }
 
-    fn neighbour(&self, name: &str) -> Option<usize> {
-        self.neighbours.iter().position(|other| other.name == name)
+    fn peer_index(&self, name: &str) -> Option<usize> {
+        self.peer_cells.iter().position(|peer| peer.name == name)
     }
 
     fn report_blocked(&mut self, job: &str, delegation: &Delegation) {
         let Some(tracked) = self.tracked.get_mut(job) else {
             return;
         };
-        if std::mem::replace(&mut tracked.reported_blocked, true) {
+        if std::mem::replace(&mut tracked.is_reported_blocked, true) {
             return;
         }
         let reason = match delegation.state {
             DelegationState::Damaged => "its delegation cannot be read",
-            _ => "the settings name no such cell to lend to",
+            _ => "the cells file has no `lend` table for its host cell",
         };
         let job = job.to_owned();
         self.notify(Notice::Blocked { job, reason });
--- a/crates/saltpitch-cells/src/origin/offers.rs
+++ b/crates/saltpitch-cells/src/origin/offers.rs
@@ -1,4 +1,4 @@
-//! Which jobs are load, and which are fetched back.
+//! Selection of the jobs to offer to peer cells and of those to reclaim.
 
 use std::sync::Arc;
 
@@ -15,13 +15,13 @@
 use crate::notice::Notice;
 use crate::settings::DelegationSettings;
 
-/// Jobs that a peer cell may have been offered without having accepted them, at most: what a link that is
-/// cut at this moment can keep from both cells.
+/// The most jobs that are offered to a peer cell and not accepted yet. If the link fails at such a moment,
+/// these jobs can run in neither cell.
 const MAX_UNACCEPTED: usize = 2;
-/// Candidates that are looked at in one pass.
+/// The most candidates that are considered for each peer cell in one pass.
 const MAX_CANDIDATES: usize = 64;
 
-/// What a peer cell has of this cell's jobs.
+/// The jobs that are delegated to a peer cell.
 #[derive(Clone, Copy, Debug, Default)]
 struct DelegatedLoad {
     jobs: usize,
@@ -30,72 +30,72 @@
 }
 
 impl DelegatedLoad {
-    fn add(&mut self, spec: &JobSpec, accepted: bool) {
+    fn add(&mut self, spec: &JobSpec, is_accepted: bool) {
         self.jobs += 1;
         self.tasks += u64::from(spec.tasks);
-        self.unaccepted += usize::from(!accepted);
+        self.unaccepted += usize::from(!is_accepted);
     }
 }
 
 impl Delegator {
-    /// Offers jobs that have waited for long, as far as the peer cells take them.
+    /// Offers jobs that have waited for the minimum time to the peer cells that accept them.
     pub(super) fn plan_offers(&mut self, access: &mut DelegationAccess<'_>, now: Micros) {
-        let Some(announcements) = access.announcement_preconditions.clone() else {
+        let Some(announcement_preconditions) = access.announcement_preconditions.clone() else {
             return;
         };
-        for neighbour in 0..self.neighbours.len() {
-            let after = self.neighbours[neighbour].settings.after();
-            let mut load = self.delegated_to(&self.neighbours[neighbour].name, access.records);
+        for peer in 0..self.peer_cells.len() {
+            let min_wait = self.peer_cells[peer].settings.min_wait();
+            let mut load = self.delegated_load(&self.peer_cells[peer].name, access.records);
             let candidates = access
                 .scheduler
-                .delegation_candidates(after, MAX_CANDIDATES, now);
+                .delegation_candidates(min_wait, MAX_CANDIDATES, now);
             for candidate in candidates {
-                if !self.may_offer(neighbour, &candidate, load, access.records, now) {
+                if !self.may_offer(peer, &candidate, load, access.records, now) {
                     continue;
                 }
-                self.neighbours[neighbour].link.wants_up();
-                if !self.neighbours[neighbour].link.takes_offers(now) {
+                self.peer_cells[peer].link.want_readiness();
+                if !self.peer_cells[peer].link.can_offer(now) {
                     break;
                 }
-                if !self.writes.take_credit(now) {
+                if !self.writes.try_take_token(now) {
                     break;
                 }
-                if self.offer(neighbour, &candidate, access, &announcements) {
+                if self.offer(peer, &candidate, access, &announcement_preconditions) {
                     load.add(&candidate.spec, false);
                 }
             }
         }
     }
 
-    /// Whether this job goes to this peer cell, as far as the origin can tell.
+    /// Returns whether the origin's limits and the job itself allow an offer to this peer cell.
     fn may_offer(
         &self,
-        neighbour: usize,
+        peer: usize,
         candidate: &DelegationCandidate,
         load: DelegatedLoad,
         records: &RecordCache,
         now: Micros,
     ) -> bool {
-        let settings = &self.neighbours[neighbour].settings;
+        let settings = &self.peer_cells[peer].settings;
         let Some(entry) = records.jobs.get(&*candidate.id) else {
             return false;
         };
         let number = next_number(&entry.record);
-        let known = ids::sent_id(&candidate.id, number).is_some();
+        let has_sent_id = ids::sent_id(&candidate.id, number).is_some();
         let tasks = u64::from(candidate.spec.tasks);
-        known
-            && !self.writes.concerns(&candidate.id)
+        has_sent_id
+            && !self.writes.is_pending(&candidate.id)
             && number <= settings.max_moves
             && load.unaccepted < MAX_UNACCEPTED
             && load.jobs < settings.max_jobs
             && load.tasks + tasks <= settings.max_tasks
-            && suits(&candidate.spec, settings)
-            && is_worth_moving(candidate, settings)
-            && deadline_is_ahead(candidate, now)
+            && is_suitable(&candidate.spec, settings)
+            && is_long_enough(candidate, settings)
+            && !is_past_deadline(candidate, now)
     }
 
-    /// What a peer cell has, offers under way included.
-    fn delegated_to(&self, name: &str, records: &RecordCache) -> DelegatedLoad {
+    /// Returns the jobs delegated to a peer cell, including offers that are not committed yet.
+    fn delegated_load(&self, name: &str, records: &RecordCache) -> DelegatedLoad {
         let mut load = DelegatedLoad::default();
         for (job, _) in self
             .tracked
@@ -106,20 +106,21 @@
             let Some(spec) = record.and_then(|record| record.spec.as_ref()) else {
                 continue;
             };
-            let accepted = open_delegation(records, job)
+            let is_accepted = open_delegation(records, job)
                 .is_some_and(|(_, delegation)| delegation.state != DelegationState::Offered);
-            load.add(spec, accepted);
+            load.add(spec, is_accepted);
         }
         load
     }
 
-    /// Begins to write that a job goes to a peer cell; false if something of it is placed.
+    /// Reserves a job and begins to write its delegation to a peer cell. Returns `false` if the job cannot be
+    /// reserved, for example because a task of it is placed.
     fn offer(
         &mut self,
-        neighbour: usize,
+        peer: usize,
         candidate: &DelegationCandidate,
         access: &mut DelegationAccess<'_>,
-        announcements: &[Precondition],
+        announcement_preconditions: &[Precondition],
     ) -> bool {
         let job = &*candidate.id;
         let Some(entry) = access.records.jobs.get(job) else {
@@ -128,7 +129,7 @@
         let Some(revision) = access.scheduler.reserve_for_delegation(job) else {
             return false;
         };
-        let name = self.neighbours[neighbour].name.clone();
+        let name = self.peer_cells[peer].name.clone();
         let number = next_number(&entry.record);
         let delegation = Delegation {
             cell: name.clone(),
@@ -136,8 +137,8 @@
             state: DelegationState::Offered,
             cancel_requested: false,
         };
-        let mut tracked = TrackedDelegation::of(&delegation);
-        tracked.known.submissions.offered_here = true;
+        let mut tracked = TrackedDelegation::from_record(&delegation);
+        tracked.observed.submissions.offered_by_this_leader = true;
         self.tracked.insert(job.to_owned(), tracked);
         let record = JobRecord {
             delegation: Some(Box::new(delegation)),
@@ -147,58 +148,60 @@
             TERM_KEY,
             access.scheduler.term_revision(),
         )];
-        preconditions.extend_from_slice(announcements);
+        preconditions.extend_from_slice(announcement_preconditions);
         self.writes
-            .begin(job, Transition::Offer, record, revision, preconditions);
+            .add(job, Transition::Offer, record, revision, preconditions);
         let sent_id = ids::sent_id(job, number).unwrap_or_default();
         self.notify(Notice::Offered {
             job: job.to_owned(),
-            neighbour: name,
+            peer_cell: name,
             sent_id,
         });
         true
     }
 
-    /// Asks peer cells whether they take delegated jobs, where something would be load.
-    pub(super) fn ask_up(&mut self, now: Micros) -> Vec<CellEffect> {
+    /// Asks the peer cells for which there are jobs to offer whether they accept delegated jobs.
+    pub(super) fn request_readiness(&mut self, now: Micros) -> Vec<CellEffect> {
         let mut effects = Vec::new();
-        for neighbour in 0..self.neighbours.len() {
-            let link = &mut self.neighbours[neighbour].link;
-            if !link.asks_up(now) {
+        for peer in 0..self.peer_cells.len() {
+            let link = &mut self.peer_cells[peer].link;
+            if !link.should_request_readiness(now) {
                 continue;
             }
-            if let Some(address) = link.take_call(now) {
-                link.asked_up(now);
-                effects.push(self.send(neighbour, address, None, LinkRequest::Readiness));
+            if let Some(address) = link.try_start_call(now) {
+                link.readiness_requested(now);
+                effects.push(self.start_call(peer, address, None, LinkRequest::Readiness));
             }
         }
         effects
     }
 
-    /// Fetches jobs back of which nothing runs, where the origin has had room for them for long enough; all of
-    /// them, once a controller does not know delegations: it may lead next, and would place what it finds.
-    pub(super) fn plan_returns(&mut self, access: &mut DelegationAccess<'_>, now: Micros) {
-        let ends = access.announcement_preconditions.is_none();
+    /// Reclaims delegated jobs that have not started and for which the origin has had capacity for long enough.
+    /// Reclaims all delegated jobs if a controller of this cell does not support delegation, because that
+    /// controller may become the leader and would place the jobs that it finds on record.
+    pub(super) fn plan_reclaims(&mut self, access: &mut DelegationAccess<'_>, now: Micros) {
+        let reclaim_all = access.announcement_preconditions.is_none();
         let jobs: Vec<String> = self.tracked.keys().cloned().collect();
         for job in jobs {
-            let reclaims = ends || self.is_wanted_back(&job, access, now);
+            let reclaim = reclaim_all || self.should_reclaim(&job, access, now);
             let Some(tracked) = self.tracked.get_mut(&job) else {
                 continue;
             };
-            let known = &mut tracked.known;
-            let told = known.wanted_back;
-            known.wanted_back |= reclaims;
-            known.ends |= ends;
-            if !reclaims || told {
+            let observed = &mut tracked.observed;
+            let is_reported = observed.reclaim_if_not_started;
+            observed.reclaim_if_not_started |= reclaim;
+            observed.reclaim_always |= reclaim_all;
+            if !reclaim || is_reported {
                 continue;
             }
-            known.ask_at = now;
-            let neighbour = tracked.cell.clone();
-            self.notify(Notice::Reclaimed { job, neighbour });
+            observed.next_request_at = now;
+            let peer_cell = tracked.cell.clone();
+            self.notify(Notice::Reclaimed { job, peer_cell });
         }
     }
 
-    fn is_wanted_back(
+    /// Returns whether a delegated job has not started and the origin has had capacity for it for long enough.
+    fn should_reclaim(
         &mut self,
         job: &str,
         access: &mut DelegationAccess<'_>,
@@ -207,49 +210,51 @@
         let Some((_, delegation)) = open_delegation(access.records, job) else {
             return false;
         };
-        let Some(neighbour) = self.neighbour(&delegation.cell) else {
+        let Some(peer) = self.peer_index(&delegation.cell) else {
             return false;
         };
-        let reclaim_after = self.neighbours[neighbour].settings.reclaim_after();
+        let reclaim_after = self.peer_cells[peer].settings.reclaim_after();
         let Some(tracked) = self.tracked.get_mut(job) else {
             return false;
         };
-        // Also what has run and lost its machines: it may not fit there again.
-        let accepted = matches!(
+        // A running delegation counts as well: the job may have lost its machines, and may not fit at the host
+        // again.
+        let is_accepted = matches!(
             delegation.state,
             DelegationState::Accepted | DelegationState::Running
         );
-        let idle = accepted && tracked.known.status == Some(HostStatus::Pending);
-        if !idle || !access.scheduler.could_start_locally(job, now) {
-            tracked.room_since = None;
+        let is_pending = is_accepted && tracked.observed.status == Some(HostStatus::Pending);
+        if !is_pending || !access.scheduler.could_start_locally(job, now) {
+            tracked.local_capacity_since = None;
             return false;
         }
-        let since = *tracked.room_since.get_or_insert(now);
+        let since = *tracked.local_capacity_since.get_or_insert(now);
         now.since(since) >= reclaim_after
     }
 }
 
-/// The number of the job's next delegation.
+/// Returns the number of the job's next delegation.
 fn next_number(record: &JobRecord) -> u32 {
     let last = record.delegation.as_ref().map_or(0, |last| last.number);
     last.saturating_add(1)
 }
 
-/// Whether the peer cell has what the job is bound to.
-fn suits(spec: &Arc<JobSpec>, settings: &DelegationSettings) -> bool {
-    let has = |name: &String| settings.machine_types.contains(name);
+/// Returns whether the job is not bound to a zone and the peer cell has one of the machine types that it
+/// allows.
+fn is_suitable(spec: &Arc<JobSpec>, settings: &DelegationSettings) -> bool {
+    let is_available = |name: &String| settings.machine_types.contains(name);
     let types = spec.types.as_ref();
-    spec.zone.is_none() && types.is_none_or(|types| types.iter().any(has))
+    spec.zone.is_none() && types.is_none_or(|types| types.iter().any(is_available))
 }
 
-/// Whether the job runs for long enough, and for longer than its image takes to fetch.
-fn is_worth_moving(candidate: &DelegationCandidate, settings: &DelegationSettings) -> bool {
-    let run = candidate.spec.estimate;
-    run >= settings.min_run() && run >= candidate.fetch
+/// Returns whether the job's run time is at least the minimum and at least the time to fetch its image.
+fn is_long_enough(candidate: &DelegationCandidate, settings: &DelegationSettings) -> bool {
+    let run_time = candidate.spec.estimate;
+    run_time >= settings.min_run_time() && run_time >= candidate.fetch
 }
 
-/// Whether the job's deadline is not over.
-fn deadline_is_ahead(candidate: &DelegationCandidate, now: Micros) -> bool {
+/// Returns whether the job has a deadline that has passed.
+fn is_past_deadline(candidate: &DelegationCandidate, now: Micros) -> bool {
     let deadline = candidate.spec.deadline;
-    deadline.is_none_or(|deadline| now < candidate.submitted.plus(deadline))
+    deadline.is_some_and(|deadline| now >= candidate.submitted.plus(deadline))
 }
--- a/crates/saltpitch-cells/src/origin/step.rs
+++ b/crates/saltpitch-cells/src/origin/step.rs
@@ -1,4 +1,4 @@
-//! What is done next about one delegation: a function of its record and of what this leadership knows.
+//! The next step of one delegation, as a function of its record and of what the leader has observed.
 
 use std::fmt;
 
@@ -10,17 +10,17 @@
 /// A change of a delegation's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// The job goes to the peer cell.
+    /// The job is offered to the peer cell.
     Offer,
-    /// The host has accepted it.
+    /// The host has accepted the job.
     Accept,
-    /// Tasks of it run there.
+    /// Tasks of the job run at the host.
     Run,
-    /// The host is done with it, and so is the job.
+    /// The host has completed the job, and the origin records it as done.
     Complete,
-    /// The job is this cell's own again.
+    /// The delegation ends, and the origin schedules the job again.
     Return,
-    /// The job is cancelled, as its user asked.
+    /// The delegation ends, and the job is cancelled as its user requested.
     Cancel,
 }
 
@@ -37,162 +37,171 @@
     }
 }
 
-/// A request about one delegation.
+/// A request to the host about one delegation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Submit it.
+    /// Submit the job.
     Submit,
-    /// Submit it so that it never starts, unless it has.
+    /// Submit the job as closing: a host that does not know the job never starts it.
     Close,
-    /// Ask for its status.
+    /// Query the job's status.
     Status,
-    /// Have it withdrawn.
+    /// Cancel the job at the host.
     Abort,
-    /// Have it withdrawn if nothing of it has begun.
+    /// Cancel the job at the host if none of its tasks has been placed.
     Reclaim,
 }
 
-/// What to do next.
+/// The next step of a delegation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing before this time.
+    /// Do nothing before this time.
     Wait(Micros),
-    /// Write this change.
+    /// Write this change of the delegation's record.
     Write(Transition),
-    /// Send this request.
+    /// Send this request to the host.
     Call(Request),
-    /// Nothing can be done: the record cannot be read.
+    /// Do nothing, because the delegation cannot be read.
     Blocked,
 }
 
-/// The submissions of one delegation that this leadership has sent.
+/// What the leader knows about the submissions of one delegation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Submissions {
-    /// This leadership offered the job itself, so that there are no others than its own.
-    pub offered_here: bool,
-    /// One was sent, whatever was answered: copies of it may yet arrive.
-    pub sent: bool,
+    /// Whether this leader has offered the job itself, so that no earlier leader can have submitted it.
+    pub offered_by_this_leader: bool,
+    /// Whether this leader has sent a submission. Whatever the answer, copies of it may still arrive.
+    pub any_sent: bool,
 }
 
 impl Submissions {
-    /// Whether there is none that could arrive.
-    pub(super) fn never_sent(self) -> bool {
-        self.offered_here && !self.sent
+    /// Returns whether no leader has sent a submission, so that none can arrive.
+    pub(super) fn none_sent(self) -> bool {
+        self.offered_by_this_leader && !self.any_sent
     }
 }
 
-/// What this leadership knows of one delegation beyond its record.
+/// What the leader knows about one delegation in addition to its record.
 #[derive(Clone, Debug, Default)]
 pub struct ObservedDelegation {
-    /// The submissions sent.
+    /// The submissions of the job.
     pub submissions: Submissions,
-    /// The host has accepted the job, or calls it so by a status.
-    pub accepted: bool,
-    /// The host did not take it, or could not be reached.
-    pub refused: bool,
-    /// The host has promised never to start it.
-    pub closed: bool,
-    /// The host's newest status.
+    /// Whether the host has answered with a status, which implies that it has accepted the job.
+    pub is_accepted: bool,
+    /// Whether the host has refused the job, or the offer could not be sent.
+    pub offer_failed: bool,
+    /// Whether the host has confirmed that it will never start the job.
+    pub is_closed: bool,
+    /// The latest status that the host has reported.
     pub status: Option<HostStatus>,
-    /// When the host was first heard to have withdrawn it.
+    /// The time at which the host first reported that the job is withdrawn.
     pub withdrawn_at: Option<Micros>,
-    /// The origin wants it back if nothing of it has begun.
-    pub wanted_back: bool,
-    /// The origin wants it back whether it has begun or not.
-    pub ends: bool,
-    /// Not before then is the host asked again.
-    pub ask_at: Micros,
+    /// Whether the origin reclaims the job if it has not started.
+    pub reclaim_if_not_started: bool,
+    /// Whether the origin reclaims the job even if it has started.
+    pub reclaim_always: bool,
+    /// The earliest time of the next request to the host.
+    pub next_request_at: Micros,
 }
 
-/// The times within which cancelled tasks are gone.
+/// The times within which the tasks of a cancelled job have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CancelTimes {
-    /// At the origin.
-    pub home: Micros,
-    /// At the host.
+pub struct CancelTimeouts {
+    /// The time at the origin.
+    pub origin: Micros,
+    /// The time at the host.
     pub host: Micros,
 }
 
-impl CancelTimes {
-    /// From hearing that the host has withdrawn a job until all of its tasks must be gone.
-    pub fn until_gone(self) -> Micros {
+impl CancelTimeouts {
+    /// Returns the time from the host's report that it has withdrawn a job until all of the job's tasks must
+    /// have ended.
+    pub fn until_tasks_ended(self) -> Micros {
         self.host.with_drift()
     }
 
-    /// From hearing that until its user may be told: the tasks must be gone within the origin's time from then.
+    /// Returns the time from that report until the cancellation may be confirmed to the user. A confirmation
+    /// promises that the tasks end within the origin's cancellation timeout.
     pub fn until_confirmable(self) -> Micros {
-        self.until_gone().since(self.home)
+        self.until_tasks_ended().since(self.origin)
     }
 }
 
-/// What to do next about a delegation.
+/// Returns the next step of a delegation.
 pub fn next_step(
     delegation: &Delegation,
-    known: &ObservedDelegation,
-    times: CancelTimes,
+    observed: &ObservedDelegation,
+    timeouts: CancelTimeouts,
     now: Micros,
 ) -> Step {
     if delegation.state == DelegationState::Damaged {
         return Step::Blocked;
     }
-    if known.status == Some(HostStatus::Done) {
+    if observed.status == Some(HostStatus::Done) {
         return Step::Write(Transition::Complete);
     }
-    if let Some(at) = known.withdrawn_at {
-        return after_withdrawal(delegation, at, times, now);
+    if let Some(at) = observed.withdrawn_at {
+        return after_withdrawal(delegation, at, timeouts, now);
     }
     if delegation.state == DelegationState::Offered {
-        return while_offered(delegation, known, now);
+        return while_offered(delegation, observed, now);
     }
-    while_accepted(delegation, known, now)
+    while_accepted(delegation, observed, now)
 }
 
-/// The host has withdrawn the job: it is free once its tasks must be gone.
-fn after_withdrawal(delegation: &Delegation, at: Micros, times: CancelTimes, now: Micros) -> Step {
+/// Returns the next step for a job that the host has withdrawn. The delegation ends once the job's tasks must
+/// have ended.
+fn after_withdrawal(
+    delegation: &Delegation,
+    withdrawn_at: Micros,
+    timeouts: CancelTimeouts,
+    now: Micros,
+) -> Step {
     let (wait, transition) = match delegation.cancel_requested {
-        true => (times.until_confirmable(), Transition::Cancel),
-        false => (times.until_gone(), Transition::Return),
+        true => (timeouts.until_confirmable(), Transition::Cancel),
+        false => (timeouts.until_tasks_ended(), Transition::Return),
     };
-    let free_at = at.plus(wait);
-    if now < free_at {
-        return Step::Wait(free_at);
+    let ends_at = withdrawn_at.plus(wait);
+    if now < ends_at {
+        return Step::Wait(ends_at);
     }
     Step::Write(transition)
 }
 
-/// The host may not have heard of the job yet.
-fn while_offered(delegation: &Delegation, known: &ObservedDelegation, now: Micros) -> Step {
-    if known.accepted {
+/// Returns the next step for a job that the host may not have received yet.
+fn while_offered(delegation: &Delegation, observed: &ObservedDelegation, now: Micros) -> Step {
+    if observed.is_accepted {
         return Step::Write(Transition::Accept);
     }
-    if known.closed || (known.refused && known.submissions.never_sent()) {
+    if observed.is_closed || (observed.offer_failed && observed.submissions.none_sent()) {
         return Step::Write(match delegation.cancel_requested {
             true => Transition::Cancel,
             false => Transition::Return,
         });
     }
-    if now < known.ask_at {
-        return Step::Wait(known.ask_at);
+    if now < observed.next_request_at {
+        return Step::Wait(observed.next_request_at);
     }
-    let ends = known.refused || known.ends || delegation.cancel_requested;
-    Step::Call(match ends {
+    let should_close =
+        observed.offer_failed || observed.reclaim_always || delegation.cancel_requested;
+    Step::Call(match should_close {
         true => Request::Close,
         false => Request::Submit,
     })
 }
 
-/// The host has the job.
-fn while_accepted(delegation: &Delegation, known: &ObservedDelegation, now: Micros) -> Step {
-    let runs = known.status == Some(HostStatus::Running);
-    if runs && delegation.state == DelegationState::Accepted {
+/// Returns the next step for a job that the host has accepted.
+fn while_accepted(delegation: &Delegation, observed: &ObservedDelegation, now: Micros) -> Step {
+    let is_running = observed.status == Some(HostStatus::Running);
+    if is_running && delegation.state == DelegationState::Accepted {
         return Step::Write(Transition::Run);
     }
-    if now < known.ask_at {
-        return Step::Wait(known.ask_at);
+    if now < observed.next_request_at {
+        return Step::Wait(observed.next_request_at);
     }
-    let request = if known.ends || delegation.cancel_requested {
+    let request = if observed.reclaim_always || delegation.cancel_requested {
         Request::Abort
-    } else if known.wanted_back {
+    } else if observed.reclaim_if_not_started {
         Request::Reclaim
     } else {
         Request::Status
--- a/crates/saltpitch-cells/src/origin/writes.rs
+++ b/crates/saltpitch-cells/src/origin/writes.rs
@@ -1,4 +1,4 @@
-//! Changes of jobs' records that delegations need, each repeated until it is certain what became of it.
+//! Writes of jobs' records for delegations. Each is repeated until its outcome is certain.
 
 use std::collections::BTreeMap;
 
@@ -8,85 +8,85 @@
 
 use super::step::Transition;
 
-/// The pause before a change is written again that was refused or not answered.
-const RETRY_PAUSE: Micros = Micros::from_millis(700);
-/// The most changes under way at a time.
-const MAX_UNDER_WAY: usize = 4;
+/// The delay before a write that was refused or not answered is sent again.
+const RETRY_DELAY: Micros = Micros::from_millis(700);
+/// The most writes that are not settled at a time.
+const MAX_PENDING: usize = 4;
 
-/// One transaction: a job's record, on condition of its revision and of the term.
+/// A transaction that writes a job's record on condition of the record's revision and of the term.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordWrite {
     /// The job.
     pub job: String,
-    /// Conditions: keys and their revisions.
+    /// The keys and revisions that the transaction requires.
     pub preconditions: Vec<Precondition>,
     /// The new record.
     pub record: JobRecord,
 }
 
-/// A change that is not settled yet.
+/// A write whose outcome is not certain yet.
 #[derive(Debug)]
 struct PendingWrite {
     write: RecordWrite,
     transition: Transition,
     expected_revision: u64,
-    under_way: bool,
-    /// A copy was sent and not answered: it may yet be applied.
-    unanswered: bool,
+    is_in_flight: bool,
+    /// Whether a copy of the write was sent and its outcome is unknown: it may still be applied.
+    may_be_applied: bool,
     retry_at: Micros,
 }
 
-/// How a change ended.
+/// The certain outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct SettledWrite {
     /// The job.
     pub job: String,
-    /// The change.
+    /// The change of the delegation's record.
     pub transition: Transition,
-    /// Whether it is on record.
-    pub written: bool,
+    /// Whether the write was committed.
+    pub is_committed: bool,
 }
 
-/// All changes that are not settled, by job.
+/// All writes whose outcomes are not certain yet, by job.
 #[derive(Debug)]
-pub struct Writes {
+pub struct PendingWrites {
     pending: BTreeMap<String, PendingWrite>,
-    per_s: f64,
-    /// Changes that may begin at once.
-    credit: f64,
-    credit_at: Micros,
+    writes_per_s: f64,
+    /// The number of writes that may start now.
+    tokens: f64,
+    refilled_at: Micros,
 }
 
-impl Writes {
-    /// So many changes a second.
-    pub fn new(per_s: f64) -> Writes {
-        Writes {
+impl PendingWrites {
+    /// Creates an empty set that starts at most `writes_per_s` writes per second.
+    pub fn new(writes_per_s: f64) -> PendingWrites {
+        PendingWrites {
             pending: BTreeMap::new(),
-            per_s,
-            credit: 1.0,
-            credit_at: Micros::ZERO,
+            writes_per_s,
+            tokens: 1.0,
+            refilled_at: Micros::ZERO,
         }
     }
 
-    /// Whether a change of this job is not settled.
-    pub fn concerns(&self, job: &str) -> bool {
+    /// Returns whether a write of this job's record is not settled.
+    pub fn is_pending(&self, job: &str) -> bool {
         self.pending.contains_key(job)
     }
 
-    /// Takes the right to begin another change now.
-    pub fn take_credit(&mut self, now: Micros) -> bool {
-        let earned = now.since(self.credit_at).as_secs_f64() * self.per_s;
-        self.credit = (self.credit + earned).min(self.per_s.max(1.0));
-        self.credit_at = now;
-        if self.credit < 1.0 || self.pending.len() >= MAX_UNDER_WAY {
+    /// Takes a token for another write. Returns whether the write may start now.
+    pub fn try_take_token(&mut self, now: Micros) -> bool {
+        let refill = now.since(self.refilled_at).as_secs_f64() * self.writes_per_s;
+        self.tokens = (self.tokens + refill).min(self.writes_per_s.max(1.0));
+        self.refilled_at = now;
+        if self.tokens < 1.0 || self.pending.len() >= MAX_PENDING {
             return false;
         }
-        self.credit -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 
-    /// Begins a change of a job whose record has `revision`.
-    pub fn begin(
+    /// Adds a write of a job whose record has `revision`.
+    pub fn add(
         &mut self,
         job: &str,
         transition: Transition,
@@ -104,51 +104,52 @@
             write,
             transition,
             expected_revision: revision,
-            under_way: false,
-            unanswered: false,
+            is_in_flight: false,
+            may_be_applied: false,
             retry_at: Micros::ZERO,
         };
         self.pending.insert(job.to_owned(), pending);
     }
 
-    /// The changes to be sent now.
-    pub fn due(&mut self, now: Micros) -> Vec<RecordWrite> {
+    /// Returns the writes to send now, and marks them as in flight.
+    pub fn take_due(&mut self, now: Micros) -> Vec<RecordWrite> {
         let pending = self.pending.values_mut();
-        let due = pending.filter(|pending| !pending.under_way && now >= pending.retry_at);
+        let due = pending.filter(|pending| !pending.is_in_flight && now >= pending.retry_at);
         due.map(|pending| {
-            pending.under_way = true;
+            pending.is_in_flight = true;
             pending.write.clone()
         })
         .collect()
     }
 
-    /// A transaction ended. `None` if its fate is not certain yet: it is sent again, or the records
-    /// will tell.
-    pub fn ended(
+    /// Handles the outcome of a transaction. Returns `None` if the outcome is not certain yet: the write is
+    /// sent again or is settled by a later state of the records.
+    pub fn transaction_ended(
         &mut self,
         job: &str,
         outcome: &TransactionOutcome,
         now: Micros,
-    ) -> Option<Settled> {
+    ) -> Option<SettledWrite> {
         let pending = self.pending.get_mut(job)?;
-        pending.under_way = false;
-        pending.retry_at = now.plus(RETRY_PAUSE);
+        pending.is_in_flight = false;
+        pending.retry_at = now.plus(RETRY_DELAY);
         match outcome {
             TransactionOutcome::Committed(_) => self.settle(job, true),
-            // Revisions only grow: what fails now, every copy fails. But one of them may have been applied
-            // before, which the job's record shows.
+            // Revisions only grow, so a precondition that fails now also fails for every copy that arrives
+            // later. A copy may have been applied earlier. That would have changed the revision of the job's
+            // record, which is a conflict on the job's key.
             TransactionOutcome::Conflict(keys) if !keys.contains(&job_key(job)) => {
                 self.settle(job, false)
             }
             TransactionOutcome::Conflict(_) => None,
             TransactionOutcome::Unknown => {
-                pending.unanswered = true;
+                pending.may_be_applied = true;
                 None
             }
             TransactionOutcome::Unavailable
             | TransactionOutcome::RateLimited
             | TransactionOutcome::TooLarge
-                if pending.unanswered =>
+                if pending.may_be_applied =>
             {
                 None
             }
@@ -158,39 +159,39 @@
         }
     }
 
-    /// Settles the changes of jobs whose records have a later revision than expected: whatever was
-    /// applied is on record, and no copy will be.
-    pub fn settle_by_records(&mut self, records: &RecordCache) -> Vec<Settled> {
-        let overtaken = |pending: &&PendingWrite| {
+    /// Settles the writes of jobs whose records have a later revision than expected: a write that was applied
+    /// is in the records, and no copy can be applied any more.
+    pub fn settle_by_records(&mut self, records: &RecordCache) -> Vec<SettledWrite> {
+        let is_superseded = |pending: &&PendingWrite| {
             let entry = records.jobs.get(&pending.write.job);
             entry.is_some_and(|entry| entry.revision > pending.expected_revision)
         };
-        let settled: Vec<Settled> = self
+        let settled: Vec<SettledWrite> = self
             .pending
             .values()
-            .filter(overtaken)
+            .filter(is_superseded)
             .map(|pending| {
                 let job = &pending.write.job;
                 let record = records.jobs.get(job).map(|entry| &entry.record);
-                Settled {
+                SettledWrite {
                     job: job.clone(),
                     transition: pending.transition,
-                    written: record == Some(&pending.write.record),
+                    is_committed: record == Some(&pending.write.record),
                 }
             })
             .collect();
-        for end in &settled {
-            self.pending.remove(&end.job);
+        for write in &settled {
+            self.pending.remove(&write.job);
         }
         settled
     }
 
-    fn settle(&mut self, job: &str, written: bool) -> Option<Settled> {
+    fn settle(&mut self, job: &str, is_committed: bool) -> Option<SettledWrite> {
         let pending = self.pending.remove(job)?;
-        Some(Settled {
+        Some(SettledWrite {
             job: pending.write.job,
             transition: pending.transition,
-            written,
+            is_committed,
         })
     }
 }
--- a/crates/saltpitch-cells/src/peer_link.rs
+++ b/crates/saltpitch-cells/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! How a peer cell has answered lately, and when it may be called.
+//! The state of the link to one peer cell: backoff after failures, rate limit and readiness.
 
 use std::net::SocketAddr;
 
@@ -6,131 +6,139 @@
 use rand::Rng;
 use saltpitch_core::Micros;
 
-/// Calls to one peer cell that may be under way at a time: the sockets that the link may take.
-pub const MAX_CALLS: usize = 4;
-/// The pause after the first failure of the link; it doubles with each further one.
-const FIRST_PAUSE: Micros = Micros::from_secs(1);
-/// The longest pause.
-const LONGEST_PAUSE: Micros = Micros::from_secs(30);
-/// Failures after which the pause does not grow any more.
+/// The most concurrent calls to one peer cell, and so the most sockets that the link uses.
+pub const MAX_CONCURRENT_CALLS: usize = 4;
+/// The backoff after the first failed call. It doubles with each further failure.
+const INITIAL_BACKOFF: Micros = Micros::from_secs(1);
+const MAX_BACKOFF: Micros = Micros::from_secs(30);
+/// The number of failures after which the backoff is not doubled any more.
 const MAX_DOUBLINGS: u32 = 5;
-/// Failures in a row before the log is told.
-const FAILURES_UNTIL_NOTICE: u32 = 3;
-/// How long after its last positive answer a peer cell counts as taking delegated jobs.
-const READY_FOR: Micros = Micros::from_secs(3);
-/// How long no job is offered after the peer cell said that it takes none, unless it says otherwise.
-const OFFER_PAUSE: Micros = Micros::from_secs(5);
+/// The number of consecutive failures after which the link is reported as failed.
+const FAILURES_UNTIL_REPORT: u32 = 3;
+/// The time after a positive answer for which a peer cell is assumed to accept delegated jobs.
+const READINESS_VALIDITY: Micros = Micros::from_secs(3);
+/// The minimum time without offers after the peer cell has refused delegated jobs. The peer cell may ask for a
+/// longer one by `Retry-After`.
+const MIN_OFFER_PAUSE: Micros = Micros::from_secs(5);
 
 /// The link to one peer cell.
 #[derive(Debug)]
-pub struct Link {
+pub struct PeerLink {
     addresses: Vec<SocketAddr>,
     next_address: usize,
-    /// Calls a second, and what may be called at once.
+    /// The rate of calls, and the bucket of tokens that limits it.
     calls_per_s: f64,
-    credit: f64,
-    credit_at: Micros,
+    tokens: f64,
+    refilled_at: Micros,
     in_flight: usize,
-    failures: u32,
-    paused_until: Micros,
+    consecutive_failures: u32,
+    backoff_until: Micros,
     ready_at: Option<Micros>,
     no_offers_until: Micros,
-    wants_up: bool,
-    asked_up_at: Option<Micros>,
+    readiness_wanted: bool,
+    readiness_requested_at: Option<Micros>,
 }
 
-impl Link {
-    /// A link over which nothing was said yet.
-    pub fn new(addresses: Vec<SocketAddr>, calls_per_s: f64) -> Link {
-        Link {
+impl PeerLink {
+    /// Creates a link that has not been used yet.
+    pub fn new(addresses: Vec<SocketAddr>, calls_per_s: f64) -> PeerLink {
+        PeerLink {
             addresses,
             next_address: 0,
             calls_per_s,
-            credit: 1.0,
-            credit_at: Micros::ZERO,
+            tokens: 1.0,
+            refilled_at: Micros::ZERO,
             in_flight: 0,
-            failures: 0,
-            paused_until: Micros::ZERO,
+            consecutive_failures: 0,
+            backoff_until: Micros::ZERO,
             ready_at: None,
             no_offers_until: Micros::ZERO,
-            wants_up: false,
-            asked_up_at: None,
+            readiness_wanted: false,
+            readiness_requested_at: None,
         }
     }
 
-    /// Takes the right to call now, and says where to. A link that fails is tried by one call at a
-    /// time, after its pause.
-    pub fn take_call(&mut self, now: Micros) -> Option<SocketAddr> {
-        let most = if self.failures == 0 { MAX_CALLS } else { 1 };
-        if self.in_flight >= most || now < self.paused_until {
+    /// Starts a call if one is allowed now, and returns the address to call. After a failure only one call at a
+    /// time is allowed, and only once the backoff is over.
+    pub fn try_start_call(&mut self, now: Micros) -> Option<SocketAddr> {
+        let max_calls = if self.consecutive_failures == 0 {
+            MAX_CONCURRENT_CALLS
+        } else {
+            1
+        };
+        if self.in_flight >= max_calls || now < self.backoff_until {
             return None;
         }
-        let earned = now.since(self.credit_at).as_secs_f64() * self.calls_per_s;
-        self.credit = (self.credit + earned).min(self.calls_per_s.max(1.0));
-        self.credit_at = now;
-        if self.credit < 1.0 {
+        let refill = now.since(self.refilled_at).as_secs_f64() * self.calls_per_s;
+        self.tokens = (self.tokens + refill).min(self.calls_per_s.max(1.0));
+        self.refilled_at = now;
+        if self.tokens < 1.0 {
             return None;
         }
         let address = *self.addresses.get(self.next_address)?;
-        self.credit -= 1.0;
+        self.tokens -= 1.0;
         self.in_flight += 1;
         Some(address)
     }
 
-    /// A call was answered, whatever the answer. True if the link had failed before.
-    pub fn answered(&mut self) -> bool {
+    /// Records that a call was answered, whatever the answer. Returns whether the link had been reported as
+    /// failed.
+    pub fn record_answer(&mut self) -> bool {
         self.in_flight = self.in_flight.saturating_sub(1);
-        let failed_before = self.failures >= FAILURES_UNTIL_NOTICE;
-        self.failures = 0;
-        self.paused_until = Micros::ZERO;
-        failed_before
+        let had_failed = self.consecutive_failures >= FAILURES_UNTIL_REPORT;
+        self.consecutive_failures = 0;
+        self.backoff_until = Micros::ZERO;
+        had_failed
     }
 
-    /// A call was not answered: another address is tried after a pause. True if that is to be told.
-    pub fn failed(&mut self, random: &mut SmallRng, now: Micros) -> bool {
+    /// Records that a call was not answered: the next call uses another address, after a backoff with jitter.
+    /// Returns whether the link is to be reported as failed now.
+    pub fn record_failure(&mut self, random: &mut SmallRng, now: Micros) -> bool {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.next_address = (self.next_address + 1) % self.addresses.len().max(1);
-        let doublings = self.failures.min(MAX_DOUBLINGS);
-        let pause = FIRST_PAUSE.times(f64::from(1u32 << doublings));
-        let spread = random.random_range(0.5..1.0);
-        self.paused_until = now.plus(pause.min(LONGEST_PAUSE).times(spread));
-        self.failures = self.failures.saturating_add(1);
+        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+        let backoff = INITIAL_BACKOFF.times(f64::from(1u32 << doublings));
+        let jitter = random.random_range(0.5..1.0);
+        self.backoff_until = now.plus(backoff.min(MAX_BACKOFF).times(jitter));
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.ready_at = None;
-        self.failures == FAILURES_UNTIL_NOTICE
+        self.consecutive_failures == FAILURES_UNTIL_REPORT
     }
 
-    /// The peer cell said that it takes delegated jobs.
-    pub fn is_ready(&mut self, now: Micros) {
+    /// Records that the peer cell accepts delegated jobs.
+    pub fn record_ready(&mut self, now: Micros) {
         self.ready_at = Some(now);
     }
 
-    /// The peer cell said that it takes no delegated jobs at present.
-    pub fn takes_no_guests(&mut self, retry_after: Option<Micros>, now: Micros) {
+    /// Records that the peer cell accepts no delegated jobs at present.
+    pub fn record_not_ready(&mut self, retry_after: Option<Micros>, now: Micros) {
         self.ready_at = None;
-        self.no_offers_until = now.plus(retry_after.unwrap_or_default().max(OFFER_PAUSE));
+        self.no_offers_until = now.plus(retry_after.unwrap_or_default().max(MIN_OFFER_PAUSE));
     }
 
-    /// Whether a job may be offered now.
-    pub fn takes_offers(&self, now: Micros) -> bool {
-        let ready = self.ready_at.is_some_and(|at| now.since(at) < READY_FOR);
-        ready && self.failures == 0 && now >= self.no_offers_until
+    /// Returns whether a job may be offered to the peer cell now.
+    pub fn can_offer(&self, now: Micros) -> bool {
+        let is_ready = self
+            .ready_at
+            .is_some_and(|at| now.since(at) < READINESS_VALIDITY);
+        is_ready && self.consecutive_failures == 0 && now >= self.no_offers_until
     }
 
-    /// There is something to offer: the peer cell is to be asked whether it takes delegated jobs.
-    pub fn wants_up(&mut self) {
-        self.wants_up = true;
+    /// Notes that there is a job to offer, so that the peer cell is asked whether it accepts delegated jobs.
+    pub fn want_readiness(&mut self) {
+        self.readiness_wanted = true;
     }
 
-    /// Whether to ask now if delegated jobs are taken.
-    pub fn asks_up(&self, now: Micros) -> bool {
-        let asked_lately = |at: Micros| now.since(at) < READY_FOR.times(0.5);
-        let due = !self.asked_up_at.is_some_and(asked_lately);
-        self.wants_up && due && now >= self.no_offers_until
+    /// Returns whether to ask the peer cell now whether it accepts delegated jobs.
+    pub fn should_request_readiness(&self, now: Micros) -> bool {
+        let is_recent = |at: Micros| now.since(at) < READINESS_VALIDITY.times(0.5);
+        let is_due = !self.readiness_requested_at.is_some_and(is_recent);
+        self.readiness_wanted && is_due && now >= self.no_offers_until
     }
 
-    /// The peer cell is being asked.
-    pub fn asked_up(&mut self, now: Micros) {
-        self.wants_up = false;
-        self.asked_up_at = Some(now);
+    /// Records that the peer cell is asked whether it accepts delegated jobs.
+    pub fn readiness_requested(&mut self, now: Micros) {
+        self.readiness_wanted = false;
+        self.readiness_requested_at = Some(now);
     }
 }
--- a/crates/saltpitch-cells/tests/host_admission.rs
+++ b/crates/saltpitch-cells/tests/host_admission.rs
@@ -1,4 +1,4 @@
-//! Which of a peer cell's jobs a host takes, and as what.
+//! Admission of a peer cell's jobs by the host.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
-fn door() -> HostAdmission {
+fn admission() -> HostAdmission {
     HostAdmission {
         cell: "north".to_owned(),
         settings: HostingSettings {
@@ -90,13 +90,13 @@
         catalog: &catalog,
         teams: &teams,
     };
-    door().admit(records, submission, &limits, Micros(5))
+    admission().admit(records, submission, &limits, Micros(5))
 }
 
 fn created(records: &RecordCache, submission: &Submission) -> JobRecord {
     match admit(records, submission) {
         Ok(Admission::Create(record)) => record,
-        other => panic!("not taken: {other:?}"),
+        other => panic!("not admitted: {other:?}"),
     }
 }
 
@@ -110,9 +110,9 @@
 }
 
 #[test]
-fn a_guest_has_the_guests_team_the_lowest_priority_and_what_is_left_of_its_deadline() {
+fn a_hosted_job_gets_the_hosting_team_the_lowest_priority_and_the_remaining_deadline() {
     let record = created(&RecordCache::default(), &submission("job-1000001", 2));
-    let spec = record.spec.expect("described");
+    let spec = record.spec.expect("a specification");
     assert_eq!((&*spec.team, &*spec.class), ("guests", "north.night"));
     assert_eq!(spec.priority, Priority::Low);
     assert_eq!(spec.deadline, Some(Micros::from_secs(60)));
@@ -121,56 +121,59 @@
 }
 
 #[test]
-fn what_is_not_taken_is_told_apart() {
+fn each_reason_for_a_refusal_has_its_own_error() {
     let records = RecordCache::default();
-    let with = |change: &dyn Fn(&mut JobSpec)| {
+    let error_with = |change: &dyn Fn(&mut JobSpec)| {
         let mut submission = submission("job-1000001", 2);
         let mut spec = JobSpec::clone(&submission.spec);
         change(&mut spec);
         submission.spec = Arc::new(spec);
-        admit(&records, &submission).expect_err("not taken")
+        admit(&records, &submission).expect_err("refused")
     };
     assert_eq!(
-        with(&|spec| spec.kind = JobKind::Service),
+        error_with(&|spec| spec.kind = JobKind::Service),
         AdmissionError::Service
     );
     assert_eq!(
-        with(&|spec| spec.dependencies = vec!["job-2".to_owned()]),
+        error_with(&|spec| spec.dependencies = vec!["job-2".to_owned()]),
         AdmissionError::Dependencies
     );
-    assert_eq!(with(&|spec| spec.tasks = 11), AdmissionError::TooLarge);
-    let never = with(&|spec| spec.need.cpu = 9_000);
+    assert_eq!(
+        error_with(&|spec| spec.tasks = 11),
+        AdmissionError::TooLarge
+    );
+    let never = error_with(&|spec| spec.need.cpu = 9_000);
     assert!(matches!(never, AdmissionError::Infeasible(_)), "{never:?}");
     assert_eq!((never.status(), never.retry_after()), (422, None));
 }
 
 #[test]
-fn bounds_hold_and_a_job_that_is_known_takes_nothing_again() {
+fn limits_refuse_new_jobs_and_a_known_job_is_not_counted_again() {
     let mut records = RecordCache::default();
     for id in ["job-1000001", "job-2000001"] {
         let record = created(&records, &submission(id, 2));
-        put(&mut records, &door().hosted_job_id(id), &record);
+        put(&mut records, &admission().hosted_job_id(id), &record);
     }
-    // Two wait with nothing placed: no room to spare.
+    // Two jobs wait without a placed task, which is the limit.
     let refused = admit(&records, &submission("job-3000001", 2)).expect_err("full");
     assert_eq!(
         (refused.status(), refused.retry_after().is_some()),
         (429, true)
     );
-    assert!(!door().has_room(&records));
+    assert!(!admission().has_room(&records));
     let again = admit(&records, &submission("job-1000001", 2));
     assert_eq!(again, Ok(Admission::Known(HostStatus::Pending)));
-    // What is over takes nothing, and is answered for ever.
+    // A job that is done does not count towards the limits, and its status can still be queried.
     put(
         &mut records,
-        &door().hosted_job_id("job-1000001"),
+        &admission().hosted_job_id("job-1000001"),
         &JobRecord::final_record(JobState::Done, None),
     );
-    assert!(door().has_room(&records));
+    assert!(admission().has_room(&records));
     let late = admit(&records, &submission("job-1000001", 2));
     assert_eq!(late, Ok(Admission::Known(HostStatus::Done)));
-    // This cell's own job of the same id is another one.
-    assert_eq!(door().status(&records, "job-1"), None);
+    // The host's own job ids are not visible to the peer cell.
+    assert_eq!(admission().status(&records, "job-1"), None);
 }
 
 #[test]
@@ -185,12 +188,20 @@
         (record.state, record.spec.is_none()),
         (JobState::Cancelled, true)
     );
-    put(&mut records, &door().hosted_job_id("job-1000001"), &record);
+    put(
+        &mut records,
+        &admission().hosted_job_id("job-1000001"),
+        &record,
+    );
     let late = admit(&records, &submission("job-1000001", 2));
     assert_eq!(late, Ok(Admission::Known(HostStatus::Withdrawn)));
-    // It closes nothing that the host has.
-    let taken = created(&records, &submission("job-2000001", 2));
-    put(&mut records, &door().hosted_job_id("job-2000001"), &taken);
+    // A closing submission does not change a job that the host knows.
+    let admitted = created(&records, &submission("job-2000001", 2));
+    put(
+        &mut records,
+        &admission().hosted_job_id("job-2000001"),
+        &admitted,
+    );
     let closing = Submission {
         closing: true,
         ..submission("job-2000001", 2)
@@ -199,17 +210,17 @@
         admit(&records, &closing),
         Ok(Admission::Known(HostStatus::Pending))
     );
-    assert!(door().should_cancel(&records, "job-2000001", true));
-    assert!(!door().should_cancel(&records, "job-1000001", false));
+    assert!(admission().should_cancel(&records, "job-2000001", true));
+    assert!(!admission().should_cancel(&records, "job-1000001", false));
 }
 
 #[test]
-fn a_recall_does_not_stop_what_has_begun() {
+fn a_cancellation_unless_begun_does_not_stop_a_started_job() {
     let mut records = RecordCache::default();
     let record = created(&records, &submission("job-1000001", 2));
-    let id = door().hosted_job_id("job-1000001");
+    let id = admission().hosted_job_id("job-1000001");
     put(&mut records, &id, &record);
-    assert!(door().should_cancel(&records, "job-1000001", true));
+    assert!(admission().should_cancel(&records, "job-1000001", true));
     let placed = SegmentRecord {
         number: 1,
         entries: vec![(id, vec![SegmentEntry(0, 1, "vm-000001".to_owned(), 1, 0)])],
@@ -218,9 +229,9 @@
     let raw = RawValue::from_string(text).expect("JSON");
     records.put(&segment_key(0), &raw, 9).expect("read");
     assert_eq!(
-        door().status(&records, "job-1000001"),
+        admission().status(&records, "job-1000001"),
         Some(HostStatus::Running)
     );
-    assert!(!door().should_cancel(&records, "job-1000001", true));
-    assert!(door().should_cancel(&records, "job-1000001", false));
+    assert!(!admission().should_cancel(&records, "job-1000001", true));
+    assert!(admission().should_cancel(&records, "job-1000001", false));
 }
--- a/crates/saltpitch-cells/tests/settings.rs
+++ b/crates/saltpitch-cells/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The file on cells: the example, and which field is named for each mistake.
+//! The cells file: the example is valid, and each mistake is reported with its field.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// Reads a text at a site of `controllers` controllers and so many changes in one transaction.
+/// Parses a text for a cell with `controllers` controllers and `max_transaction_writes` writes per transaction.
 fn parse_at(
     text: &str,
     controllers: usize,
@@ -42,13 +42,13 @@
 fn the_example_is_valid() {
     let settings = parse(EXAMPLE).expect("valid");
     assert_eq!(settings.cell, "north");
-    let neighbour = settings.peer_cell("south").expect("named");
-    assert!(neighbour.lend.is_some() && neighbour.guests.is_some());
+    let peer = settings.peer_cell("south").expect("a peer cell");
+    assert!(peer.lend.is_some() && peer.guests.is_some());
     assert!(settings.peer_cell("north").is_none());
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn omitted_optional_fields_have_their_defaults() {
     let optional = [
         "after_s",
         "min_run_s",
@@ -57,13 +57,13 @@
         "calls_per_s",
     ];
     let more = ["changes_per_s", "may_rent", "max_waiting"];
-    let left_out = |line: &&str| {
+    let is_required = |line: &&str| {
         !optional
             .iter()
             .chain(&more)
             .any(|name| line.starts_with(name))
     };
-    let text: Vec<&str> = EXAMPLE.lines().filter(left_out).collect();
+    let text: Vec<&str> = EXAMPLE.lines().filter(is_required).collect();
     assert_eq!(parse(&text.join("\n")), parse(EXAMPLE));
 }
 
@@ -167,15 +167,15 @@
 }
 
 #[test]
-fn a_neighbour_named_twice_or_for_nothing_is_named() {
-    let (_, neighbour) = EXAMPLE.split_at(EXAMPLE.find("[[neighbour]]").expect("there"));
+fn duplicate_and_unused_peer_cells_are_reported() {
+    let (_, neighbour) = EXAMPLE.split_at(EXAMPLE.find("[[neighbour]]").expect("a table"));
     let second = neighbour.replace("8180", "8181");
     let reason = parse(&format!("{EXAMPLE}\n{second}")).expect_err("twice");
     assert!(reason.contains("neighbour[1].name"), "{reason}");
-    let reason = parse("cell = \"north\"\nneighbour = []\n").expect_err("nobody");
+    let reason = parse("cell = \"north\"\nneighbour = []\n").expect_err("no peer cell");
     assert!(reason.contains("`neighbour`"), "{reason}");
-    let idle = "cell = \"north\"\n[[neighbour]]\nname = \"south\"\n";
-    let reason = parse(idle).expect_err("nothing");
+    let unused = "cell = \"north\"\n[[neighbour]]\nname = \"south\"\n";
+    let reason = parse(unused).expect_err("unused");
     assert!(reason.contains("neighbour[0]"), "{reason}");
     let shared = neighbour.replace("\"south\"", "\"west\"");
     let reason = parse(&format!("{EXAMPLE}\n{shared}")).expect_err("one address for two");
@@ -186,8 +186,8 @@
 }
 
 #[test]
-fn too_many_controllers_for_one_transaction_are_named() {
+fn too_many_controllers_for_one_transaction_are_reported() {
     assert!(parse_at(EXAMPLE, 6, 2).is_ok());
-    let reason = parse_at(EXAMPLE, 7, 2).expect_err("nine conditions in eight");
+    let reason = parse_at(EXAMPLE, 7, 2).expect_err("nine preconditions, eight allowed");
     assert!(reason.contains("txn_ops"), "{reason}");
 }
--- a/crates/saltpitch-cells/tests/steps.rs
+++ b/crates/saltpitch-cells/tests/steps.rs
@@ -1,4 +1,4 @@
-//! What is done next about a delegation, ids, and which delegated jobs are taken.
+//! The next step of a delegation, the ids of delegated jobs, and the messages to the host.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use saltpitch_cells::link::{HostStatus, LinkRequest};
 use saltpitch_cells::origin::link_request;
 use saltpitch_cells::origin::step::{
-    next_step, CancelTimes, ObservedDelegation, Request, Step, Transition,
+    next_step, CancelTimeouts, ObservedDelegation, Request, Step, Transition,
 };
 use saltpitch_core::catalog::Resources;
 use saltpitch_core::job::{JobKind, JobSpec, Priority};
@@ -14,8 +14,8 @@
 use saltpitch_core::Micros;
 
 const NOW: Micros = Micros::from_secs(1_000);
-const TIMES: CancelTimes = CancelTimes {
-    home: Micros::from_secs(44),
+const TIMEOUTS: CancelTimeouts = CancelTimeouts {
+    origin: Micros::from_secs(44),
     host: Micros::from_secs(66),
 };
 
@@ -35,24 +35,24 @@
     }
 }
 
-fn next(delegation: &Delegation, known: &ObservedDelegation) -> Step {
-    next_step(delegation, known, TIMES, NOW)
+fn next(delegation: &Delegation, observed: &ObservedDelegation) -> Step {
+    next_step(delegation, observed, TIMEOUTS, NOW)
 }
 
-/// Offered by this leadership; `sent`: a submission has left.
-fn offered(sent: bool) -> ObservedDelegation {
-    let mut known = ObservedDelegation::default();
-    known.submissions.offered_here = true;
-    known.submissions.sent = sent;
-    known
+/// An offer of this leader; `any_sent`: it has sent a submission.
+fn offered(any_sent: bool) -> ObservedDelegation {
+    let mut observed = ObservedDelegation::default();
+    observed.submissions.offered_by_this_leader = true;
+    observed.submissions.any_sent = any_sent;
+    observed
 }
 
 #[test]
 fn a_refused_offer_is_taken_back_only_if_no_submission_can_arrive() {
     let offer = delegation(DelegationState::Offered);
-    let refused = |known: ObservedDelegation| ObservedDelegation {
-        refused: true,
-        ..known
+    let refused = |observed: ObservedDelegation| ObservedDelegation {
+        offer_failed: true,
+        ..observed
     };
     assert_eq!(next(&offer, &offered(false)), Step::Call(Request::Submit));
     assert_eq!(
@@ -63,13 +63,13 @@
         next(&offer, &refused(offered(true))),
         Step::Call(Request::Close)
     );
-    // An earlier leader may have sent some.
+    // An earlier leader may have sent a submission.
     assert_eq!(
         next(&offer, &refused(ObservedDelegation::default())),
         Step::Call(Request::Close)
     );
     let closed = ObservedDelegation {
-        closed: true,
+        is_closed: true,
         ..refused(offered(true))
     };
     assert_eq!(next(&offer, &closed), Step::Write(Transition::Return));
@@ -81,16 +81,16 @@
 
 #[test]
 fn an_abort_is_sent_only_after_the_submission_was_answered() {
-    let wanted = ObservedDelegation {
-        ends: true,
+    let reclaimed = ObservedDelegation {
+        reclaim_always: true,
         ..offered(true)
     };
     assert_eq!(
-        next(&delegation(DelegationState::Offered), &wanted),
+        next(&delegation(DelegationState::Offered), &reclaimed),
         Step::Call(Request::Close)
     );
     assert_eq!(
-        next(&delegation(DelegationState::Accepted), &wanted),
+        next(&delegation(DelegationState::Accepted), &reclaimed),
         Step::Call(Request::Abort)
     );
     assert_eq!(
@@ -100,42 +100,48 @@
         ),
         Step::Call(Request::Abort)
     );
-    let recalled = ObservedDelegation {
-        wanted_back: true,
+    let reclaimed_if_not_started = ObservedDelegation {
+        reclaim_if_not_started: true,
         ..ObservedDelegation::default()
     };
     assert_eq!(
-        next(&delegation(DelegationState::Accepted), &recalled),
+        next(
+            &delegation(DelegationState::Accepted),
+            &reclaimed_if_not_started
+        ),
         Step::Call(Request::Reclaim)
     );
 }
 
 #[test]
-fn a_withdrawn_job_is_free_once_its_tasks_must_be_gone() {
-    let heard = |ago: u64| ObservedDelegation {
-        withdrawn_at: Some(NOW.since(Micros::from_secs(ago))),
+fn a_delegation_ends_once_the_tasks_of_a_withdrawn_job_must_have_ended() {
+    let withdrawn = |seconds_ago: u64| ObservedDelegation {
+        withdrawn_at: Some(NOW.since(Micros::from_secs(seconds_ago))),
         status: Some(HostStatus::Withdrawn),
         ..ObservedDelegation::default()
     };
     let running = delegation(DelegationState::Running);
-    assert!(matches!(next(&running, &heard(0)), Step::Wait(_)));
-    assert!(matches!(next(&running, &heard(66)), Step::Wait(_)));
-    assert_eq!(next(&running, &heard(67)), Step::Write(Transition::Return));
-    // Its user may be told as soon as the tasks are gone within the origin's time from then.
+    assert!(matches!(next(&running, &withdrawn(0)), Step::Wait(_)));
+    assert!(matches!(next(&running, &withdrawn(66)), Step::Wait(_)));
+    assert_eq!(
+        next(&running, &withdrawn(67)),
+        Step::Write(Transition::Return)
+    );
+    // The cancellation may be confirmed as soon as the tasks end within the origin's timeout from then.
     let cancelled = cancelled(DelegationState::Running);
-    assert!(matches!(next(&cancelled, &heard(22)), Step::Wait(_)));
+    assert!(matches!(next(&cancelled, &withdrawn(22)), Step::Wait(_)));
     assert_eq!(
-        next(&cancelled, &heard(23)),
+        next(&cancelled, &withdrawn(23)),
         Step::Write(Transition::Cancel)
     );
 }
 
 #[test]
-fn a_final_answer_counts_whatever_was_wanted() {
+fn a_final_status_takes_precedence_over_reclaims_and_cancellations() {
     let done = ObservedDelegation {
         status: Some(HostStatus::Done),
-        wanted_back: true,
-        ends: true,
+        reclaim_if_not_started: true,
+        reclaim_always: true,
         ..ObservedDelegation::default()
     };
     for state in [
@@ -155,7 +161,7 @@
 }
 
 #[test]
-fn ids_of_different_delegations_differ_and_lead_back() {
+fn ids_of_different_delegations_differ_and_map_back_to_the_job() {
     assert_eq!(
         sent_id("job-000412", 3).as_deref(),
         Some("job-000412000003")
@@ -163,7 +169,7 @@
     assert_ne!(sent_id("job-1", 11), sent_id("job-10", 1));
     assert_eq!(origin_job_id("job-000412000003"), Some("job-000412"));
     assert_eq!(hosted_job_id("north", "job-1000001"), "north.job-1000001");
-    // What would be no id that a cell accepts is not lent.
+    // A job is not delegated if its id on the link would not be valid.
     assert!(sent_id(&format!("job-{}", "1".repeat(34)), 1).is_some());
     for (job, number) in [
         ("job-", 1),
@@ -202,23 +208,23 @@
 }
 
 #[test]
-fn only_a_recall_spares_what_has_begun_and_only_a_closing_submission_closes() {
+fn only_a_reclaim_keeps_a_started_job_and_only_a_close_request_is_closing() {
     let sent = |request: Request, wall: Micros| {
-        link_request("job-1000001".to_owned(), &record(), request, wall).expect("described")
+        link_request("job-1000001".to_owned(), &record(), request, wall).expect("a specification")
     };
     for (request, expected) in [(Request::Reclaim, true), (Request::Abort, false)] {
         let LinkRequest::Abort { unless_begun, .. } = sent(request, NOW) else {
-            panic!("{request:?} is an abort");
+            panic!("{request:?} is not sent as an abort");
         };
         assert_eq!(unless_begun, expected);
     }
     for (request, expected) in [(Request::Close, true), (Request::Submit, false)] {
-        // What is left of the deadline is passed on, and what the job waited on is done.
+        // The remaining deadline is passed on; the dependencies are removed, because they are done.
         for (waited, left) in [(30, Some(Micros::from_secs(70))), (100, None)] {
             let LinkRequest::Submit(submission) =
                 sent(request, NOW.plus(Micros::from_secs(waited)))
             else {
-                panic!("{request:?} is a submission");
+                panic!("{request:?} is not sent as a submission");
             };
             assert_eq!((submission.closing, submission.deadline), (expected, left));
             assert!(submission.spec.dependencies.is_empty());
