--- a/crates/saltpitch/src/cells/command.rs
+++ b/crates/saltpitch/src/cells/command.rs
@@ -1,5 +1,5 @@
-//! `saltpitch cells`: lists what is delegated, and takes jobs back from a peer cell that is lost. Both use
-//! the state service itself, so that they work without a controller.
+//! The command `saltpitch cells`, which lists delegated jobs and takes jobs back from a peer cell that is lost.
+//! It accesses the state service directly, so that it works without a controller.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -17,67 +17,68 @@
 use crate::store::StoreClient;
 
 const TRANSACTION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Addresses to which connections are kept while the command runs.
-const KEPT_ADDRESSES: usize = 4;
+/// The most addresses to which the command keeps connections open.
+const MAX_CONNECTED_ADDRESSES: usize = 4;
 
-/// What to do with delegated jobs.
+/// A command on delegated jobs.
 #[derive(Subcommand)]
 pub enum CellsCommand {
-    /// Lists the jobs that other cells may own, and those run for other cells.
+    /// Lists the jobs that other cells may own and the jobs that this cell runs for other cells.
     List,
-    /// Takes a job back from a peer cell that has lost its records for good.
+    /// Takes a job back from a peer cell that has permanently lost its records.
     GiveUp {
-        /// The job.
+        /// The id of the job.
         #[arg(long)]
         job: String,
-        /// The peer cell; empty if the delegation cannot be read.
+        /// The name of the peer cell. Empty if the delegation cannot be read.
         #[arg(long, default_value = "")]
         cell: String,
-        /// You vouch that no task of the job runs at the peer cell, and that none can be started there
-        /// any more.
+        /// Confirms that no task of the job runs at the peer cell and that none can be started there any
+        /// more.
         #[arg(long)]
         nothing_runs_there: bool,
     },
 }
 
-/// Why the command failed.
+/// The reason why the command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// The settings cannot be used.
     #[error("{0:#}")]
     Settings(anyhow::Error),
     /// The state service does not answer.
-    #[error("the state service does not answer: nothing is known to have changed; try again")]
+    #[error("the state service does not answer; no change is confirmed; try again")]
     Unreachable,
     /// The command does not apply to the job, or not with these arguments.
     #[error("refused: {0}")]
     Refused(Refusal),
 }
 
-/// Why a job is not taken back.
+/// The reason why a job is not taken back.
 #[derive(Debug, thiserror::Error)]
 pub enum Refusal {
-    /// The operator has not vouched that it runs nowhere.
+    /// The operator has not confirmed that the job runs nowhere.
     #[error("pass --nothing-runs-there only if you know that no task of the job runs at the peer cell and that none can be started there")]
-    NotVouchedFor,
-    /// It is not delegated, or not known.
-    #[error("{job} is with no other cell")]
+    NotConfirmed,
+    /// The job is not delegated or not known.
+    #[error("{job} is not delegated to another cell")]
     NotDelegated {
         /// The job.
         job: String,
     },
-    /// It is delegated to another cell than the one named.
-    #[error("the job is with cell {cell:?}")]
+    /// The job is delegated to another cell than the one named.
+    #[error("the job is delegated to cell {cell:?}")]
     OtherCell {
-        /// The cell that has it.
+        /// The host cell.
         cell: String,
     },
-    /// Its record has changed since it was read.
-    #[error("the job's record has changed meanwhile; list again")]
+    /// The job's record has changed since the command read it.
+    #[error("the job's record has changed since it was read; list the jobs again")]
     RecordChanged,
 }
 
-// Not a source, which would print the reason twice.
+// Written by hand instead of `#[from]`, which would make the refusal the error's source and print its reason
+// twice.
 impl From<Refusal> for CommandError {
     fn from(refusal: Refusal) -> CommandError {
         CommandError::Refused(refusal)
@@ -85,7 +86,7 @@
 }
 
 impl CommandError {
-    /// The exit code, which tells the failures apart.
+    /// Returns the exit code, which is different for each kind of failure.
     pub fn exit_code(&self) -> u8 {
         match self {
             CommandError::Settings(_) => 1,
@@ -95,7 +96,7 @@
     }
 }
 
-/// Executes a command.
+/// Runs the command with the settings file `config`.
 pub async fn run(config: &Path, command: &CellsCommand) -> Result<(), CommandError> {
     let store = connect(config)?;
     let records = read_records(&store).await?;
@@ -110,19 +111,19 @@
             nothing_runs_there,
         } => {
             if !nothing_runs_there {
-                return Err(Refusal::NotVouchedFor.into());
+                return Err(Refusal::NotConfirmed.into());
             }
             give_up(&store, &records, job, cell).await
         }
     }
 }
 
-/// A client of the state service that the settings name.
+/// Returns a client of the state service that the settings name.
 fn connect(config: &Path) -> Result<StoreClient, CommandError> {
     let settings =
         Settings::load(config, None, None).map_err(|error| CommandError::Settings(error.into()))?;
     Ok(StoreClient::new(
-        Arc::new(Client::new(KEPT_ADDRESSES)),
+        Arc::new(Client::new(MAX_CONNECTED_ADDRESSES)),
         settings.store_addr,
         Clock::start(),
         settings.store,
@@ -130,7 +131,7 @@
     ))
 }
 
-/// Reads all records; those that cannot be read are named on standard error.
+/// Reads all records. Prints the keys of unreadable records to standard error.
 async fn read_records(store: &StoreClient) -> Result<RecordCache, CommandError> {
     let mut records = RecordCache::default();
     let listed = store.list_records(|rows| {
@@ -158,7 +159,7 @@
     }
 }
 
-/// One line on a delegation.
+/// Describes a delegation in one line.
 fn describe(job: &str, delegation: &Delegation) -> String {
     let Delegation {
         cell,
@@ -173,16 +174,16 @@
         DelegationState::Returned => "returned",
         DelegationState::Damaged => return format!("{job}: its delegation cannot be read"),
     };
-    let sent = sent_id(job, *number).unwrap_or_default();
-    let cancel = if *cancel_requested {
+    let id = sent_id(job, *number).unwrap_or_default();
+    let cancellation = if *cancel_requested {
         ", its user waits for the cancellation"
     } else {
         ""
     };
-    format!("{job}: at cell {cell} as {sent}, {state}{cancel}")
+    format!("{job}: at cell {cell} as {id}, {state}{cancellation}")
 }
 
-/// Takes a job back on record, on condition that its record has not changed since it was read.
+/// Writes the record of a job that is taken back, on condition that it has not changed since it was read.
 async fn give_up(
     store: &StoreClient,
     records: &RecordCache,
@@ -197,7 +198,7 @@
     let entry = delegated.ok_or_else(not_delegated)?;
     let delegation = entry.record.delegation.clone().ok_or_else(not_delegated)?;
     let key = job_key(job);
-    let record = taken_back(&entry.record, delegation, cell)?;
+    let record = taken_back_record(&entry.record, delegation, cell)?;
     let transaction = Transaction {
         preconditions: vec![Precondition::new(key.clone(), entry.revision)],
         writes: vec![Write {
@@ -207,7 +208,7 @@
     };
     match store.commit(&transaction, TRANSACTION_TIMEOUT).await {
         TransactionOutcome::Committed(_) => {
-            println!("{job} is this cell's own again");
+            println!("{job} is taken back");
             Ok(())
         }
         TransactionOutcome::Conflict(_) => Err(Refusal::RecordChanged.into()),
@@ -215,8 +216,8 @@
     }
 }
 
-/// A job's record once it is this cell's own again; cancelled, if its user asked for that.
-fn taken_back(
+/// Returns the record of a job that is taken back. The job is cancelled if its user has requested that.
+fn taken_back_record(
     record: &JobRecord,
     mut delegation: Box<Delegation>,
     cell: &str,
@@ -227,7 +228,8 @@
         });
     }
     if delegation.state == DelegationState::Damaged {
-        // Its number is not known: none may be used again.
+        // The delegation's number is unknown, and no number may be used twice: the highest one prevents further
+        // delegations.
         delegation.cell = "unknown".to_owned();
         delegation.number = MAX_DELEGATION_NUMBER;
     }
--- a/crates/saltpitch/src/cells/command/tests.rs
+++ b/crates/saltpitch/src/cells/command/tests.rs
@@ -1,4 +1,4 @@
-//! What the record of a job that is taken back says, and what refusals say.
+//! The records of jobs that are taken back, and the texts of refusals.
 
 use super::*;
 
@@ -11,7 +11,7 @@
     })
 }
 
-/// A record of a job with this delegation.
+/// Returns the record of a job with this delegation.
 fn record(delegation: Box<Delegation>) -> JobRecord {
     JobRecord {
         state: JobState::Active,
@@ -24,7 +24,7 @@
 }
 
 fn take_back(delegation: Box<Delegation>, cell: &str) -> Result<JobRecord, Refusal> {
-    taken_back(&record(delegation.clone()), delegation, cell)
+    taken_back_record(&record(delegation.clone()), delegation, cell)
 }
 
 #[test]
@@ -60,21 +60,21 @@
 
 /// Operators read these texts on standard error, after the program's name.
 #[test]
-fn refusals_say_their_reason_once() {
+fn refusals_print_their_reason_once() {
     let other_cell = take_back(delegation(DelegationState::Running, false), "north");
     let job = "job-000001".to_owned();
     let cases = [
         (
             other_cell.expect_err("another cell"),
-            "refused: the job is with cell \"south\"",
+            "refused: the job is delegated to cell \"south\"",
         ),
         (
             Refusal::NotDelegated { job },
-            "refused: job-000001 is with no other cell",
+            "refused: job-000001 is not delegated to another cell",
         ),
         (
             Refusal::RecordChanged,
-            "refused: the job's record has changed meanwhile; list again",
+            "refused: the job's record has changed since it was read; list the jobs again",
         ),
     ];
     for (refusal, text) in cases {
--- a/crates/saltpitch/src/cells/delegation.rs
+++ b/crates/saltpitch/src/cells/delegation.rs
@@ -1,5 +1,5 @@
-//! Delegating jobs to other cells while this controller leads: polls the [`Delegator`] and carries out
-//! its effects.
+//! The task that delegates jobs to other cells while this controller leads. It polls the [`Delegator`] and
+//! executes its effects.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use super::state::LeaderDelegations;
 use crate::node::Node;
 
-/// How often the delegations are looked after.
+/// The interval at which the delegator is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 const TRANSACTION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Looks after the delegations until the process ends.
+/// Polls the delegator until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Looks after the delegations once, if this controller leads.
+/// Polls the delegator once, if this controller leads.
 fn poll(node: &Arc<Node>) {
     let Some(cells) = &node.cells else { return };
     let (now, wall, seed) = (node.now(), node.clock.wall_time(), node.random());
@@ -49,18 +49,18 @@
         }
     }
     for effect in effects {
-        tokio::spawn(carry_out(node.clone(), epoch, effect));
+        tokio::spawn(execute(node.clone(), epoch, effect));
     }
 }
 
-async fn carry_out(node: Arc<Node>, epoch: u64, effect: CellEffect) {
+async fn execute(node: Arc<Node>, epoch: u64, effect: CellEffect) {
     match effect {
         CellEffect::Write(write) => write_record(&node, epoch, write).await,
         CellEffect::Call(call) => call_peer_cell(&node, epoch, call).await,
     }
 }
 
-/// Writes a record and hands the outcome to the delegator, unless the leadership has ended.
+/// Writes a record and reports the outcome to the delegator, unless the leadership has ended.
 async fn write_record(node: &Node, epoch: u64, write: RecordWrite) {
     let job = write.job.clone();
     let outcome = commit(node, write).await;
@@ -80,7 +80,8 @@
     node.scheduler_wakeup.notify_one();
 }
 
-/// Commits a write; once committed it is applied here without waiting for the watch.
+/// Commits a write. A committed write is applied to the local copy of the records without waiting for the
+/// watch.
 async fn commit(node: &Node, write: RecordWrite) -> TransactionOutcome {
     let Ok(value) = serde_json::to_string(&write.record) else {
         return TransactionOutcome::TooLarge;
@@ -103,6 +104,7 @@
     outcome
 }
 
+/// Calls a peer cell and reports the answer to the delegator, unless the leadership has ended.
 async fn call_peer_cell(node: &Node, epoch: u64, call: LinkCall) {
     let Some(cells) = &node.cells else { return };
     let answer = link::call(&cells.client, call.address, &call.request).await;
--- a/crates/saltpitch/src/cells/link.rs
+++ b/crates/saltpitch/src/cells/link.rs
@@ -1,4 +1,4 @@
-//! Requests to a peer cell's listener.
+//! Client for a peer cell's listener.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use crate::wire::users::{encode_cancellation, encode_submission, JobStatus};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The most characters of a refusal that are kept for the log.
-const MAX_REASON: usize = 200;
+/// The most characters of a refusal's reason that are kept for the log.
+const MAX_REASON_CHARS: usize = 200;
 
-/// The answer to a query, a submission or a cancellation.
+/// The body of the answer to a query, a submission or a cancellation.
 #[derive(Debug, Deserialize)]
 struct StatusBody {
     #[serde(rename = "ref")]
@@ -27,14 +27,14 @@
     running: u64,
 }
 
-/// The answer to a request that is refused.
+/// The body of a refusal.
 #[derive(Debug, Default, Deserialize)]
 struct ErrorBody {
     #[serde(default)]
     error: String,
 }
 
-/// Sends a request and reads the answer.
+/// Sends a request and decodes the answer.
 pub async fn call(client: &Client, address: SocketAddr, request: &LinkRequest) -> LinkAnswer {
     let (method, path, body) = encode(request);
     match client
@@ -81,17 +81,17 @@
     }
 }
 
-/// Why an answer cannot be read.
+/// The reason why an answer cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 enum MalformedReply {
-    /// It is not JSON, or not of the expected structure.
+    /// The body is not JSON or does not have the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It is about another job.
-    #[error("asked about {asked}, answered about {answered}")]
-    OtherJob { asked: String, answered: String },
-    /// The status is none of the protocol's.
-    #[error("no such status: {0:?}")]
+    /// The answer is about another job.
+    #[error("the request was about {requested}, the answer is about {answered}")]
+    OtherJob { requested: String, answered: String },
+    /// The protocol does not define the status.
+    #[error("unknown status {0:?}")]
     UnknownStatus(String),
 }
 
@@ -99,7 +99,7 @@
     let body: StatusBody = serde_json::from_slice(&reply.body)?;
     if body.id != id {
         return Err(MalformedReply::OtherJob {
-            asked: id.to_owned(),
+            requested: id.to_owned(),
             answered: body.id,
         });
     }
@@ -118,7 +118,7 @@
     LinkAnswer::Refused(Refusal {
         status: reply.status,
         retry_after: reply.retry_after_s.map(Micros::from_secs),
-        reason: body.error.chars().take(MAX_REASON).collect(),
+        reason: body.error.chars().take(MAX_REASON_CHARS).collect(),
     })
 }
 
--- a/crates/saltpitch/src/cells/link/tests.rs
+++ b/crates/saltpitch/src/cells/link/tests.rs
@@ -1,4 +1,4 @@
-//! How the answers of a peer cell are read.
+//! Decoding of a peer cell's answers.
 
 use bytes::Bytes;
 
@@ -14,13 +14,13 @@
     }
 }
 
-fn asked(status: u16, body: &str) -> LinkAnswer {
+fn decode_status_reply(status: u16, body: &str) -> LinkAnswer {
     let request = LinkRequest::Status { id: ID.to_owned() };
     decode(&request, &reply(status, body))
 }
 
 #[test]
-fn a_job_of_which_a_task_has_completed_has_begun() {
+fn a_pending_job_with_a_completed_task_counts_as_running() {
     let body =
         |word: &str, done: u32| format!(r#"{{"ref":"{ID}","status":"{word}","done":{done}}}"#);
     let expected = [
@@ -31,12 +31,15 @@
         ("withdrawn", 0, HostStatus::Withdrawn),
     ];
     for (word, done, status) in expected {
-        assert_eq!(asked(200, &body(word, done)), LinkAnswer::Status(status));
+        assert_eq!(
+            decode_status_reply(200, &body(word, done)),
+            LinkAnswer::Status(status)
+        );
     }
 }
 
 #[test]
-fn answers_that_cannot_be_read_say_nothing_about_the_job() {
+fn malformed_answers_give_no_status() {
     let bodies = [
         "",
         "[]",
@@ -48,13 +51,13 @@
     ];
     for body in bodies {
         assert!(
-            matches!(asked(200, body), LinkAnswer::Malformed(_)),
+            matches!(decode_status_reply(200, body), LinkAnswer::Malformed(_)),
             "{body}"
         );
     }
-    assert_eq!(asked(404, "?"), LinkAnswer::NotFound);
-    let LinkAnswer::Refused(refusal) = asked(503, "?") else {
-        panic!("503 is a refusal");
+    assert_eq!(decode_status_reply(404, "?"), LinkAnswer::NotFound);
+    let LinkAnswer::Refused(refusal) = decode_status_reply(503, "?") else {
+        panic!("503 is not decoded as a refusal");
     };
     assert!(!refusal.is_definite());
 }
--- a/crates/saltpitch/src/cells/listener.rs
+++ b/crates/saltpitch/src/cells/listener.rs
@@ -1,4 +1,5 @@
-//! The listener for one peer cell: the users' protocol for the jobs that it delegates to this one.
+//! The listener for one peer cell, which serves the users' protocol for the jobs that the peer cell delegates
+//! to this cell.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,13 +27,13 @@
 };
 use crate::wire::DecodeError;
 
-/// Connections that one peer cell may have open, and that may wait to be accepted.
+/// The most connections that one peer cell may have open, and the most that may wait to be accepted.
 const MAX_CONNECTIONS: usize = 32;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 const CREATE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How often a cancellation is tried against a record that keeps changing.
+/// The most attempts to cancel a job whose record changes at the same time.
 const CANCEL_ATTEMPTS: u32 = 3;
-/// When a peer cell may ask again after this one had no free capacity, in seconds.
+/// The value of `Retry-After`, in seconds, in answers to `GET /up` while this cell has no capacity.
 const RETRY_AFTER_S: u64 = 2;
 
 /// Opens the listener for a peer cell.
@@ -58,7 +59,7 @@
     Ok(())
 }
 
-/// The paths and methods for one peer cell.
+/// The HTTP API for one peer cell.
 struct PeerCellApi {
     node: Arc<Node>,
     admission: HostAdmission,
@@ -76,21 +77,21 @@
 impl PeerCellApi {
     async fn route(&self, mut request: Request) -> Result<Response, Unavailable> {
         let path = request.uri().path().to_owned();
-        let get = request.method() == Method::GET;
-        let post = request.method() == Method::POST;
+        let is_get = request.method() == Method::GET;
+        let is_post = request.method() == Method::POST;
         let job = path.strip_prefix("/v2/runs/").unwrap_or_default();
         let (id, operation) = match job.split_once('/') {
             Some((id, operation)) => (id, Some(operation)),
             None => (job, None),
         };
         match (path.as_str(), operation) {
-            ("/up", _) if get => Ok(self.health()),
-            ("/v2/runs", _) if post => match read_body(&mut request).await {
+            ("/up", _) if is_get => Ok(self.health()),
+            ("/v2/runs", _) if is_post => match read_body(&mut request).await {
                 Ok(body) => self.submit(&body).await,
                 Err(error) => Ok(error.response()),
             },
-            (_, None) if get && is_job_id(id) => self.query(id).await,
-            (_, Some("abort")) if post && is_job_id(id) => match read_body(&mut request).await {
+            (_, None) if is_get && is_job_id(id) => self.query(id).await,
+            (_, Some("abort")) if is_post && is_job_id(id) => match read_body(&mut request).await {
                 Ok(body) => self.cancel(id, &body).await,
                 Err(error) => Ok(error.response()),
             },
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Healthy while jobs of the peer cell are admitted.
+    /// Answers 200 while jobs of the peer cell are admitted.
     fn health(&self) -> Response {
         if !self.node.is_up() {
             return not_ready();
@@ -111,7 +112,7 @@
     }
 
     async fn submit(&self, body: &[u8]) -> Result<Response, Unavailable> {
-        let submission = match read_submission(body) {
+        let submission = match decode_request(body) {
             Ok(submission) => submission,
             Err(reason) => return Ok(refusal(StatusCode::BAD_REQUEST, &reason.to_string())),
         };
@@ -142,7 +143,7 @@
         Ok(self.admission.admit(records, submission, &limits, wall))
     }
 
-    /// Puts a delegated job, or the record that closes its delegation, on record.
+    /// Writes the record of a delegated job or the record that closes a delegation.
     async fn create_job(&self, sent_id: &str, record: JobRecord) -> Result<Response, Unavailable> {
         let status = if record.state.is_final() {
             HostStatus::Withdrawn
@@ -167,19 +168,21 @@
         }
     }
 
-    fn status_in_memory(&self, sent_id: &str) -> Option<HostStatus> {
+    /// Returns a job's status according to the local copy of the records.
+    fn cached_status(&self, sent_id: &str) -> Option<HostStatus> {
         let controller = self.node.controller();
         self.admission.status(controller.records(), sent_id)
     }
 
-    /// A job's status on records as new as the request, unless it is final.
+    /// Returns a job's status. Unless the status is final, the local copy of the records is first updated to be
+    /// at least as new as the request.
     async fn status(&self, sent_id: &str) -> Result<Option<HostStatus>, Unavailable> {
-        let known = self.status_in_memory(sent_id);
-        let is_final = matches!(known, Some(HostStatus::Done | HostStatus::Withdrawn));
+        let status = self.cached_status(sent_id);
+        let is_final = matches!(status, Some(HostStatus::Done | HostStatus::Withdrawn));
         if !is_final && !self.node.read_latest_records().await {
             return Err(Unavailable);
         }
-        Ok(self.status_in_memory(sent_id))
+        Ok(self.cached_status(sent_id))
     }
 
     async fn query(&self, sent_id: &str) -> Result<Response, Unavailable> {
@@ -209,7 +212,7 @@
                     let status = HostStatus::Withdrawn;
                     return Ok(status_response(StatusCode::OK, sent_id, status));
                 }
-                // The record has changed meanwhile: read it again.
+                // The record has changed since it was read: read it again.
                 CancellationOutcome::Transaction(TransactionOutcome::Conflict(_)) => {}
                 _ => return Err(Unavailable),
             }
@@ -217,7 +220,7 @@
         Err(Unavailable)
     }
 
-    /// Whether a cancellation changes anything.
+    /// Returns whether a cancellation request cancels the job.
     fn should_cancel(&self, sent_id: &str, unless_begun: bool) -> bool {
         let controller = self.node.controller();
         let records = controller.records();
@@ -225,7 +228,7 @@
     }
 }
 
-/// Why a submission cannot be read. The peer cell reads these texts.
+/// The reason why a submission cannot be decoded. The peer cell receives the text.
 #[derive(Debug, thiserror::Error)]
 enum SubmissionError {
     #[error("not JSON: {0}")]
@@ -234,7 +237,7 @@
     Invalid(#[from] DecodeError),
 }
 
-fn read_submission(body: &[u8]) -> Result<Submission, SubmissionError> {
+fn decode_request(body: &[u8]) -> Result<Submission, SubmissionError> {
     let body: Value = serde_json::from_slice(body)?;
     let id = decode_job_id(&body)?.to_owned();
     let spec = decode_submission(&body)?;
--- a/crates/saltpitch/src/cells/mod.rs
+++ b/crates/saltpitch/src/cells/mod.rs
@@ -1,7 +1,7 @@
-//! Delegation to other cells: the listeners for peer cells, and the shell of the
+//! Delegation between cells: the listeners for peer cells, and the task that runs the
 //! [`Delegator`](saltpitch_cells::origin::Delegator).
 //!
-//! Nothing of this runs without a file on cells.
+//! None of this runs without a cells file.
 
 pub mod command;
 mod delegation;
@@ -17,26 +17,26 @@
 
 use crate::node::Node;
 
-/// Starts what the file on cells asks for.
+/// Starts the listeners and the delegation task, if there is a cells file.
 pub async fn start(node: &Arc<Node>) -> Result<()> {
     let Some(cells) = &node.cells else {
         return Ok(());
     };
-    for neighbour in &cells.settings.neighbour {
-        if let Some(admission) = host_admission(neighbour) {
+    for peer in &cells.settings.neighbour {
+        if let Some(admission) = host_admission(peer) {
             listener::start(node.clone(), admission).await?;
         }
     }
-    tracing::info!("cell {} begins", cells.settings.cell);
+    tracing::info!("cell {}: delegation started", cells.settings.cell);
     tokio::spawn(delegation::run(node.clone()));
     Ok(())
 }
 
-/// How jobs of a peer cell are admitted, if this cell takes any.
-fn host_admission(neighbour: &PeerCellSettings) -> Option<HostAdmission> {
-    let settings = neighbour.guests.clone()?;
+/// Returns the admission of a peer cell's jobs, or `None` if this cell accepts none.
+fn host_admission(peer: &PeerCellSettings) -> Option<HostAdmission> {
+    let settings = peer.guests.clone()?;
     Some(HostAdmission {
-        cell: neighbour.name.clone(),
+        cell: peer.name.clone(),
         settings,
     })
 }
--- a/crates/saltpitch/src/cells/state.rs
+++ b/crates/saltpitch/src/cells/state.rs
@@ -1,4 +1,4 @@
-//! What a controller with a file on cells keeps.
+//! The state of a controller that has a cells file.
 
 use std::sync::{Mutex, MutexGuard};
 
@@ -8,28 +8,31 @@
 use crate::http::Client;
 use crate::mutex::lock;
 
-/// The delegations of one leadership.
+/// The delegations of one leadership of this controller.
 pub struct LeaderDelegations {
     /// The leadership's epoch.
     pub epoch: u64,
-    /// Decides on the delegations.
+    /// The state machine that decides on the delegations.
     pub delegator: Delegator,
 }
 
-/// The file on cells and, while this controller leads, the delegations.
+/// The cells file and, while this controller leads, the delegations.
 pub struct Cells {
-    /// The operators' file.
+    /// The contents of the cells file.
     pub settings: CellsSettings,
-    /// The client of the peer cells, apart from all others.
+    /// The HTTP client for the peer cells. It is separate from all other clients.
     pub client: Client,
     delegations: Mutex<Option<LeaderDelegations>>,
 }
 
 impl Cells {
-    /// Nothing is delegated yet.
+    /// Creates the state of a controller that has not led yet.
     pub fn new(settings: CellsSettings) -> Cells {
-        let delegating = settings.neighbour.iter().filter_map(|n| n.lend.as_ref());
-        let addresses = delegating.map(|lend| lend.addresses.len()).sum();
+        let hosts = settings
+            .neighbour
+            .iter()
+            .filter_map(|peer| peer.lend.as_ref());
+        let addresses = hosts.map(|delegation| delegation.addresses.len()).sum();
         Cells {
             settings,
             client: Client::new(addresses),
@@ -37,8 +40,8 @@
         }
     }
 
-    /// Locks the delegations of the present leadership, or of one that has ended. A task that needs the
-    /// controller as well locks that first.
+    /// Locks the delegations of the current leadership or of one that has ended. A task that also needs the
+    /// controller must lock the controller first.
     pub fn delegations(&self) -> MutexGuard<'_, Option<LeaderDelegations>> {
         lock(&self.delegations)
     }
