--- a/crates/saltpitch-cells/tests/host_admission.rs
+++ b/crates/saltpitch-cells/tests/host_admission.rs
@@ -163,7 +163,7 @@
     assert!(!admission().has_room(&records));
     let again = admit(&records, &submission("job-1000001", 2));
     assert_eq!(again, Ok(Admission::Known(HostStatus::Pending)));
-    // A job that is done does not count towards the limits, and its status can still be queried.
+    // A job that is done does not count towards the limits, and its status stays available permanently.
     put(
         &mut records,
         &admission().hosted_job_id("job-1000001"),
