--- a/crates/saltpitch-testkit/src/simulation/agents.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -10,16 +10,17 @@
 use super::{Simulation, UserJob};
 use crate::agents::{Agent, AgentTask, TaskId};
 
-/// An agent that has no answer within this time asks the next controller.
+/// An agent that has no answer within this time turns to the next controller.
 const ANSWER_TIMEOUT: Micros = Micros::from_secs(4);
 /// How long an agent waits after a timeout before it sends again.
 const RETRY_BACKOFF: Micros = Micros::from_secs(1);
-/// Heartbeats of one agent are at least this far apart, and a redirected one is repeated after it.
+/// The least time between two heartbeats of one agent, and the delay after which a redirected heartbeat is
+/// repeated.
 const MIN_HEARTBEAT_SPACING: Micros = Micros::from_millis(500);
 /// How long an agent takes to notice that a connection fails.
 const CONNECTION_FAILURE: Micros = Micros::from_millis(50);
 
-/// The members of one attempt of a gang, by state.
+/// The number of members of one attempt of a gang, by state.
 #[derive(Clone, Copy, Default)]
 struct GangMembers {
     waiting: u32,
@@ -28,7 +29,8 @@
 }
 
 impl Simulation {
-    /// Moves a machine's tasks on, ends its lease when it expires, and sends a heartbeat when one is due.
+    /// Advances a machine's tasks, ends the agent's lease when it expires, and sends a heartbeat when one is
+    /// due.
     pub(super) fn agent_tick(&mut self, name: &str) {
         let now = self.now;
         let times = self.times.clone();
@@ -59,14 +61,14 @@
 
     fn send_agent_heartbeat(&mut self, name: &str, target: usize, heartbeat: Heartbeat) {
         if self.agents[name].outbound_partition_until > self.now {
-            // No connection: nothing of it ever arrives, and the agent tries the next controller.
+            // The connection fails: the heartbeat never arrives, and the agent tries the next controller.
             let name = name.to_owned();
             let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
             return self.schedule_after(CONNECTION_FAILURE, move |simulation| {
                 simulation.heartbeat_answered(&name, agent_epoch, sequence, None, None)
             });
         }
-        // A partition holds packets back and delivers them when it ends.
+        // A partition holds messages back and delivers them when it ends.
         let held = self.partitioned_for(target, name);
         let wait = held.plus(self.draw_delay());
         if self.draw_fault(self.faults.delayed_duplicates, 1.5) {
@@ -77,7 +79,7 @@
         });
     }
 
-    /// Delivers a copy of a heartbeat to a random controller, up to a minute after the heartbeat itself.
+    /// Delivers a duplicate of a heartbeat to a random controller, 1 to 61 s after the heartbeat itself.
     fn send_delayed_duplicate(&mut self, copy: Heartbeat, wait: Micros) {
         let node_index = self.random_below(3) as usize;
         let late = Micros::from_millis(1_000 + self.random_below(60_000));
@@ -86,12 +88,12 @@
         });
     }
 
-    /// Delivers a copy of an old heartbeat. The answer goes nowhere: no agent waits for it.
+    /// Delivers a duplicate of an old heartbeat. The answer is dropped, since no agent waits for it.
     pub fn deliver_duplicate(&mut self, node_index: usize, heartbeat: Heartbeat) {
         let now = self.now;
-        let frozen = self.nodes[node_index].remaining_pause(now);
-        if frozen > Micros::ZERO {
-            return self.schedule_after(frozen, move |simulation| {
+        let pause = self.nodes[node_index].remaining_pause(now);
+        if pause > Micros::ZERO {
+            return self.schedule_after(pause, move |simulation| {
                 simulation.deliver_duplicate(node_index, heartbeat)
             });
         }
@@ -104,9 +106,9 @@
 
     fn deliver_heartbeat(&mut self, node_index: usize, heartbeat: Heartbeat) {
         let now = self.now;
-        let frozen = self.nodes[node_index].remaining_pause(now);
-        if frozen > Micros::ZERO {
-            return self.schedule_after(frozen, move |simulation| {
+        let pause = self.nodes[node_index].remaining_pause(now);
+        if pause > Micros::ZERO {
+            return self.schedule_after(pause, move |simulation| {
                 simulation.deliver_heartbeat(node_index, heartbeat)
             });
         }
@@ -126,7 +128,8 @@
         };
         self.poll(node_index);
         let leader = leader.and_then(|name| self.nodes.iter().position(|node| node.name == name));
-        // A partition that began meanwhile holds the answer back, and the agent drops it then.
+        // A partition that began in the meantime holds the answer back; the agent ignores an answer that it
+        // no longer waits for.
         let wait = self
             .partitioned_for(node_index, &name)
             .plus(self.draw_delay());
@@ -135,7 +138,7 @@
         });
     }
 
-    /// An agent takes in the answer to its heartbeat, if it still waits for that one.
+    /// Handles the answer to an agent's heartbeat, if the agent still waits for that one.
     pub(super) fn heartbeat_answered(
         &mut self,
         name: &str,
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Gangs start when all members of an attempt wait, and end together.
+    /// Starts gangs when all members of an attempt wait, and completes them together.
     pub(super) fn advance_gangs(&mut self) {
         let gangs: Vec<String> = self
             .jobs
@@ -187,7 +190,7 @@
         }
     }
 
-    /// The members of each attempt of a gang.
+    /// Counts the members of each attempt of a gang.
     fn count_members(&mut self, id: &str) -> BTreeMap<u32, GangMembers> {
         let mut attempts: BTreeMap<u32, GangMembers> = BTreeMap::new();
         for member in self.members(id) {
@@ -205,8 +208,8 @@
         attempts
     }
 
-    /// Starts members whose attempt is complete and ends those that miss others for too long. True: a
-    /// member of a running attempt has run its time.
+    /// Starts members whose attempt is complete and ends those that miss others for too long. Returns
+    /// whether a member of a running attempt has run for its whole time.
     fn advance_members(
         &mut self,
         id: &str,
@@ -256,7 +259,7 @@
         }
     }
 
-    /// The tasks of a gang on machines that are up.
+    /// Returns the tasks of a gang on machines that are up.
     fn members<'a>(&'a mut self, id: &'a str) -> impl Iterator<Item = &'a mut AgentTask> {
         let now = self.now;
         self.agents
@@ -268,7 +271,7 @@
     }
 }
 
-/// The state of a task that has ended without saving.
+/// Returns the state of a task that has exited without saving.
 fn exited(cause: ExitCause) -> TaskState {
     TaskState::Exited {
         cause,
@@ -276,7 +279,7 @@
     }
 }
 
-/// Moves a machine's tasks on; the tasks that have just completed.
+/// Advances a machine's tasks and returns those that have just completed.
 fn advance_tasks(agent: &mut Agent, jobs: &BTreeMap<String, UserJob>, now: Micros) -> Vec<TaskId> {
     let mut completed = Vec::new();
     for ((id, _), held) in &mut agent.tasks {
@@ -299,7 +302,7 @@
     completed
 }
 
-/// Moves a task on by itself; true when it has just completed.
+/// Moves a task to its next phase when the current one is over. Returns whether it has just completed.
 fn advance(held: &mut AgentTask, spec: &JobSpec, now: Micros) -> bool {
     if now < held.phase_ends_at {
         return false;
@@ -330,7 +333,7 @@
     }
 }
 
-/// Gives up a heartbeat that is not answered in time and turns to the next controller.
+/// Gives up on a heartbeat that is not answered in time and turns to the next controller.
 fn time_out_heartbeat(agent: &mut Agent, now: Micros) {
     let timed_out = |waiting: (u64, Micros)| now.since(waiting.1) > ANSWER_TIMEOUT;
     if agent.pending_heartbeat.is_some_and(timed_out) {
@@ -340,7 +343,8 @@
     }
 }
 
-/// Heartbeats are sent at an interval, and sooner when something has changed; one at a time.
+/// Returns whether to send a heartbeat: they are sent one at a time, at an interval, and sooner when
+/// something has changed.
 fn is_heartbeat_due(agent: &Agent, interval: Micros, now: Micros) -> bool {
     let since_last = now.plus(interval).since(agent.next_heartbeat_at);
     let due =
@@ -348,7 +352,7 @@
     due && agent.pending_heartbeat.is_none()
 }
 
-/// Makes the next heartbeat, whose answer the agent waits for from now on.
+/// Creates the next heartbeat and notes that the agent waits for its answer.
 fn begin_heartbeat(agent: &mut Agent, interval: Micros, now: Micros) -> Heartbeat {
     agent.has_changes = false;
     agent.next_heartbeat_at = now.plus(interval);
--- a/crates/saltpitch-testkit/src/simulation/cloud.rs
+++ b/crates/saltpitch-testkit/src/simulation/cloud.rs
@@ -8,14 +8,14 @@
 use super::Simulation;
 use crate::agents::Agent;
 
-/// A machine that never comes up takes this long.
-const NEVER: Micros = Micros::from_secs(1_000_000);
-/// How long a machine takes that comes up late.
+/// The provisioning time of a machine that never boots: longer than any history.
+const NEVER_PROVISIONED: Micros = Micros::from_secs(1_000_000);
+/// The provisioning time of a machine that boots late.
 const LATE_PROVISIONING: Micros = Micros::from_secs(45);
-/// The age that the cloud gives for each machine.
+/// The age that the cloud's list gives for each machine.
 const LISTED_AGE: Micros = Micros::from_secs(10);
 
-/// A request for machines. The same request again gives the same machines.
+/// A scale-out request. Repeating a request returns the same machines.
 pub(super) struct ScaleOutRequest {
     pub(super) id: String,
     pub(super) type_name: String,
@@ -25,7 +25,7 @@
 }
 
 impl Simulation {
-    /// Provisions what the cloud has of the machines requested.
+    /// Provisions the requested machines as far as the cloud has capacity.
     pub(super) fn scale_out(&mut self, request: &ScaleOutRequest) -> ScaleOutOutcome {
         if let Some(names) = self.machines_by_request.get(&request.id) {
             return ScaleOutOutcome::Machines(names.clone());
@@ -51,20 +51,20 @@
         ScaleOutOutcome::Machines(names)
     }
 
-    /// Provisions one machine and gives its name. With machine faults some come up late or never, and
-    /// some are slow once they are up.
+    /// Provisions one machine and returns its name. With machine faults some machines boot late or never,
+    /// and some run tasks slowly.
     fn provision_machine(&mut self, request: &ScaleOutRequest) -> String {
         self.next_machine += 1;
         let name = format!("vm-{:06}", self.next_machine);
         let faulty = self.faults.machine_failures && self.now < self.faults_end_at;
         let provisioning = match self.random_below(12) {
-            0 if faulty => NEVER,
+            0 if faulty => NEVER_PROVISIONED,
             1 if faulty => LATE_PROVISIONING,
             _ => Micros::from_secs(1 + self.random_below(14)),
         };
-        let slow = faulty && self.random_below(6) == 0;
-        let target = self.random_below(3) as usize;
-        let boots_at = self.now.plus(provisioning);
+        let is_slow = faulty && self.random_below(6) == 0;
+        let target_node = self.random_below(3) as usize;
+        let up_at = self.now.plus(provisioning);
         let machine_type = self.catalog.get(&request.type_name);
         let agent = Agent {
             name: name.clone(),
@@ -72,8 +72,8 @@
             zone: request.zone.clone(),
             spot: request.spot,
             size: machine_type.map(|known| known.size).unwrap_or_default(),
-            is_slow: slow,
-            up_at: boots_at,
+            is_slow,
+            up_at,
             is_gone: false,
             hung_until: Micros::ZERO,
             inbound_partition_until: Micros::ZERO,
@@ -81,10 +81,10 @@
             agent_epoch: 1,
             sequence: 0,
             fencing_token: 0,
-            lease_renewed_at: boots_at,
+            lease_renewed_at: up_at,
             spot_notice: None,
             tasks: BTreeMap::new(),
-            target_node: target,
+            target_node,
             next_heartbeat_at: Micros::ZERO,
             pending_heartbeat: None,
             has_changes: false,
--- a/crates/saltpitch-testkit/src/simulation/controllers.rs
+++ b/crates/saltpitch-testkit/src/simulation/controllers.rs
@@ -10,22 +10,26 @@
 
 use super::{Simulation, TICK};
 
-const FOLLOW_INTERVAL: Micros = Micros::from_millis(200);
+/// How often a controller reads the records.
+const RECORDS_INTERVAL: Micros = Micros::from_millis(200);
+/// How often a controller sends heartbeats to its peers and, as leader, renews its lease.
 const RENEWAL_INTERVAL: Micros = Micros::from_millis(600);
-const LIST_INTERVAL: Micros = Micros::from_secs(3);
+/// How often a leader lists the cloud's machines.
+const MACHINE_LIST_INTERVAL: Micros = Micros::from_secs(3);
+/// Heartbeats that arrive later than this after they were sent get no answer.
 const HEARTBEAT_TIMEOUT: Micros = Micros::from_secs(1);
 
-/// One heartbeat and its answer.
+/// A heartbeat from one controller to another, and its answer.
 #[derive(Clone, Copy)]
 struct Exchange {
     from: usize,
     to: usize,
-    asked_at: Micros,
-    /// The sender's epoch when it asked.
+    sent_at: Micros,
+    /// The sender's epoch when it sent the heartbeat.
     epoch: u64,
 }
 
-/// An election attempt whose transaction is under way.
+/// An election attempt whose transaction is in flight.
 struct PendingAttempt {
     campaign: ElectionAttempt,
     store_lease: u64,
@@ -33,19 +37,21 @@
 }
 
 impl Simulation {
-    /// How long until this controller and this machine can reach each other.
+    /// Returns how long this controller and this machine stay partitioned from each other.
     pub(super) fn partitioned_for(&self, node_index: usize, machine: &str) -> Micros {
         let node = &self.nodes[node_index];
         let zone = self.agents.get(machine).map(|agent| agent.zone.as_str());
-        let apart = if zone == Some(node.zone.as_str()) {
+        let zones_partitioned = if zone == Some(node.zone.as_str()) {
             Micros::ZERO
         } else {
             self.zone_partition_until
         };
-        node.agent_partition_until.max(apart).since(self.now)
+        node.agent_partition_until
+            .max(zones_partitioned)
+            .since(self.now)
     }
 
-    /// How long what is sent to this machine is held back.
+    /// Returns how long messages to this machine are held back.
     pub(super) fn inbound_partitioned_for(&self, machine: &str) -> Micros {
         let agent = self.agents.get(machine);
         agent.map_or(Micros::ZERO, |agent| {
@@ -53,7 +59,7 @@
         })
     }
 
-    /// What a controller's process does in one tick.
+    /// Runs one tick of a controller's process.
     pub(super) fn node_tick(&mut self, node_index: usize) {
         let now = self.now;
         if !self.nodes[node_index].is_up(now)
@@ -65,36 +71,38 @@
             let scheduler = self.scheduler_config(node_index);
             self.nodes[node_index].start(scheduler, now);
         }
-        let reaches = self.nodes[node_index].can_reach_store(&self.store, now);
-        if reaches && self.is_due(FOLLOW_INTERVAL) {
-            self.follow(node_index);
+        let store_reachable = self.nodes[node_index].can_reach_store(&self.store, now);
+        if store_reachable && self.is_due(RECORDS_INTERVAL) {
+            self.read_records(node_index);
         }
         if self.is_due(RENEWAL_INTERVAL) {
             self.send_heartbeats(node_index);
         }
         match self.nodes[node_index].controller.store_lease() {
             Some(store_lease) if self.is_due(RENEWAL_INTERVAL) => {
-                self.renew(node_index, store_lease, reaches);
+                self.renew_lease(node_index, store_lease, store_reachable);
                 if self.nodes[node_index].controller.should_resign(now) {
-                    self.resign(node_index, reaches);
+                    self.resign(node_index, store_reachable);
                 }
             }
-            None if reaches && self.should_campaign(node_index) => self.elect(node_index),
+            None if store_reachable && self.should_campaign(node_index) => {
+                self.campaign(node_index)
+            }
             _ => {}
         }
         self.poll(node_index);
-        if self.nodes[node_index].controller.is_leader() && self.is_due(LIST_INTERVAL) {
+        if self.nodes[node_index].controller.is_leader() && self.is_due(MACHINE_LIST_INTERVAL) {
             self.list_machines(node_index);
         }
     }
 
-    /// Whether something that is done every `interval` falls into this tick.
+    /// Returns whether an action that is repeated every `interval` is due in this tick.
     fn is_due(&self, interval: Micros) -> bool {
         self.now.0 % interval.0 < TICK.0
     }
 
-    /// Reads the records, and puts the process's incarnation on record if it is not there yet.
-    fn follow(&mut self, node_index: usize) {
+    /// Reads the records, and writes the process's incarnation to the store if it is not there yet.
+    fn read_records(&mut self, node_index: usize) {
         let now = self.now;
         let node = &mut self.nodes[node_index];
         node.read_records(&self.store, now);
@@ -107,7 +115,7 @@
         }
     }
 
-    /// Whether to campaign for the leadership now.
+    /// Returns whether to campaign for the leadership now.
     fn should_campaign(&mut self, node_index: usize) -> bool {
         let (now, random) = (self.now, self.rng.random());
         let node = &mut self.nodes[node_index];
@@ -124,9 +132,10 @@
         }
     }
 
-    /// An election takes time: the lease is opened, the transaction travels, its answer may be lost,
-    /// and the records are read again. Processes end and return, and others campaign, in between.
-    fn elect(&mut self, node_index: usize) {
+    /// Campaigns for the leadership. An election takes time: the lease is granted, the transaction is sent,
+    /// its answer may be lost, and the records are read again. Processes crash and restart, and others
+    /// campaign, in between.
+    fn campaign(&mut self, node_index: usize) {
         if std::mem::replace(&mut self.nodes[node_index].is_campaigning, true) {
             return;
         }
@@ -146,7 +155,7 @@
             self.random_below(300)
         };
         self.schedule_after(Micros::from_millis(delay), move |simulation| {
-            // Sent is sent: it is carried out whether or not the process still lives.
+            // A transaction in flight is applied even if the process has crashed since.
             let attached = Some((store_lease, LEADER_KEY));
             let outcome = simulation.store.txn(
                 &campaign.transaction.preconditions,
@@ -183,7 +192,8 @@
             return;
         }
         node.is_campaigning = false;
-        // Read when nobody waits for it any more, or without the state service: the lease runs out.
+        // A paused process reads the answer after its timeout, and without the state service the records
+        // can't be read: the lease is left to expire.
         if node.remaining_pause(now) > Micros::ZERO || !node.can_reach_store(&self.store, now) {
             return;
         }
@@ -205,7 +215,8 @@
         }
     }
 
-    /// What a node's version makes of the settings.
+    /// Returns the scheduler's settings as the node's version reads them: version 0 ignores the store's next
+    /// limits.
     fn scheduler_config(&self, node_index: usize) -> SchedulerConfig {
         let mut config = self.config.clone();
         if let Some((bytes, ops, rate)) = self
@@ -219,9 +230,9 @@
         config
     }
 
-    fn renew(&mut self, node_index: usize, store_lease: u64, reaches: bool) {
+    fn renew_lease(&mut self, node_index: usize, store_lease: u64, store_reachable: bool) {
         let now = self.now;
-        let answer = if reaches {
+        let answer = if store_reachable {
             self.store.keep_alive(store_lease, now)
         } else {
             None
@@ -235,14 +246,14 @@
     }
 
     fn send_heartbeats(&mut self, node_index: usize) {
-        let (asked_at, epoch) = (self.now, self.nodes[node_index].epoch());
+        let (sent_at, epoch) = (self.now, self.nodes[node_index].epoch());
         for peer in (0..self.nodes.len()).filter(|peer| *peer != node_index) {
             let name = self.nodes[peer].name.clone();
-            let peer_heartbeat = self.nodes[node_index].peer_heartbeat(&name, asked_at);
+            let peer_heartbeat = self.nodes[node_index].peer_heartbeat(&name, sent_at);
             let exchange = Exchange {
                 from: node_index,
                 to: peer,
-                asked_at,
+                sent_at,
                 epoch,
             };
             let delay = self.draw_delay();
@@ -255,20 +266,21 @@
     fn heartbeat_arrives(&mut self, exchange: Exchange, peer_heartbeat: PeerStatus) {
         let now = self.now;
         let (from, to) = (&self.nodes[exchange.from], &self.nodes[exchange.to]);
-        let apart = from.zone != to.zone && now < self.zone_partition_until;
-        let cut = apart || now < from.peer_partition_until || now < to.peer_partition_until;
-        if cut || !to.is_up(now) || !to.is_started {
+        let zones_partitioned = from.zone != to.zone && now < self.zone_partition_until;
+        let is_partitioned =
+            zones_partitioned || now < from.peer_partition_until || now < to.peer_partition_until;
+        if is_partitioned || !to.is_up(now) || !to.is_started {
             return;
         }
-        let frozen = to.remaining_pause(now);
-        if frozen > Micros::ZERO {
-            return self.schedule_after(frozen, move |simulation| {
+        let pause = to.remaining_pause(now);
+        if pause > Micros::ZERO {
+            return self.schedule_after(pause, move |simulation| {
                 simulation.heartbeat_arrives(exchange, peer_heartbeat)
             });
         }
         let answer = self.nodes[exchange.to].peer_heartbeat_received(peer_heartbeat, now);
         self.trace.heartbeat_answer(&answer, now);
-        if now.since(exchange.asked_at) > HEARTBEAT_TIMEOUT {
+        if now.since(exchange.sent_at) > HEARTBEAT_TIMEOUT {
             return;
         }
         let delay = self.draw_delay();
@@ -280,9 +292,9 @@
     fn peer_heartbeat_answered(&mut self, exchange: Exchange, answer: PeerStatus) {
         let now = self.now;
         let node_index = exchange.from;
-        let frozen = self.nodes[node_index].remaining_pause(now);
-        if frozen > Micros::ZERO {
-            return self.schedule_after(frozen, move |simulation| {
+        let pause = self.nodes[node_index].remaining_pause(now);
+        if pause > Micros::ZERO {
+            return self.schedule_after(pause, move |simulation| {
                 simulation.peer_heartbeat_answered(exchange, answer)
             });
         }
@@ -291,11 +303,11 @@
         if !node.is_up(now) || !same_process {
             return;
         }
-        node.peer_heartbeat_answered(answer, exchange.asked_at, exchange.epoch, now);
+        node.peer_heartbeat_answered(answer, exchange.sent_at, exchange.epoch, now);
         self.poll(node_index);
     }
 
-    fn resign(&mut self, node_index: usize, reaches: bool) {
+    fn resign(&mut self, node_index: usize, store_reachable: bool) {
         self.resignations += 1;
         let now = self.now;
         let node = &mut self.nodes[node_index];
@@ -306,7 +318,7 @@
             preconditions,
             writes,
         } = &resignation.transaction;
-        let written = reaches
+        let written = store_reachable
             && matches!(
                 self.store.txn(preconditions, writes, None),
                 TransactionOutcome::Committed(_)
@@ -324,7 +336,8 @@
         }
     }
 
-    /// Gives an answer to the scheduler that asked, if it still leads; then runs its loops.
+    /// Delivers an answer to the scheduler that requested it, if it still leads in that epoch, and then runs
+    /// its loops.
     pub(super) fn notify_scheduler(
         &mut self,
         node_index: usize,
@@ -332,9 +345,9 @@
         deliver: impl FnOnce(&mut Scheduler, Micros) + 'static,
     ) {
         let now = self.now;
-        let frozen = self.nodes[node_index].remaining_pause(now);
-        if frozen > Micros::ZERO {
-            return self.schedule_after(frozen, move |simulation| {
+        let pause = self.nodes[node_index].remaining_pause(now);
+        if pause > Micros::ZERO {
+            return self.schedule_after(pause, move |simulation| {
                 simulation.notify_scheduler(node_index, epoch, deliver)
             });
         }
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -1,4 +1,4 @@
-//! What the schedulers want done: transactions, commands, probes, scale-out requests and returns.
+//! The effects of the schedulers: transactions, direct commands, probes, scale-out and scale-in.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,17 +16,17 @@
 use crate::agents::{Agent, AgentTask};
 use crate::invariants::{Invariant, InvariantViolation};
 
-/// A controller that has no answer of the store or of an agent within this time takes the outcome as
-/// unknown.
+/// A controller that has no answer from the store or from an agent within this time treats the outcome
+/// as unknown.
 const ANSWER_TIMEOUT: Micros = Micros::from_millis(1_500);
-/// The store refuses a transaction above its rate this soon.
+/// How long the store takes to refuse a transaction above its rate limit.
 const REFUSAL_DELAY: Micros = Micros::from_millis(5);
 /// How long the cloud takes to answer.
 const CLOUD_ANSWER_DELAY: Micros = Micros::from_millis(100);
 /// How long a controller waits for the cloud when the answer is lost.
 const CLOUD_TIMEOUT: Micros = Micros::from_secs(4);
 
-/// Commands on their way to a machine, outside the answer to a heartbeat.
+/// Commands sent directly to a machine, not in the answer to a heartbeat.
 struct DirectCommands {
     machine: Arc<str>,
     agent_epoch: u64,
@@ -34,14 +34,14 @@
     commands: Vec<Command>,
 }
 
-/// What the network and the store make of a transaction.
+/// When a transaction is applied, and whether its answer is lost.
 struct TransactionFate {
     applied_after: Micros,
     answer_lost: bool,
 }
 
 impl Simulation {
-    /// Carries out what a scheduler asked for in this epoch.
+    /// Carries out an effect that a scheduler requested in this epoch.
     pub(super) fn carry_out(&mut self, node_index: usize, epoch: u64, effect: Effect) {
         self.trace.effect(node_index, &effect, self.now);
         match effect {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Asks a machine for a heartbeat.
+    /// Probes a machine: asks it for a heartbeat.
     fn probe(&mut self, node_index: usize, epoch: u64, machine: Arc<str>) {
         let partitioned = self.partitioned_for(node_index, &machine);
         let unreachable = partitioned.max(self.inbound_partitioned_for(&machine)) > Micros::ZERO;
@@ -117,7 +117,7 @@
         });
     }
 
-    /// The cloud's answer to a scale-out request may be lost after the machines are provisioned.
+    /// Sends a scale-out request. The cloud's answer may be lost after the machines are provisioned.
     fn send_scale_out(&mut self, node_index: usize, epoch: u64, request: ScaleOutRequest) {
         let lost = self.faults.lost_answers && self.random_below(8) == 0;
         let delay = self.draw_delay();
@@ -181,9 +181,9 @@
     fn reload_records(&mut self, node_index: usize, epoch: u64) {
         let now = self.now;
         let node = &mut self.nodes[node_index];
-        let frozen = node.remaining_pause(now);
-        if frozen > Micros::ZERO {
-            return self.schedule_after(frozen, move |simulation| {
+        let pause = node.remaining_pause(now);
+        if pause > Micros::ZERO {
+            return self.schedule_after(pause, move |simulation| {
                 simulation.reload_records(node_index, epoch)
             });
         }
@@ -199,12 +199,12 @@
         self.poll(node_index);
     }
 
-    /// A transaction may be applied late, and its answer may be lost.
+    /// Sends a transaction to the store. It may be applied late, and its answer may be lost.
     fn send_transaction(&mut self, node_index: usize, epoch: u64, transaction: Transaction) {
-        let cut_until = self.nodes[node_index].store_partition_until;
-        if self.now < cut_until {
-            let cut_ends_in = cut_until.since(self.now);
-            self.schedule_after(cut_ends_in, move |simulation| {
+        let partition_ends_at = self.nodes[node_index].store_partition_until;
+        if self.now < partition_ends_at {
+            let remaining_partition = partition_ends_at.since(self.now);
+            self.schedule_after(remaining_partition, move |simulation| {
                 let Transaction {
                     preconditions,
                     writes,
@@ -214,7 +214,7 @@
             return self.transaction_outcome_unknown(node_index, epoch);
         }
         if self.faults.lost_answers && self.random_below(20) == 0 {
-            // Above its rate the store refuses.
+            // The store refuses transactions above its rate limit.
             return self.schedule_after(REFUSAL_DELAY, move |simulation| {
                 simulation.transaction_answered(node_index, epoch, TransactionOutcome::Unavailable)
             });
@@ -234,7 +234,7 @@
             }
             let delay = simulation.draw_delay();
             simulation.schedule_after(delay, move |simulation| {
-                simulation.note_term_conflict(node_index, epoch, &outcome);
+                simulation.handle_term_conflict(node_index, epoch, &outcome);
                 simulation.transaction_answered(node_index, epoch, outcome);
             });
         });
@@ -242,9 +242,9 @@
 
     /// Draws whether a transaction is overtaken by newer ones and whether its answer is lost.
     fn draw_transaction_fate(&mut self) -> TransactionFate {
-        let drawn_late = self.faults.delayed_writes && self.now < self.faults_end_at;
+        let may_be_delayed = self.faults.delayed_writes && self.now < self.faults_end_at;
         let overtaken =
-            self.now < self.delayed_writes_until || (drawn_late && self.random_below(12) == 0);
+            self.now < self.delayed_writes_until || (may_be_delayed && self.random_below(12) == 0);
         let answer_lost = overtaken || (self.faults.lost_answers && self.random_below(15) == 0);
         let applied_after = if overtaken {
             2_000 + self.random_below(10_000)
@@ -271,19 +271,24 @@
         });
     }
 
-    /// A conflict on the term means that another controller leads: this one stops.
-    fn note_term_conflict(&mut self, node_index: usize, epoch: u64, outcome: &TransactionOutcome) {
+    /// Ends this controller's leadership on a conflict on the term, which means that another one leads.
+    fn handle_term_conflict(
+        &mut self,
+        node_index: usize,
+        epoch: u64,
+        outcome: &TransactionOutcome,
+    ) {
         let TransactionOutcome::Conflict(keys) = outcome else {
             return;
         };
-        let deposed = keys.iter().any(|key| key == TERM_KEY);
-        if deposed && self.nodes[node_index].epoch() == epoch {
+        let is_deposed = keys.iter().any(|key| key == TERM_KEY);
+        if is_deposed && self.nodes[node_index].epoch() == epoch {
             let controller = &mut self.nodes[node_index].controller;
             controller.term_conflict(controller.epoch());
         }
     }
 
-    /// Direct commands may be executed long after the sender gave up.
+    /// Sends direct commands. The agent may execute them long after the sender's timeout.
     fn send_commands(&mut self, node_index: usize, epoch: u64, direct: DirectCommands) {
         let sent = SentCommands::new(
             direct.machine.clone(),
@@ -325,7 +330,8 @@
         });
     }
 
-    /// The agent executes direct commands unless they are for an earlier epoch or from an earlier term.
+    /// Lets the agent execute direct commands, unless they are for another agent epoch or from an earlier
+    /// term.
     fn commands_arrive(&mut self, direct: &DirectCommands) -> Option<CommandOutcome> {
         let now = self.now;
         let machine = &*direct.machine;
@@ -341,7 +347,8 @@
         Some(CommandOutcome::Executed(agent.heartbeat()))
     }
 
-    /// An agent executes commands; starts that come too early or too late are noted for the invariants.
+    /// Lets an agent execute commands. Starts before the job's dependencies are done, or too late after its
+    /// cancellation, are noted for the invariants.
     pub(super) fn execute(&mut self, machine: &str, commands: &[Command]) {
         if !self.agents.contains_key(machine) {
             return;
@@ -368,21 +375,23 @@
         };
         for dependency in &known.spec.dependencies {
             if !is_complete(&self.jobs, &self.completed_tasks, dependency) {
-                let text = format!("{job}/{task}, which needs {dependency}");
+                let text =
+                    format!("{job}/{task} started on {machine} before {dependency} was done");
                 let violation = InvariantViolation::new(Invariant::StartBeforeDependencies, text);
                 self.early_start = Some(violation.of_job(job).on_machine(machine));
             }
         }
         let cancelled_at = known.cancelled_at.or(known.dependency_cancelled_at);
         if cancelled_at.is_some_and(|at| self.now.since(at) > self.times.cancel_timeout) {
-            let text = format!("{job}/{task} on {machine} started after its time");
+            let text =
+                format!("{job}/{task} started on {machine} after the job's cancellation timeout");
             let violation = InvariantViolation::new(Invariant::RunsAfterCancellation, text);
             self.late_start = Some(violation.of_job(job).on_machine(machine));
         }
     }
 }
 
-/// Whether all tasks of a job have a result. A job that nobody submitted has none to wait for.
+/// Returns whether all tasks of a job have completed. A job that nobody submitted has no tasks to wait for.
 fn is_complete(
     jobs: &BTreeMap<String, UserJob>,
     done: &BTreeMap<String, BTreeSet<u32>>,
--- a/crates/saltpitch-testkit/src/simulation/fault_injection.rs
+++ b/crates/saltpitch-testkit/src/simulation/fault_injection.rs
@@ -9,14 +9,14 @@
 use super::Simulation;
 use crate::agents::Agent;
 
-/// The seconds of one tick.
+/// The length of one tick in seconds.
 const TICK_S: f64 = 0.1;
 
-/// How long before a spot machine is taken back its agent is told.
+/// How long before the cloud takes a spot machine back its agent is notified.
 const SPOT_NOTICE: Micros = Micros::from_secs(8);
 
 impl Simulation {
-    /// Whether a fault that occurs `per_s` times a second occurs in this tick.
+    /// Draws whether a fault that occurs `per_s` times a second occurs in this tick.
     pub(super) fn draw_fault(&mut self, enabled: bool, per_s: f64) -> bool {
         enabled && self.now < self.faults_end_at && self.rng.random_bool(per_s * TICK_S)
     }
@@ -26,14 +26,14 @@
         self.inject_crashes();
         self.inject_controller_partition();
         self.inject_zone_partition();
-        self.inject_freeze();
+        self.inject_process_pause();
         self.inject_store_outage();
         self.inject_inbound_partition();
         self.inject_outbound_partition();
         self.inject_machine_fault();
     }
 
-    /// One controller's process ends, or all of them at once.
+    /// Crashes one controller's process, or all of them at once.
     fn inject_crashes(&mut self) {
         if self.draw_fault(self.faults.crashes, 0.02) {
             let node_index = self.random_below(3) as usize;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A controller is cut from the store, from the agents, or from both.
+    /// Partitions a controller from the store, from the agents, or from both.
     fn inject_controller_partition(&mut self) {
         if !self.draw_fault(self.faults.controller_partitions, 0.02) {
             return;
@@ -73,7 +73,7 @@
         }
     }
 
-    fn inject_freeze(&mut self) {
+    fn inject_process_pause(&mut self) {
         if self.draw_fault(self.faults.process_pauses, 0.02) {
             let node_index = self.random_below(3) as usize;
             self.nodes[node_index].paused_until = self.draw_time(1, 45);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A machine disappears, hangs, or is a spot machine that is taken back.
+    /// Makes a machine disappear or hang, or takes it back if it is a spot machine.
     fn inject_machine_fault(&mut self) {
         if !self.draw_fault(self.faults.machine_failures, 0.05) || self.agents.is_empty() {
             return;
@@ -131,13 +131,13 @@
         }
     }
 
-    /// A time from `least` seconds from now on, drawn from a range of `range` seconds.
+    /// Draws a time that is at least `least` and less than `least + range` seconds from now.
     fn draw_time(&mut self, least: u64, range: u64) -> Micros {
         let wait = Micros::from_secs(least + self.random_below(range));
         self.now.plus(wait)
     }
 
-    /// Changes one to three agents; one that is drawn twice counts twice.
+    /// Applies a change to one to three drawn agents; the same agent may be drawn more than once.
     fn for_up_to_three_agents(&mut self, change: impl Fn(&mut Agent)) {
         for _ in 0..1 + self.random_below(3) {
             let index = self.random_below(self.agents.len() as u64) as usize;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Ends a controller's process. A third of them start again at once, the others after five seconds.
+    /// Crashes a controller's process. A third of the processes restart after 0.2 s, the others after 5 s.
     pub fn crash(&mut self, node_index: usize) {
         let wait = if self.random_below(3) == 0 {
             Micros::from_millis(200)
@@ -157,7 +157,7 @@
         self.crash_for(node_index, wait);
     }
 
-    /// Ends a controller's process, which starts again after this time.
+    /// Crashes a controller's process, which restarts after this time.
     pub fn crash_for(&mut self, node_index: usize, wait: Micros) {
         let up_at = self.now.plus(wait);
         self.nodes[node_index].crash(up_at);
--- a/crates/saltpitch-testkit/src/simulation/mod.rs
+++ b/crates/saltpitch-testkit/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! The whole site in virtual time: nodes, store, cloud, agents, users, and a network that delays,
-//! loses, holds and repeats.
+//! The whole site in virtual time: controllers, store, cloud, agents, users, and a network that delays,
+//! drops, holds back and duplicates messages.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -28,49 +28,51 @@
 mod observe;
 mod users;
 
-/// The times that the protocol's settings give.
+/// The intervals and timeouts that the settings give.
 #[derive(Clone, Debug)]
 pub struct Times {
     /// How often an agent sends a heartbeat.
     pub heartbeat_interval: Micros,
-    /// How long an agent keeps its tasks without an answer.
+    /// How long an agent keeps its tasks without an answer to a heartbeat.
     pub agent_lease: Micros,
-    /// How long a gang's member waits for the others to be ready.
+    /// How long a gang member waits for the others to be ready.
     pub gang_wait_timeout: Micros,
-    /// How long a running member goes on without the others.
+    /// How long a running gang member continues while other members are missing.
     pub gang_peer_timeout: Micros,
     /// How long after a cancellation a task may still run.
     pub cancel_timeout: Micros,
 }
 
-/// Which faults a history may have; each is drawn from the seed.
+/// The kinds of faults that a history may have. When and where they occur is drawn from the seed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Controllers whose processes end, one or all of them.
+    /// Controller processes crash and restart, one of them or all at once.
     pub crashes: bool,
-    /// Controllers that are cut from the store or from the agents.
+    /// Controllers are partitioned from the store, from the agents, or from both.
     pub controller_partitions: bool,
-    /// Zones that can't reach each other.
+    /// The two zones are partitioned from each other.
     pub zone_partitions: bool,
-    /// A store that serves nobody.
+    /// The store is unavailable to everybody.
     pub store_outages: bool,
-    /// Machines that disappear, hang, come up late or never, are slow, or are taken back.
+    /// Machines disappear, hang, boot late or never, run tasks slowly, or are taken back by the cloud.
     pub machine_failures: bool,
-    /// Messages whose answers are lost, and transactions that are refused.
+    /// Answers to messages are lost, and the store refuses transactions.
     pub lost_answers: bool,
-    /// Machines whose heartbeats arrive while answers and commands don't reach them.
+    /// Machines have an asymmetric partition: their heartbeats arrive, while answers and commands do not
+    /// reach them.
     pub inbound_partitions: bool,
-    /// Copies of heartbeats that come again, seconds to several leases later, at any node.
+    /// Duplicates of heartbeats arrive at any controller, seconds to several agent leases later.
     pub delayed_duplicates: bool,
-    /// Controllers that stand still, for longer than any lease at times, while their clocks run on.
+    /// Controller processes pause, at times for longer than any lease, while their clocks go on.
     pub process_pauses: bool,
-    /// Machines that reach no controller while direct commands reach them.
+    /// Machines have an asymmetric partition: they reach no controller, while direct commands reach them.
     pub outbound_partitions: bool,
-    /// Transactions without an answer that are carried out 2 to 12 s later, after newer ones.
+    /// Transactions get no answer and are applied 2 to 12 s later, after newer ones.
     pub delayed_writes: bool,
 }
 
 impl Faults {
+    /// Returns whether any kind of fault concerns controllers, store or the link between the zones.
     fn has_controller_faults(&self) -> bool {
         self.crashes
             || self.controller_partitions
@@ -79,7 +81,7 @@
             || self.process_pauses
     }
 
-    /// Every kind of fault.
+    /// Returns all kinds of faults.
     pub fn all() -> Faults {
         Faults {
             crashes: true,
@@ -99,9 +101,9 @@
 
 /// A job as its user knows it.
 pub struct UserJob {
-    /// What was submitted.
+    /// The job as submitted.
     pub spec: JobSpec,
-    /// The store has confirmed the submission.
+    /// Whether the store has confirmed the submission.
     pub is_accepted: bool,
     /// When its cancellation was confirmed.
     pub cancelled_at: Option<Micros>,
@@ -109,16 +111,16 @@
     pub submitted_at: Micros,
     /// When all of its tasks first ran at the same time (of an array: any task).
     pub started_at: Option<Micros>,
-    /// When each node last could answer a question about it.
+    /// For each node, when it could last answer a status query about this job.
     pub last_answered_at: Vec<Micros>,
     /// When a job that it depends on, directly or through others, was cancelled.
     pub dependency_cancelled_at: Option<Micros>,
-    /// Submitted with a mistake: it fails on every machine until its user cancels it.
+    /// Whether the job itself is faulty: its tasks fail on every machine until its user cancels it.
     pub always_fails: bool,
-    /// Another cell may own it.
+    /// Whether it is delegated to the other cell.
     pub is_delegated: bool,
-    /// Since when, in calm, nothing of it runs although a machine that fits has room and its team
-    /// is under its limit.
+    /// Since when, without any fault, no task of it has run although suitable machines have room and its
+    /// team is under its limit.
     pub waiting_since: Option<Micros>,
 }
 
@@ -142,7 +144,7 @@
     }
 }
 impl Ord for Event {
-    /// Reversed: the heap gives the greatest first, and the earliest event is due first.
+    /// Reverses the order: the heap pops the greatest element first, and the earliest event is due first.
     fn cmp(&self, other: &Event) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
@@ -150,9 +152,9 @@
 
 /// A site in virtual time: controllers, store, cloud, agents, users, and the network between them.
 pub struct Simulation {
-    /// The present time. Histories begin at 60 s.
+    /// The current time. Histories begin at 60 s.
     pub now: Micros,
-    /// The times that the settings give.
+    /// The intervals and timeouts that the settings give.
     pub times: Times,
     /// The teams and their limits.
     pub teams: Vec<TeamLimits>,
@@ -160,37 +162,39 @@
     pub store: Store,
     /// The controllers.
     pub nodes: Vec<Node>,
-    /// The machines by name, those that are gone included.
+    /// The machines by name, including those that are gone.
     pub agents: BTreeMap<String, Agent>,
     /// The jobs by id, as their users know them.
     pub jobs: BTreeMap<String, UserJob>,
-    /// Tasks whose result is kept.
+    /// The tasks of each job that have completed.
     pub completed_tasks: BTreeMap<String, BTreeSet<u32>>,
-    /// The faults that occur until the history's quiet part.
+    /// The kinds of faults that are drawn until `faults_end_at`.
     pub faults: Faults,
-    /// The two zones can't reach each other until then.
+    /// The two zones are partitioned from each other until then.
     pub zone_partition_until: Micros,
-    /// Until then no transaction of a leader is answered, and each is carried out later.
+    /// Until then no transaction of a leader is answered, and each one is applied late.
     pub delayed_writes_until: Micros,
-    /// The store's next limits, as the settings give them.
+    /// The store's next limits, as the settings announce them: bytes of a value, writes of a transaction, and
+    /// writes per second.
     pub next_store_limits: Option<(usize, usize, u32)>,
-    /// Until then every message takes a fifth of a second to more than a second.
+    /// Until then every message takes 0.2 to 1.4 s.
     pub slow_links_until: Micros,
-    /// A task that started before all jobs that its job depends on were done.
+    /// The last start of a task before all jobs that its job depends on were done.
     pub early_start: Option<InvariantViolation>,
-    /// A command that started a task after the time that a cancellation may take.
+    /// The last start of a task later after its job's cancellation than the cancellation timeout allows.
     pub late_start: Option<InvariantViolation>,
-    /// Since when nothing has been wrong with nodes, store and network.
+    /// Since when controllers, store and network have had no fault.
     pub controllers_healthy_since: Micros,
-    /// The same, machines included.
+    /// Since when controllers, store, network and machines have had no fault.
     pub site_healthy_since: Micros,
-    /// How often the leadership was given up for want of heartbeats.
+    /// How often a leader has resigned because agents' heartbeats did not reach it.
     pub resignations: u64,
-    /// Jobs that another cell has completed.
+    /// Jobs that the other cell has completed.
     pub completed_in_other_cell: BTreeSet<String>,
-    /// The most machines that the cloud has of one type, zone and kind.
+    /// The most machines that the cloud provides of one type in one zone, counted separately for spot and
+    /// on-demand machines.
     pub machine_limit: u32,
-    /// Machines that were up and reachable from somewhere when the service returned them.
+    /// How many machines were up and running tasks when the service returned them.
     pub busy_machines_returned: u64,
     /// The fingerprint of what the controllers did and answered.
     pub trace: Trace,
@@ -205,6 +209,7 @@
     faults_end_at: Micros,
 }
 
+/// The time between two ticks of controllers, agents and store.
 const TICK: Micros = Micros::from_millis(100);
 
 fn site_times() -> Times {
@@ -227,7 +232,7 @@
     }
 }
 
-fn settings(times: &Times, teams: &[TeamLimits]) -> SchedulerConfig {
+fn scheduler_config(times: &Times, teams: &[TeamLimits]) -> SchedulerConfig {
     SchedulerConfig {
         heartbeat_interval: times.heartbeat_interval,
         agent_lease: times.agent_lease,
@@ -273,11 +278,12 @@
 }
 
 impl Simulation {
-    /// A site with three nodes and no machines. From `quiet_from` on no new fault begins.
-    pub fn new(seed: u64, faults: Faults, quiet_from: Micros) -> Simulation {
+    /// Returns a site with three controllers and no machines. No new fault begins after `faults_end_at`,
+    /// which counts from the start of the history.
+    pub fn new(seed: u64, faults: Faults, faults_end_at: Micros) -> Simulation {
         let times = site_times();
         let teams = vec![team_limits("red"), team_limits("blue")];
-        let config = settings(&times, &teams);
+        let config = scheduler_config(&times, &teams);
         let node = |(name, zone): &(&str, &str)| Node::new(name, zone, config.clone());
         let nodes = CONTROLLERS.iter().map(node).collect();
         Simulation {
@@ -311,16 +317,16 @@
             queue: BinaryHeap::new(),
             next_event: 0,
             next_tick: Micros::ZERO,
-            faults_end_at: quiet_from.plus(Micros::from_secs(60)),
+            faults_end_at: faults_end_at.plus(Micros::from_secs(60)),
         }
     }
 
-    /// The machine types that the cloud offers.
+    /// Returns the machine types that the cloud offers.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// A number below `n`, drawn from the seed.
+    /// Draws a number below `n` from the seeded generator.
     pub fn random_below(&mut self, n: u64) -> u64 {
         self.rng.random_range(0..n.max(1))
     }
@@ -341,7 +347,7 @@
         Micros::from_millis(1 + self.random_below(20))
     }
 
-    /// Plays on until `until` and checks the invariants after each step.
+    /// Plays the history until `until`, counted from its start, and checks the invariants after each step.
     pub fn run(&mut self, until: Micros) -> Result<(), InvariantViolation> {
         let until = until.plus(Micros::from_secs(60));
         while self.now < until {
@@ -351,20 +357,20 @@
         Ok(())
     }
 
-    /// Adds a team; before the first step only.
+    /// Adds a team. Only allowed before the first step.
     pub fn add_team(&mut self, team: TeamLimits) {
         self.config.teams.push(team.clone());
         self.teams.push(team);
     }
 
-    /// When the next step happens.
+    /// Returns the time of the next step.
     pub fn next_step_at(&self) -> Micros {
         let event = self.queue.peek().map(|event| event.at);
         let next = event.map_or(self.next_tick, |at| at.min(self.next_tick));
         next.max(self.now)
     }
 
-    /// The next event, or the next tick of the site's clocks; then the invariants.
+    /// Plays the next event or the next tick, whichever is due first, and then checks the invariants.
     pub fn step(&mut self) -> Result<(), InvariantViolation> {
         let event = self.queue.peek().map(|event| event.at);
         match event {
@@ -400,19 +406,19 @@
         }
     }
 
-    /// The node that may answer agents, if there is one.
+    /// Returns the controller that may answer agents, if there is one.
     pub fn leader(&self) -> Option<usize> {
         self.nodes.iter().position(|node| node.may_answer(self.now))
     }
 
-    /// The fingerprint of the history so far, see [`crate::trace`].
+    /// Returns the fingerprint of the history so far, see [`crate::trace`].
     pub fn fingerprint(&self) -> u64 {
         let mut trace = self.trace;
         trace.number(self.store.trace.hash());
         trace.hash()
     }
 
-    /// Ends all faults that are drawn, and a store's outage.
+    /// Stops drawing faults and ends an outage of the store.
     pub fn heal(&mut self) {
         self.faults = Faults::default();
         self.store.is_down = false;
--- a/crates/saltpitch-testkit/src/simulation/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -1,5 +1,5 @@
-//! What users and operators see of the site: answers about jobs, and jobs that wait although machines are
-//! free.
+//! What users and operators see of the site: answers to status queries, and jobs that wait although
+//! machines have room for them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,10 +11,10 @@
 use crate::agents::Agent;
 use crate::nodes::Node;
 
-/// A machine counts as free once it has been up for this long.
+/// A machine's free resources count only after it has been up for this long.
 const SETTLED_AFTER: Micros = Micros::from_secs(10);
 
-/// What is in use and what is free, as the machines have it.
+/// The resources in use and those that are free, as seen on the machines.
 struct Usage<'a> {
     used_by_team: BTreeMap<&'a str, Resources>,
     placed_tasks: BTreeMap<&'a str, BTreeSet<u32>>,
@@ -22,14 +22,14 @@
 }
 
 impl Simulation {
-    /// Users ask about every job, and every controller that is in service has to know each of them: by
-    /// itself, or through a peer that has the store.
+    /// Queries every controller for the status of every job. Each controller in service has to know each
+    /// job, by itself or through a peer that reaches the store.
     pub(super) fn query_jobs(&mut self) {
         self.note_health();
         let now = self.now;
         for node in &mut self.nodes {
-            let awake = node.is_up(now) && node.remaining_pause(now) == Micros::ZERO;
-            if node.is_started && node.can_reach_store(&self.store, now) && awake {
+            let is_running = node.is_up(now) && node.remaining_pause(now) == Micros::ZERO;
+            if node.is_started && node.can_reach_store(&self.store, now) && is_running {
                 node.read_records(&self.store, now);
             }
         }
@@ -54,22 +54,22 @@
         self.note_started();
     }
 
-    /// Notes the last time at which something was wrong with the site.
+    /// Notes the last time at which the site had a fault or one could be drawn.
     fn note_health(&mut self) {
         let now = self.now;
         let controllers_or_store = self.has_controller_fault();
         let machines_or_links = self.has_machine_fault();
-        let faults_ahead = now < self.faults_end_at;
-        let any_drawn = faults_ahead && self.faults != Faults::default();
-        if controllers_or_store || machines_or_links || any_drawn {
+        let may_draw_faults = now < self.faults_end_at;
+        let any_fault_enabled = may_draw_faults && self.faults != Faults::default();
+        if controllers_or_store || machines_or_links || any_fault_enabled {
             self.site_healthy_since = now;
         }
-        if controllers_or_store || (faults_ahead && self.faults.has_controller_faults()) {
+        if controllers_or_store || (may_draw_faults && self.faults.has_controller_faults()) {
             self.controllers_healthy_since = now;
         }
     }
 
-    /// Whether the store, a controller or the link between the zones fails now.
+    /// Returns whether the store, a controller or the link between the zones has a fault now.
     fn has_controller_fault(&self) -> bool {
         let now = self.now;
         let is_faulty = |node: &Node| {
@@ -82,7 +82,7 @@
         self.store.is_down || now < self.zone_partition_until || self.nodes.iter().any(is_faulty)
     }
 
-    /// Whether a machine hangs or is partitioned now, or messages take long.
+    /// Returns whether a machine hangs or is partitioned now, or messages or writes are delayed.
     fn has_machine_fault(&self) -> bool {
         let now = self.now;
         let is_faulty = |agent: &Agent| {
@@ -96,7 +96,7 @@
             || self.agents.values().any(is_faulty)
     }
 
-    /// Notes which jobs run for the first time: an array with any task, the others with all of them.
+    /// Notes which jobs run for the first time: an array runs with any task, other jobs with all of them.
     fn note_started(&mut self) {
         let not_begun = self.jobs.iter().filter(|(_, job)| job.started_at.is_none());
         let ids: Vec<String> = not_begun.map(|(id, _)| id.clone()).collect();
@@ -104,27 +104,27 @@
             let running = self.running_tasks(&id) as u32;
             let now = self.now;
             if let Some(job) = self.jobs.get_mut(&id) {
-                let least = if job.spec.kind == JobKind::Array {
+                let needed = if job.spec.kind == JobKind::Array {
                     1
                 } else {
                     job.spec.tasks
                 };
-                if running >= least {
+                if running >= needed {
                     job.started_at = Some(now);
                 }
             }
         }
     }
 
-    /// Notes which jobs wait in calm although machines have room for what they need at a time.
+    /// Notes which jobs wait, without any fault, although machines have room for them.
     pub(super) fn note_waiting(&mut self) {
         let now = self.now;
-        let still = self.site_healthy_since < now;
+        let is_healthy = self.site_healthy_since < now;
         let usage = self.usage();
         let waits: Vec<(String, bool)> = self
             .jobs
             .iter()
-            .map(|(id, job)| (id.clone(), self.could_run(id, job, &usage) && still))
+            .map(|(id, job)| (id.clone(), self.could_run(id, job, &usage) && is_healthy))
             .collect();
         for (id, waits) in waits {
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -157,7 +157,7 @@
         usage
     }
 
-    /// Whether a machine is up, reachable and not about to be taken back.
+    /// Returns whether a machine is up, reachable and not about to be taken back.
     fn can_take_tasks(&self, agent: &Agent) -> bool {
         let now = self.now;
         agent.is_up(now)
@@ -167,8 +167,8 @@
             && now.since(agent.up_at) > SETTLED_AFTER
     }
 
-    /// Whether nothing of a job runs although its team is under its limit and the free machines would
-    /// take an array's next task, or all tasks of another job.
+    /// Returns whether a job has no task on a machine although its team is under its limit and the free
+    /// machines have room for the next task of an array, or for all tasks of another job.
     fn could_run(&self, id: &str, job: &UserJob, usage: &Usage) -> bool {
         let spec = &job.spec;
         let placed = usage.placed_tasks.get(id).map_or(0, BTreeSet::len) as u32;
@@ -201,7 +201,7 @@
         fitting >= wanted
     }
 
-    /// Whether a job is this cell's, active, and has all that it depends on.
+    /// Returns whether a job is in this cell and active, and all jobs that it depends on are done.
     fn is_ready(&self, id: &str, job: &UserJob) -> bool {
         let mut dependencies = job.spec.dependencies.iter();
         job.is_accepted
@@ -214,7 +214,7 @@
     }
 }
 
-/// A job's state as the trace writes it.
+/// Returns the number that stands for a job's state in the trace.
 fn state_number(state: Option<JobState>) -> u64 {
     match state {
         None => 0,
--- a/crates/saltpitch-testkit/src/simulation/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -12,7 +12,7 @@
 use super::{Simulation, UserJob};
 use crate::nodes::Node;
 
-/// What a drawn job is for.
+/// The class, kind, priority and number of tasks of a drawn job.
 struct DrawnKind {
     class: &'static str,
     kind: JobKind,
@@ -21,7 +21,8 @@
 }
 
 impl Simulation {
-    /// Submits a job through any controller that has the store; false: none has, or the job can never run.
+    /// Submits a job. Returns false if the store does not confirm it, if the job can never run, or if a job
+    /// that it depends on is unknown.
     pub fn submit(&mut self, id: &str, spec: JobSpec) -> bool {
         if spec.can_ever_run(&self.catalog, &self.teams).is_err() {
             return false;
@@ -34,7 +35,7 @@
         self.submit_record(id, record)
     }
 
-    /// Creates the record of a job; false: the store did not answer.
+    /// Creates the record of a job. Returns whether the store has it, from this call or an earlier one.
     pub fn submit_record(&mut self, id: &str, record: JobRecord) -> bool {
         let Some(spec) = record.spec.as_deref().cloned() else {
             return false;
@@ -62,14 +63,14 @@
         match outcome {
             TransactionOutcome::Committed(_) | TransactionOutcome::Conflict(_) => {
                 known.is_accepted = true;
-                self.note_withdrawn();
+                self.note_cancelled_dependents();
                 true
             }
             _ => false,
         }
     }
 
-    /// Cancels a job through a random controller that has the store. True: it is cancelled.
+    /// Cancels a job through a random controller that reaches the store. Returns whether it is cancelled.
     pub fn cancel(&mut self, id: &str) -> bool {
         let (store, now) = (&self.store, self.now);
         let serves = |node: &Node| {
@@ -87,8 +88,8 @@
             .is_some_and(|node_index| self.cancel_by(*node_index, id))
     }
 
-    /// Cancels a job as this controller does: by compare and set on its record, whose new state it knows
-    /// from then on.
+    /// Cancels a job as this controller does, by a compare-and-set on its record; the controller then knows
+    /// the new state. Returns whether the job is cancelled.
     pub fn cancel_by(&mut self, node_index: usize, id: &str) -> bool {
         let key = job_key(id);
         let Some(entry) = self.store.keys.get(&key).cloned() else {
@@ -131,16 +132,16 @@
         confirmed
     }
 
-    /// The job's record says from now on that it is cancelled, as its user asked.
+    /// Notes that a job's record now says that the job is cancelled at its user's request.
     pub fn note_cancelled(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancelled_at = Some(self.now);
         }
-        self.note_withdrawn();
+        self.note_cancelled_dependents();
     }
 
-    /// Notes which jobs are cancelled because a job that they depend on is, directly or through others.
-    fn note_withdrawn(&mut self) {
+    /// Notes which jobs are cancelled because a job that they depend on, directly or through others, is.
+    fn note_cancelled_dependents(&mut self) {
         let is_cancelled =
             |job: &UserJob| job.cancelled_at.is_some() || job.dependency_cancelled_at.is_some();
         loop {
@@ -148,17 +149,17 @@
                 let mut dependencies = job.spec.dependencies.iter();
                 dependencies.any(|id| self.jobs.get(id).is_some_and(is_cancelled))
             };
-            let withdrawn: Vec<String> = self
+            let dependents: Vec<String> = self
                 .jobs
                 .iter()
                 .filter(|(_, job)| job.is_accepted && !is_cancelled(job))
                 .filter(|(_, job)| depends_on_cancelled(job))
                 .map(|(id, _)| id.clone())
                 .collect();
-            if withdrawn.is_empty() {
+            if dependents.is_empty() {
                 return;
             }
-            for id in withdrawn {
+            for id in dependents {
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.dependency_cancelled_at = Some(self.now);
                 }
@@ -166,7 +167,7 @@
         }
     }
 
-    /// A job drawn from the seed. The draws happen in the order of the fields.
+    /// Draws a job from the seed. The draws happen in the order of the fields.
     pub fn draw_job(&mut self) -> JobSpec {
         let DrawnKind {
             class,
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Whether the store calls this job done.
+    /// Returns whether the job's record says that it is done.
     pub fn is_done(&self, id: &str) -> bool {
         self.store
             .keys
@@ -234,7 +235,7 @@
             .is_some_and(|record| record.state == JobState::Done)
     }
 
-    /// The tasks of a job that are on machines now.
+    /// Returns how many tasks of a job run on machines now.
     pub fn running_tasks(&self, id: &str) -> usize {
         self.agents
             .values()
