--- a/crates/saltpitch-testkit/src/agents.rs
+++ b/crates/saltpitch-testkit/src/agents.rs
@@ -1,4 +1,4 @@
-//! A stand-in for one machine and its agent.
+//! A simulated machine and its agent.
 
 use std::collections::BTreeMap;
 
@@ -11,32 +11,32 @@
 /// A job's id and the number of the task in it.
 pub type TaskId = (String, u32);
 
-/// A task that an agent has, running or ended.
+/// An attempt of a task on an agent, running or exited.
 #[derive(Clone, Debug)]
 pub struct AgentTask {
     /// The attempt of the task.
     pub attempt: u32,
     /// Its state, as heartbeats report it.
     pub state: TaskState,
-    /// When the present phase ends by itself.
+    /// When the current phase ends by itself; of a gang member that waits for the others, when it began to.
     pub phase_ends_at: Micros,
     /// How long it runs once it has started.
     pub run_time: Micros,
 }
 
 impl AgentTask {
-    /// Whether it has ended.
+    /// Returns whether it has exited.
     pub fn has_exited(&self) -> bool {
         matches!(self.state, TaskState::Exited { .. })
     }
 
-    /// On the machine in the sense of the invariants: it has its image and has not exited.
+    /// Returns whether the invariants count it as running: it has its image and has not exited.
     pub fn counts_as_running(&self) -> bool {
         !self.has_exited() && self.state != TaskState::Fetching
     }
 }
 
-/// One machine, its agent, and what is wrong with it.
+/// A machine, its agent and its faults.
 pub struct Agent {
     /// Its name.
     pub name: String,
@@ -44,19 +44,19 @@
     pub type_name: String,
     /// Its zone.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may take back.
     pub spot: bool,
     /// The resources that it has.
     pub size: saltpitch_core::catalog::Resources,
-    /// Its tasks take three times as long.
+    /// Whether its tasks take three times as long.
     pub is_slow: bool,
-    /// When it is up.
+    /// When it has booted.
     pub up_at: Micros,
-    /// It was returned, was taken back, or has failed for good.
+    /// Whether it was returned, was taken back, or has failed for good.
     pub is_gone: bool,
-    /// It stands still until then.
+    /// It hangs until then.
     pub hung_until: Micros,
-    /// Until then its heartbeats go out, and nothing reaches it.
+    /// Until then its heartbeats are delivered, and nothing reaches it.
     pub inbound_partition_until: Micros,
     /// Until then it opens no connection to any controller, while direct commands reach it.
     pub outbound_partition_until: Micros,
@@ -66,23 +66,23 @@
     pub sequence: u64,
     /// The highest fencing token that it has seen.
     pub fencing_token: u64,
-    /// Its lease counts from then: when the newest answered heartbeat was sent.
+    /// When its lease was last renewed: when the newest answered heartbeat was sent.
     pub lease_renewed_at: Micros,
-    /// The time that the cloud leaves it, once it is to be taken back.
+    /// How long before the cloud takes it back it was notified, once that has happened.
     pub spot_notice: Option<Micros>,
     /// Its tasks by id and attempt.
     pub tasks: BTreeMap<(TaskId, u32), AgentTask>,
-    /// The node that it heartbeats to.
+    /// The node that it sends heartbeats to.
     pub target_node: usize,
     /// When its next heartbeat is due.
     pub next_heartbeat_at: Micros,
     /// The heartbeat in flight: its sequence number and when it was sent.
     pub pending_heartbeat: Option<(u64, Micros)>,
-    /// Something has changed since the last heartbeat.
+    /// Whether something has changed since the last heartbeat.
     pub has_changes: bool,
 }
 
-/// How long an attempt runs: half to one and a half of its job's estimate; a service runs until it is stopped.
+/// Draws how long an attempt runs: 0.5 to 1.5 times its job's estimate. A service runs until it is stopped.
 fn run_time(spec: &JobSpec, random_below: &mut dyn FnMut(u64) -> u64) -> Micros {
     match spec.kind {
         JobKind::Service => Micros::from_secs(1_000_000),
@@ -91,18 +91,18 @@
 }
 
 impl Agent {
-    /// Whether it runs now.
+    /// Returns whether the machine has booted, is not gone and does not hang.
     pub fn is_up(&self, now: Micros) -> bool {
         !self.is_gone && now >= self.up_at && now >= self.hung_until
     }
 
-    /// The next heartbeat, with a sequence number of its own.
+    /// Returns the next heartbeat, with a new sequence number.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         self.newest_heartbeat()
     }
 
-    /// A copy of the newest heartbeat.
+    /// Returns a heartbeat with the newest sequence number and the current state.
     pub fn newest_heartbeat(&self) -> Heartbeat {
         Heartbeat {
             machine: self.name.clone(),
@@ -117,17 +117,17 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((id, _), h)| TaskStatus {
+                .map(|((id, _), agent_task)| TaskStatus {
                     job: id.0.clone(),
                     task: id.1,
-                    attempt: h.attempt,
-                    state: h.state,
+                    attempt: agent_task.attempt,
+                    state: agent_task.state,
                 })
                 .collect(),
         }
     }
 
-    /// Takes a fencing token; false: it is lower than one seen before.
+    /// Accepts a fencing token. Returns false if it is lower than one seen before.
     pub fn accept_token(&mut self, fencing_token: u64) -> bool {
         if fencing_token < self.fencing_token {
             return false;
@@ -139,16 +139,17 @@
         true
     }
 
+    /// Returns the resources that tasks that have not exited use.
     fn used_resources(
         &self,
         spec_of: &dyn Fn(&str) -> Option<JobSpec>,
     ) -> saltpitch_core::catalog::Resources {
         self.tasks
             .iter()
-            .filter(|(_, h)| !h.has_exited())
+            .filter(|(_, agent_task)| !agent_task.has_exited())
             .filter_map(|((id, _), _)| spec_of(&id.0))
-            .fold(Default::default(), |sum, s| {
-                saltpitch_core::catalog::Resources::plus(&sum, &s.need)
+            .fold(Default::default(), |sum, spec| {
+                saltpitch_core::catalog::Resources::plus(&sum, &spec.need)
             })
     }
 
@@ -187,7 +188,8 @@
         }
     }
 
-    /// Begins an attempt, or refuses it as a machine would: unknown job, task already here, no capacity.
+    /// Starts an attempt, or refuses it as a real agent does: unknown job, task already on the machine, or no
+    /// room.
     fn start(
         &mut self,
         key: ((String, u32), u32),
@@ -203,7 +205,7 @@
         let is_busy = self
             .tasks
             .iter()
-            .any(|((other, _), held)| other == task && !held.has_exited());
+            .any(|((other, _), agent_task)| other == task && !agent_task.has_exited());
         let (state, run) = match spec_of(&task.0) {
             None => (refused(ExitCause::NotFound), Micros::ZERO),
             Some(_) if is_busy => (refused(ExitCause::Busy), Micros::ZERO),
@@ -218,17 +220,17 @@
             Some(spec) => (TaskState::Fetching, run_time(&spec, random_below)),
         };
         let fetch = Micros::from_millis(200 + random_below(4_000));
-        let held = AgentTask {
+        let agent_task = AgentTask {
             attempt: *attempt,
             state,
             phase_ends_at: now.plus(fetch),
             run_time: run.times(if self.is_slow { 3.0 } else { 1.0 }),
         };
-        self.tasks.insert(key, held);
+        self.tasks.insert(key, agent_task);
         self.has_changes = true;
     }
 
-    /// Ends an attempt; it saves its progress first if it can and the grace period suffices.
+    /// Stops an attempt. It saves its progress first if it can and the grace period is long enough.
     fn stop(
         &mut self,
         key: &((String, u32), u32),
@@ -236,19 +238,24 @@
         grace: Micros,
         now: Micros,
     ) {
-        let Some(held) = self.tasks.get_mut(key).filter(|held| !held.has_exited()) else {
+        let Some(agent_task) = self
+            .tasks
+            .get_mut(key)
+            .filter(|agent_task| !agent_task.has_exited())
+        else {
             return;
         };
         let (task, _) = key;
         let save = spec_of(&task.0)
             .filter(JobSpec::can_save)
             .map(|spec| spec.save_time);
-        let can_save = save.is_some_and(|time| grace >= time) && held.state == TaskState::Running;
+        let can_save =
+            save.is_some_and(|time| grace >= time) && agent_task.state == TaskState::Running;
         if can_save {
-            held.state = TaskState::Saving;
-            held.phase_ends_at = now.plus(save.unwrap_or_default());
-        } else if held.state != TaskState::Saving || grace == Micros::ZERO {
-            held.state = TaskState::Exited {
+            agent_task.state = TaskState::Saving;
+            agent_task.phase_ends_at = now.plus(save.unwrap_or_default());
+        } else if agent_task.state != TaskState::Saving || grace == Micros::ZERO {
+            agent_task.state = TaskState::Exited {
                 cause: ExitCause::Stopped,
                 saved: false,
             };
@@ -256,7 +263,7 @@
         self.has_changes = true;
     }
 
-    /// The lease: without an answer in time, everything is killed and a new epoch begins.
+    /// Ends the lease if no heartbeat was answered in time: all tasks are killed and a new agent epoch begins.
     pub fn check_lease(&mut self, times: &Times, now: Micros) {
         if now.since(self.lease_renewed_at) > times.agent_lease {
             self.tasks.clear();
--- a/crates/saltpitch-testkit/src/cells.rs
+++ b/crates/saltpitch-testkit/src/cells.rs
@@ -1,8 +1,8 @@
 //! Two simulated cells on one clock, and the link between them.
 //!
-//! The cells decide by the code of `saltpitch-cells`; here its effects are carried out, with links that are cut,
-//! slow, lose answers and deliver copies late. [`Cells::step`] checks after each moment that no task is owned by
-//! both cells.
+//! The cells decide with the code of `saltpitch-cells`; this module carries out its effects over links that
+//! are partitioned or slow, lose answers and deliver delayed duplicates. [`Cells::step`] checks after each step
+//! that no task is owned by both cells.
 
 mod controller;
 mod fingerprint;
@@ -28,45 +28,45 @@
 pub use history::check_finished;
 pub use link::LinkState;
 
-use controller::Leading;
+use controller::LeaderDelegations;
 
 /// The names of the two cells.
 pub const NAMES: [&str; 2] = ["canal", "harbour"];
-/// The team of the other cell's jobs.
+/// The team to which a cell assigns the other cell's jobs.
 pub const GUEST_TEAM: &str = "guests";
 
-/// The time of day at which the cells begin.
-const START_OF_DAY: Micros = Micros::from_secs(60);
-/// How often each controller looks after its delegations.
+/// The time at which histories begin.
+const HISTORY_START: Micros = Micros::from_secs(60);
+/// How often each controller processes its delegations.
 const POLL_INTERVAL: Micros = Micros::from_millis(200);
 
-/// One cell.
+/// A cell and its link to the other one.
 pub struct Cell {
     /// Its controllers, store, cloud, agents and users.
     pub simulation: Simulation,
-    /// Its file on cells.
+    /// Its settings for cells.
     pub settings: CellsSettings,
     /// The link to the other cell.
     pub link: LinkState,
-    /// When a copy of each request is delivered again: one in so many, none for 0.
+    /// One request in this many is delivered again later; 0 means none.
     pub duplicate_one_in: u64,
-    /// Whether it listens for the other one.
+    /// Whether it accepts connections of the other cell.
     pub is_listening: bool,
-    leading: [Option<Leading>; CONTROLLERS.len()],
+    leading: [Option<LeaderDelegations>; CONTROLLERS.len()],
     admission: HostAdmission,
 }
 
 type Event = Box<dyn FnOnce(&mut Cells)>;
 
-/// Two cells.
+/// Two cells on one clock, and the links between them.
 pub struct Cells {
     /// The cells.
     pub cells: [Cell; 2],
-    /// The present time.
+    /// The current time.
     pub now: Micros,
-    /// Calls made over the links.
+    /// How many calls were made over the links.
     pub calls: u64,
-    /// What the cells' logs say of delegations.
+    /// What the cells have logged about delegations.
     pub log: Vec<String>,
     /// The fingerprint of the calls over the links and their answers.
     pub trace: Trace,
@@ -77,8 +77,8 @@
 }
 
 impl Cell {
-    fn new(cell: usize, seed: u64, faults: Faults, quiet_from: Micros) -> Cell {
-        let mut simulation = Simulation::new(seed * 2 + cell as u64, faults, quiet_from);
+    fn new(cell: usize, seed: u64, faults: Faults, faults_end_at: Micros) -> Cell {
+        let mut simulation = Simulation::new(seed * 2 + cell as u64, faults, faults_end_at);
         simulation.add_team(TeamLimits {
             name: GUEST_TEAM.to_owned(),
             cpu: 0,
@@ -96,11 +96,12 @@
             controllers: CONTROLLERS.len(),
             max_transaction_writes: 8,
         };
-        let settings = CellsSettings::parse(&settings::file(cell), &context).expect("a valid file");
+        let settings =
+            CellsSettings::parse(&settings::file(cell), &context).expect("valid settings");
         let guests = settings.neighbour[0].guests.clone();
         let admission = HostAdmission {
             cell: NAMES[1 - cell].to_owned(),
-            settings: guests.expect("jobs of the other cell are taken"),
+            settings: guests.expect("settings for jobs of the other cell"),
         };
         Cell {
             simulation,
@@ -115,12 +116,12 @@
 }
 
 impl Cells {
-    /// Two cells without machines; no new fault of a cell's own begins after `quiet_from`.
-    pub fn new(seed: u64, faults: Faults, quiet_from: Micros) -> Cells {
-        let cell = |at| Cell::new(at, seed, faults, quiet_from);
+    /// Returns two cells without machines. No new fault within a cell begins after `faults_end_at`.
+    pub fn new(seed: u64, faults: Faults, faults_end_at: Micros) -> Cells {
+        let cell = |at| Cell::new(at, seed, faults, faults_end_at);
         Cells {
             cells: [cell(0), cell(1)],
-            now: START_OF_DAY,
+            now: HISTORY_START,
             calls: 0,
             log: Vec::new(),
             trace: Trace::default(),
@@ -131,14 +132,14 @@
         }
     }
 
-    /// A number below `n`, drawn from the seed.
+    /// Draws a number below `n` from the seeded generator.
     pub fn random_below(&mut self, n: u64) -> u64 {
         self.rng.random_range(0..n.max(1))
     }
 
-    /// Plays on until `until`, in the cells' own time.
+    /// Plays the history until `until`, counted from its start.
     pub fn run(&mut self, until: Micros) -> Result<(), InvariantViolation> {
-        let until = until.plus(START_OF_DAY);
+        let until = until.plus(HISTORY_START);
         while self.now < until {
             self.step()
                 .map_err(|violation| violation.found_at(self.now))?;
@@ -146,7 +147,8 @@
         Ok(())
     }
 
-    /// The next moment of either cell or of the links; then the invariants of each cell and of both together.
+    /// Plays the next event of either cell or of the links, and then checks the invariants of that cell and of
+    /// both cells together.
     pub fn step(&mut self) -> Result<(), InvariantViolation> {
         let [canal, harbour] = &self.cells;
         let next = [
--- a/crates/saltpitch-testkit/src/cells/controller.rs
+++ b/crates/saltpitch-testkit/src/cells/controller.rs
@@ -1,5 +1,5 @@
-//! The origin's side of a cell: each leading controller looks after its delegations, and their writes go to
-//! the cell's store.
+//! The origin's side of a cell: the leading controller processes its delegations, and their writes go to the
+//! cell's store.
 
 use rand::Rng;
 use saltpitch_cells::origin::{CellEffect, Delegator, RecordWrite};
@@ -9,20 +9,20 @@
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
-use super::{Cell, Cells, NAMES, START_OF_DAY};
+use super::{Cell, Cells, HISTORY_START, NAMES};
 
-/// The store refuses a transaction above its rate this soon.
+/// How long the store takes to refuse a transaction above its rate limit.
 const REFUSAL_DELAY: Micros = Micros::from_millis(5);
 /// How long a controller waits for its store's answer.
 const STORE_TIMEOUT: Micros = Micros::from_millis(1_500);
 
-/// One controller's side of its cell's delegations, while it leads.
-pub(super) struct Leading {
+/// A controller's delegations while it leads.
+pub(super) struct LeaderDelegations {
     epoch: u64,
     pub(super) delegator: Delegator,
 }
 
-/// Who asked: the cell, its controller, and the epoch.
+/// The sender of a write or a call: the cell, its controller, and the epoch.
 #[derive(Clone, Copy)]
 pub(super) struct Requester {
     pub(super) cell: usize,
@@ -30,15 +30,15 @@
     pub(super) epoch: u64,
 }
 
-/// What the network and the store make of a write.
+/// When a write is applied, and whether its answer is lost.
 struct WriteFate {
     applied_after: Micros,
     answer_lost: bool,
 }
 
 impl Cell {
-    /// The delegator that asked, if its controller still runs and leads in the same epoch.
-    pub(super) fn leading(&mut self, requester: Requester) -> Option<&mut Leading> {
+    /// Returns the delegations of the requester, if its controller is still up and leads in the same epoch.
+    pub(super) fn leading(&mut self, requester: Requester) -> Option<&mut LeaderDelegations> {
         let node = &self.simulation.nodes[requester.node];
         if node.epoch() != requester.epoch || !node.is_up(self.simulation.now) {
             return None;
@@ -49,7 +49,7 @@
 }
 
 impl Cells {
-    /// Lets a controller look after its delegations, if it leads.
+    /// Lets a controller process its delegations, if it leads.
     pub(super) fn poll(&mut self, cell: usize, node: usize) {
         let seed = self.rng.random();
         let Cell {
@@ -60,8 +60,8 @@
         } = &mut self.cells[cell];
         let (now, cancel) = (simulation.now, simulation.times.cancel_timeout);
         let process = &mut simulation.nodes[node];
-        let stands_still = !process.is_up(now) || process.remaining_pause(now) > Micros::ZERO;
-        if stands_still || !process.knows_delegations {
+        let is_halted = !process.is_up(now) || process.remaining_pause(now) > Micros::ZERO;
+        if is_halted || !process.knows_delegations {
             return;
         }
         let epoch = process.epoch();
@@ -71,13 +71,13 @@
         let current = leading[node]
             .take()
             .filter(|leading| leading.epoch == epoch);
-        let leading = leading[node].insert(current.unwrap_or_else(|| Leading {
+        let leading = leading[node].insert(current.unwrap_or_else(|| LeaderDelegations {
             epoch,
             delegator: Delegator::new(settings, cancel, seed),
         }));
         let effects = leading.delegator.poll(&mut access, now, now);
         let notices = leading.delegator.take_notices();
-        let at = now.as_secs_f64() - START_OF_DAY.as_secs_f64();
+        let at = now.as_secs_f64() - HISTORY_START.as_secs_f64();
         let lines = notices
             .iter()
             .map(|notice| format!("{at:.1} {}: {notice}", NAMES[cell]));
@@ -91,27 +91,27 @@
         }
     }
 
-    /// A transaction may be refused, carried out late, or lose its answer.
+    /// Sends a write to the store, which may refuse it or apply it late; its answer may be lost.
     fn write(&mut self, requester: Requester, write: RecordWrite) {
         let cell = &self.cells[requester.cell];
         let reaches_store = cell.serves(requester.node);
         let losses = cell.simulation.faults.lost_answers;
         if !reaches_store || (losses && self.random_below(20) == 0) {
             return self.schedule_after(REFUSAL_DELAY, move |cells| {
-                cells.written(requester, &write, TransactionOutcome::Unavailable);
+                cells.write_answered(requester, &write, TransactionOutcome::Unavailable);
             });
         }
         let fate = self.draw_write_fate(requester.cell);
         if fate.answer_lost {
             let write = write.clone();
             self.schedule_after(STORE_TIMEOUT, move |cells| {
-                cells.written(requester, &write, TransactionOutcome::Unknown);
+                cells.write_answered(requester, &write, TransactionOutcome::Unknown);
             });
         }
         self.schedule_after(fate.applied_after, move |cells| {
             let outcome = cells.cells[requester.cell].apply(&write);
             if !fate.answer_lost {
-                cells.written(requester, &write, outcome);
+                cells.write_answered(requester, &write, outcome);
             }
         });
     }
@@ -132,8 +132,13 @@
         }
     }
 
-    /// The controller takes in the outcome of its write.
-    fn written(&mut self, requester: Requester, write: &RecordWrite, outcome: TransactionOutcome) {
+    /// Passes the outcome of a write to the controller that sent it.
+    fn write_answered(
+        &mut self,
+        requester: Requester,
+        write: &RecordWrite,
+        outcome: TransactionOutcome,
+    ) {
         let Cell {
             simulation,
             leading,
@@ -165,7 +170,7 @@
 }
 
 impl Cell {
-    /// The store applies a write.
+    /// Lets the store apply a write.
     fn apply(&mut self, write: &RecordWrite) -> TransactionOutcome {
         let change = Write {
             key: job_key(&write.job),
--- a/crates/saltpitch-testkit/src/cells/fingerprint.rs
+++ b/crates/saltpitch-testkit/src/cells/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The fingerprint of two cells: what both did, and what went over the links between them.
+//! The fingerprint of two cells: what both did, and the calls over the links between them.
 
 use saltpitch_cells::link::{HostStatus, LinkAnswer, LinkRequest};
 
@@ -6,7 +6,7 @@
 use crate::trace::Trace;
 
 impl Cells {
-    /// The fingerprint of both cells and of the links between them.
+    /// Returns the fingerprint of both cells and of the links between them.
     pub fn fingerprint(&self) -> u64 {
         let mut trace = self.trace;
         for cell in &self.cells {
@@ -33,7 +33,7 @@
     };
 }
 
-/// Records an answer as the cell that asked takes it.
+/// Records an answer as the calling cell receives it.
 pub(super) fn trace_answer(trace: &mut Trace, answer: &LinkAnswer) {
     match answer {
         LinkAnswer::Ready => trace.number(200),
--- a/crates/saltpitch-testkit/src/cells/history.rs
+++ b/crates/saltpitch-testkit/src/cells/history.rs
@@ -10,7 +10,7 @@
 use crate::invariants::{Invariant, InvariantViolation};
 use crate::simulation::Simulation;
 
-/// The first broken invariant of those that concern both cells.
+/// Checks the invariants that concern both cells and returns the first violation.
 pub(super) fn check(cells: &mut Cells) -> Result<(), InvariantViolation> {
     for origin in 0..2 {
         let delegated_ids = find_delegated_ids(cells, origin);
@@ -20,9 +20,9 @@
             0 => (&canal.simulation, &harbour.simulation),
             _ => (&harbour.simulation, &canal.simulation),
         };
-        owners(here, there, &delegated_ids)?;
-        cancellations(here, there, &delegated_ids)?;
-        completions(here, there, &delegated_ids)?;
+        check_owners(here, there, &delegated_ids)?;
+        check_cancellations(here, there, &delegated_ids)?;
+        check_completions(here, there, &delegated_ids)?;
     }
     Ok(())
 }
@@ -31,7 +31,7 @@
     Err(InvariantViolation::new(invariant, text).of_job(job))
 }
 
-/// The ids under which the host has had each of the origin's jobs.
+/// Returns the ids under which the host has had each of the origin's jobs.
 fn find_delegated_ids(cells: &Cells, origin: usize) -> BTreeMap<String, Vec<String>> {
     let prefix = format!("{}.", NAMES[origin]);
     let mut delegated_ids: BTreeMap<String, Vec<String>> = BTreeMap::new();
@@ -56,8 +56,8 @@
     serde_json::from_str(&entry.value).ok()
 }
 
-/// The tasks of a job that a machine has and that have not ended.
-fn held(simulation: &Simulation, id: &str) -> BTreeSet<u32> {
+/// Returns the tasks of a job that are on a machine and have not exited.
+fn tasks_on_machines(simulation: &Simulation, id: &str) -> BTreeSet<u32> {
     let machines = simulation
         .agents
         .values()
@@ -69,7 +69,8 @@
         .collect()
 }
 
-/// The origin's invariants take a job for done only if the host's agents have completed all of it.
+/// Notes which delegated jobs the host's agents have completed. The origin's invariants accept such a job as
+/// done only after that.
 fn note_completions(
     cells: &mut Cells,
     origin: usize,
@@ -99,25 +100,30 @@
     }
 }
 
-/// A job that origin may place is not one that the host may start or that its machines still have.
-fn owners(
+/// Checks that the host may neither start a job that the origin may place, nor have tasks of it on machines.
+fn check_owners(
     here: &Simulation,
     there: &Simulation,
     delegated_ids: &BTreeMap<String, Vec<String>>,
 ) -> Result<(), InvariantViolation> {
     for (job, ids) in delegated_ids {
-        let running = held(here, job);
+        let running = tasks_on_machines(here, job);
         let own = record(here, job)
             .is_some_and(|record| record.state == JobState::Active && !record.is_delegated());
         for id in ids {
-            let there_too: Vec<u32> = held(there, id).intersection(&running).copied().collect();
+            let there_too: Vec<u32> = tasks_on_machines(there, id)
+                .intersection(&running)
+                .copied()
+                .collect();
             if !there_too.is_empty() {
-                let text = format!("{job} and {id}, tasks {there_too:?}");
+                let text = format!(
+                    "tasks {there_too:?} run as {job} at the origin and as {id} at the host"
+                );
                 return violation(Invariant::DuplicateExecution, job, text);
             }
             let may_start =
                 record(there, id).is_some_and(|delegated| delegated.state == JobState::Active);
-            if own && (may_start || !held(there, id).is_empty()) {
+            if own && (may_start || !tasks_on_machines(there, id).is_empty()) {
                 return violation(
                     Invariant::DuplicateOwnership,
                     job,
@@ -129,16 +135,16 @@
             record(there, id).is_some_and(|delegated| delegated.state == JobState::Active)
         };
         if ids.iter().filter(active).count() > 1 {
-            let text = format!("{job} by two delegations, {ids:?}");
+            let text = format!("{job} is owned by two delegations of {ids:?}");
             return violation(Invariant::DuplicateOwnership, job, text);
         }
     }
     Ok(())
 }
 
-/// A job whose cancellation was confirmed to its user leaves the host's machines within the origin's
-/// cancellation time.
-fn cancellations(
+/// Checks that a job whose cancellation was confirmed to its user is gone from the host's machines within the
+/// origin's cancellation timeout.
+fn check_cancellations(
     here: &Simulation,
     there: &Simulation,
     delegated_ids: &BTreeMap<String, Vec<String>>,
@@ -149,7 +155,11 @@
             continue;
         };
         let late = here.now.since(confirmed_at) > here.times.cancel_timeout;
-        if late && ids.iter().any(|id| !held(there, id).is_empty()) {
+        if late
+            && ids
+                .iter()
+                .any(|id| !tasks_on_machines(there, id).is_empty())
+        {
             return violation(
                 Invariant::RunsAfterCancellation,
                 job,
@@ -160,10 +170,10 @@
     Ok(())
 }
 
-/// A job that is done on record in one cell is not done again in the other, nor owned by it. Single tasks may
-/// complete in both: what a machine has completed and never sent a heartbeat is lost with that machine, as
-/// within one cell.
-fn completions(
+/// Checks that a job that is done on record in one cell is not done again in the other, nor owned by it.
+/// Single tasks may complete in both: a task that a machine completed but did not report in a heartbeat is lost
+/// with that machine, as within one cell.
+fn check_completions(
     here: &Simulation,
     there: &Simulation,
     delegated_ids: &BTreeMap<String, Vec<String>>,
@@ -186,7 +196,7 @@
     Ok(())
 }
 
-/// At the end each accepted job is done or cancelled, services aside; says which is not.
+/// Checks at the end of a history that each accepted job except services is done or cancelled.
 pub fn check_finished(cells: &Cells) -> Result<(), InvariantViolation> {
     for (cell, name) in cells.cells.iter().zip(NAMES) {
         let own = cell
@@ -203,7 +213,7 @@
                 None => JobState::Done,
             };
             if state != Some(expected) {
-                let text = format!("{id} should be {expected:?}: {record:?}");
+                let text = format!("{id} should be {expected:?}, its record is {record:?}");
                 let violation = InvariantViolation::new(Invariant::Unfinished, text);
                 return Err(violation.of_job(id).in_cell(name));
             }
--- a/crates/saltpitch-testkit/src/cells/host.rs
+++ b/crates/saltpitch-testkit/src/cells/host.rs
@@ -1,4 +1,4 @@
-//! The host's side of a simulated cell: it serves the peer cell as the program's listener does.
+//! The host's side of a simulated cell: it answers the peer cell as the program's listener does.
 
 use saltpitch_cells::host::{Admission, HostLimits};
 use saltpitch_cells::link::{HostStatus, LinkAnswer, LinkRequest, Refusal, Submission};
@@ -10,22 +10,22 @@
 use crate::simulation::Simulation;
 
 impl Cell {
-    /// Whether this controller runs and reaches its store.
+    /// Returns whether this controller is up and reaches its store.
     pub(super) fn serves(&self, node: usize) -> bool {
         let Simulation {
             nodes, store, now, ..
         } = &self.simulation;
         let node = &nodes[node];
-        let runs =
+        let is_running =
             node.is_up(*now) && node.is_started && node.remaining_pause(*now) == Micros::ZERO;
-        runs && node.controller.is_synced() && node.can_reach_store(store, *now)
+        is_running && node.controller.is_synced() && node.can_reach_store(store, *now)
     }
 
-    /// Serves a peer cell's request as the program does; `None`: the connection is refused.
+    /// Answers a peer cell's request as the program does. Returns `None` if the connection is refused.
     pub(super) fn serve(&mut self, node: usize, request: &LinkRequest) -> Option<LinkAnswer> {
-        let up = self.simulation.nodes[node].is_up(self.simulation.now)
+        let is_up = self.simulation.nodes[node].is_up(self.simulation.now)
             && self.simulation.nodes[node].is_started;
-        if !up || !self.is_listening {
+        if !is_up || !self.is_listening {
             return None;
         }
         if !self.serves(node) {
--- a/crates/saltpitch-testkit/src/cells/link.rs
+++ b/crates/saltpitch-testkit/src/cells/link.rs
@@ -1,5 +1,5 @@
-//! The link between the cells and its faults: calls are refused, held back, slow, lose their answers, or
-//! arrive twice.
+//! The link between the cells and its faults: calls are refused, held back, slow or duplicated, or their
+//! answers are lost.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -14,27 +14,28 @@
 /// How long a controller waits for the answer to a call.
 const CALL_TIMEOUT: Micros = Micros::from_secs(2);
 
-/// What is wrong with the link from one cell to the other.
+/// The state of the link from one cell to the other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
-    /// Nothing.
+    /// No fault.
     #[default]
     Up,
     /// Connections are refused.
     RefusesConnections,
-    /// What is sent is held and delivered when the link works again.
+    /// Requests are held back and delivered when the link is up again.
     HoldsMessages,
-    /// Requests arrive, answers don't.
+    /// Requests arrive, answers are lost.
     LosesAnswers,
     /// Answers take up to several seconds.
     Slow,
-    /// Says that connections are refused and delivers later nevertheless, which no network does: for tests
-    /// of the invariants.
+    /// The caller is told that the connection was refused, yet the request is delivered later. No network does
+    /// this; it serves tests of the invariants.
     ReportsFalseRefusal,
 }
 
 impl Cells {
-    /// Sets the state of the link from one cell to the other. What was held is delivered when it works.
+    /// Sets the state of the link from one cell to the other. Requests that were held back are delivered when
+    /// the link is up again, slow or not.
     pub fn set_link(&mut self, cell: usize, state: LinkState) {
         self.cells[cell].link = state;
         if matches!(state, LinkState::Up | LinkState::Slow) {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// A controller calls a listener of the other cell.
+    /// Sends a controller's call to a listener of the other cell.
     pub(super) fn call(&mut self, requester: Requester, call: LinkCall) {
         self.calls += 1;
         let at = self.now;
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Holds a call back until the link works; its controller is given this answer meanwhile.
+    /// Holds a call back until the link is up again. Its controller gets this answer in the meantime.
     fn hold_call(&mut self, requester: Requester, node: usize, call: LinkCall, answer: LinkAnswer) {
         let (host, id) = (1 - requester.cell, call.id);
         let arrives = move |cells: &mut Cells| {
@@ -91,7 +92,7 @@
         let (host, id) = (1 - requester.cell, call.id);
         let answer = self.cells[host].serve(node, &call.request);
         if answer.is_some() {
-            self.copy_later(requester.cell, node, call.request);
+            self.duplicate_later(requester.cell, node, call.request);
         }
         let answer = answer.unwrap_or(LinkAnswer::NotSent);
         let wait = match self.cells[requester.cell].link {
@@ -110,20 +111,19 @@
         });
     }
 
-    /// A copy of a request that has arrived may arrive again. Of one whose connection was refused there is
-    /// none.
-    fn copy_later(&mut self, origin: usize, node: usize, request: LinkRequest) {
+    /// May deliver a duplicate of a request that has arrived. A request whose connection was refused has none.
+    fn duplicate_later(&mut self, origin: usize, node: usize, request: LinkRequest) {
         let copies = self.cells[origin].duplicate_one_in;
         if copies == 0 || self.random_below(copies) > 0 {
             return;
         }
-        let late = Micros::from_millis(500 + self.random_below(60_000));
-        self.schedule_after(late, move |cells| {
+        let delay = Micros::from_millis(500 + self.random_below(60_000));
+        self.schedule_after(delay, move |cells| {
             cells.cells[1 - origin].serve(node, &request);
         });
     }
 
-    /// The controller that called takes in the answer.
+    /// Passes an answer to the controller that made the call.
     fn answered(&mut self, requester: Requester, id: u64, answer: LinkAnswer) {
         let at = self.now;
         self.trace.event("answer", at).number(requester.cell as u64);
--- a/crates/saltpitch-testkit/src/cells/settings.rs
+++ b/crates/saltpitch-testkit/src/cells/settings.rs
@@ -3,16 +3,16 @@
 use super::{GUEST_TEAM, NAMES};
 use crate::nodes::CONTROLLERS;
 
-/// The ports of the listeners begin with these.
+/// The first port of each cell's listeners.
 pub(super) const FIRST_PORT: [u16; 2] = [9_100, 9_200];
 
-/// The listeners' address of one controller, as the file writes it.
+/// Returns the address of one controller's listener as the settings file writes it.
 fn address(cell: usize, node: usize) -> String {
     let port = FIRST_PORT[cell] + node as u16;
     format!("\"127.0.0.1:{port}\"")
 }
 
-/// A cell's file: each cell delegates jobs to the other one and hosts the other one's.
+/// Returns a cell's settings file. Each cell delegates jobs to the other one and hosts the other one's jobs.
 pub(super) fn file(cell: usize) -> String {
     let other = 1 - cell;
     let addresses: Vec<String> = (0..CONTROLLERS.len())
--- a/crates/saltpitch-testkit/src/histories.rs
+++ b/crates/saltpitch-testkit/src/histories.rs
@@ -8,18 +8,18 @@
 use crate::invariants::{Invariant, InvariantViolation};
 use crate::simulation::{Faults, Simulation};
 
-/// The cell whose jobs are delegated.
+/// The cell that delegates its jobs.
 pub const ORIGIN: usize = 0;
-/// The cell that runs them.
+/// The cell that runs delegated jobs.
 pub const HOST: usize = 1;
 
-/// A span of whole seconds.
+/// Returns a duration of whole seconds.
 pub fn seconds(n: u64) -> Micros {
     Micros::from_secs(n)
 }
 
-/// Plays a history: jobs come for `busy` seconds, some are cancelled, troubles end with them; then
-/// the site has `calm` seconds to complete what it accepted.
+/// Plays a history of one site. Jobs are submitted for `busy` seconds, some of them are cancelled, and faults
+/// occur; then the site has `calm` seconds without faults to complete the accepted jobs.
 pub fn play(
     seed: u64,
     faults: Faults,
@@ -32,7 +32,7 @@
         simulation.run(seconds(number * 4))?;
         let id = format!("job-{seed:03}{number:04}");
         let mut spec = simulation.draw_job();
-        // Some need jobs that came before, in whatever state those are.
+        // Some jobs depend on earlier ones, whatever state those are in.
         if spec.kind != JobKind::Service && simulation.random_below(3) == 0 {
             for _ in 0..1 + simulation.random_below(2) {
                 let at = simulation.random_below(ids.len() as u64) as usize;
@@ -43,7 +43,7 @@
         }
         simulation.submit(&id, spec);
         ids.push(id);
-        // Repeats and cancellations of whatever came before.
+        // A random earlier job is cancelled or submitted again.
         let at = simulation.random_below(ids.len() as u64) as usize;
         let old = ids[at].clone();
         match simulation.random_below(4) {
@@ -63,8 +63,8 @@
         simulation.submit(id, spec);
     }
     simulation.run(seconds(busy + calm / 2))?;
-    // Services end when their users say so; until then they may hold a team's whole limit. So do
-    // jobs that fail everywhere.
+    // Services, and jobs that fail on every machine, end only when their users cancel them; until then they
+    // may use a team's whole limit.
     for id in &ids {
         let job = &simulation.jobs[id];
         if job.spec.kind == JobKind::Service || job.always_fails {
@@ -75,7 +75,7 @@
     Ok(simulation)
 }
 
-/// What was accepted must have completed once the faults are over, and what was cancelled must have ended.
+/// Checks that every accepted job has completed once the faults are over, and that no cancelled job runs.
 pub fn check_completed(simulation: &Simulation) -> Result<(), InvariantViolation> {
     let violation = |id: &str, text| {
         let violation = InvariantViolation::new(Invariant::Unserved, text);
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-/// A batch job of `tasks` tasks of two processors, running for about `run` seconds.
+/// Returns a batch job of `tasks` tasks with two processors each, which run for about `run` seconds.
 pub fn batch_job(cells: &mut Cells, tasks: u32, run: u64) -> JobSpec {
     let drawn = cells.cells[ORIGIN].simulation.draw_job();
     JobSpec {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Services that keep so many machines of this cell up, each with room for one task of a batch job.
+/// Submits services that keep this many machines of a cell up, each with room for one task of a batch job.
 pub fn keep_machines(cells: &mut Cells, cell: usize, machines: u64) {
     for i in 0..machines {
         let mut spec = JobSpec {
@@ -148,7 +148,7 @@
     }
 }
 
-/// One history with everything at random.
+/// Plays a history of two cells in which jobs, cancellations, capacity and the states of the links are drawn.
 pub fn play_cells(seed: u64, faults: Faults) -> Result<Cells, InvariantViolation> {
     let mut cells = Cells::new(seed, faults, seconds(240));
     for cell in [ORIGIN, HOST] {
@@ -157,7 +157,7 @@
     }
     for i in 0..80u64 {
         cells.run(seconds(i * 3))?;
-        // One cell is short of machines, then the other.
+        // The two cells take turns being short of machines.
         let short = usize::from(i / 20 % 2 == 1);
         cells.cells[short].simulation.machine_limit = cells.random_below(2) as u32;
         cells.cells[1 - short].simulation.machine_limit = 2;
--- a/crates/saltpitch-testkit/src/invariants.rs
+++ b/crates/saltpitch-testkit/src/invariants.rs
@@ -15,32 +15,33 @@
 
 pub use violation::{Invariant, InvariantViolation};
 
-/// How long, in calm, a job may wait while a machine has room for it.
+/// How long, without any fault, a job may wait while machines have room for it.
 pub const MAX_WAIT_WITH_ROOM: Micros = Micros::from_secs(90);
 
-/// How soon the largest jobs have to begin.
+/// How long the largest jobs of a class may wait for their start.
 pub const MAX_START_WAIT_OF_LARGEST: Micros = Micros::from_secs(240);
 
-/// How long, in calm, a controller in service may be unable to answer a question about a job.
+/// How long, without a fault of controllers, store or network, a controller may be unable to answer a status
+/// query about a job.
 const ANSWER_WITHIN: Micros = Micros::from_secs(75);
 
-/// The tasks on machines, as far as the check has come.
+/// The running tasks that the check has seen so far.
 #[derive(Default)]
 struct RunningTasks<'a> {
     machine_of: BTreeMap<(&'a str, u32), &'a str>,
     used_by_team: BTreeMap<&'a str, Resources>,
 }
 
-/// The first invariant that the simulation breaks as it stands.
+/// Checks all invariants on the current state and returns the first violation.
 pub fn check(simulation: &Simulation) -> Result<(), InvariantViolation> {
     let mut running = RunningTasks::default();
     for agent in simulation.agents.values().filter(|agent| !agent.is_gone) {
-        for ((id, _), held) in agent
+        for ((id, _), agent_task) in agent
             .tasks
             .iter()
-            .filter(|(_, held)| held.counts_as_running())
+            .filter(|(_, agent_task)| agent_task.counts_as_running())
         {
-            check_task(simulation, &mut running, agent, id, held)?;
+            check_task(simulation, &mut running, agent, id, agent_task)?;
         }
     }
     for violation in [&simulation.early_start, &simulation.late_start] {
@@ -59,7 +60,7 @@
     running: &mut RunningTasks<'a>,
     agent: &'a Agent,
     (job_id, task): &'a TaskId,
-    held: &AgentTask,
+    agent_task: &AgentTask,
 ) -> Result<(), InvariantViolation> {
     let violation = |invariant: Invariant, text: String| {
         let violation = InvariantViolation::new(invariant, text);
@@ -67,24 +68,29 @@
     };
     let machine = &agent.name;
     if let Some(other) = running.machine_of.insert((job_id, *task), machine) {
-        let attempt = held.attempt;
-        let text = format!("{job_id}/{task} attempt {attempt} on {machine} and {other}");
+        let attempt = agent_task.attempt;
+        let text = format!("{job_id}/{task} attempt {attempt} runs on {machine} and on {other}");
         return violation(Invariant::DuplicateExecution, text);
     }
     let Some(job) = simulation.jobs.get(job_id) else {
         return violation(Invariant::UnknownJob, format!("{job_id} on {machine}"));
     };
     if !job.spec.allows(&agent.type_name, &agent.zone, agent.spot) {
-        let text = format!("{job_id}/{task} on {machine}");
+        let (type_name, zone) = (&agent.type_name, &agent.zone);
+        let text = format!(
+            "{job_id}/{task} runs on {machine} ({type_name} in {zone}), which the job does not allow"
+        );
         return violation(Invariant::PlacementConstraint, text);
     }
     let used = running.used_by_team.entry(&job.spec.team).or_default();
     *used = used.plus(&job.spec.need);
-    // On a machine that hangs as well: it may go on with the task when it resumes.
+    // Tasks on a machine that hangs count as well: they may continue when it resumes.
     let cancelled_for = job.cancelled_at.map(|at| simulation.now.since(at));
     if let Some(late) = cancelled_for.filter(|late| *late > simulation.times.cancel_timeout) {
         let late = late.as_secs_f64();
-        let text = format!("{job_id}/{task} on {machine} {late:.1} s after");
+        let text = format!(
+            "{job_id}/{task} still runs on {machine} {late:.1} s after the job's cancellation"
+        );
         return violation(Invariant::RunsAfterCancellation, text);
     }
     Ok(())
@@ -94,7 +100,7 @@
     for team in &simulation.teams {
         let used = running.used_by_team.get(team.name.as_str());
         if let Some(used) = used.filter(|used| !team.allows(used)) {
-            let text = format!("{} uses {used:?}", team.name);
+            let text = format!("team {} uses more than its limit: {used:?}", team.name);
             return Err(InvariantViolation::new(Invariant::QuotaExceeded, text));
         }
     }
@@ -107,7 +113,7 @@
         for ((id, _), _) in agent
             .tasks
             .iter()
-            .filter(|(_, held)| held.counts_as_running())
+            .filter(|(_, agent_task)| agent_task.counts_as_running())
         {
             let zones = by_job.entry(&id.0).or_default();
             *zones.entry(&agent.zone).or_default() += 1;
@@ -116,12 +122,12 @@
     for (id, zones) in by_job {
         let spec = &simulation.jobs[id].spec;
         let text = if spec.one_zone && zones.len() > 1 {
-            format!("{id} in {zones:?}")
+            format!("{id} is bound to one zone but runs in several: {zones:?}")
         } else if zones
             .values()
             .any(|tasks| *tasks > spec.max_tasks_per_zone())
         {
-            format!("{id} not spread: {zones:?}")
+            format!("{id} is not spread over the zones: {zones:?}")
         } else {
             continue;
         };
@@ -130,8 +136,8 @@
     Ok(())
 }
 
-/// A job's answers and record. Once all faults are over, every controller answers questions about every
-/// accepted job.
+/// Checks the status answers about a job and its record. Once all faults are over, every controller answers
+/// status queries about every accepted job.
 fn check_job(simulation: &Simulation, id: &str, job: &UserJob) -> Result<(), InvariantViolation> {
     let violation = |invariant, text| Err(InvariantViolation::new(invariant, text).of_job(id));
     let can_run = job
@@ -140,7 +146,7 @@
     if job.is_accepted && can_run.is_err() {
         return violation(
             Invariant::ImpossibleJobAccepted,
-            format!("{id} can never run"),
+            format!("{id} was accepted but can never run"),
         );
     }
     if let Some(since) = job.waiting_since {
@@ -148,20 +154,24 @@
             .now
             .since(since.max(simulation.site_healthy_since));
         if waited > MAX_WAIT_WITH_ROOM {
-            return violation(Invariant::Starvation, format!("{id} beside room that fits"));
+            let waited = waited.as_secs_f64();
+            let text = format!("{id} has waited for {waited:.0} s while machines have room for it");
+            return violation(Invariant::Starvation, text);
         }
     }
     if job.is_accepted {
         for (node, answered_at) in simulation.nodes.iter().zip(&job.last_answered_at) {
             let since = (*answered_at).max(simulation.controllers_healthy_since);
             if simulation.now.since(since) > ANSWER_WITHIN {
-                return violation(Invariant::JobLost, format!("{id} by {}", node.name));
+                let text = format!("{} can't answer a status query about {id}", node.name);
+                return violation(Invariant::JobLost, text);
             }
         }
     }
     let Some(entry) = simulation.store.keys.get(&job_key(id)) else {
         if job.is_accepted {
-            return violation(Invariant::JobLost, id.to_owned());
+            let text = format!("{id} was accepted but has no record in the store");
+            return violation(Invariant::JobLost, text);
         }
         return Ok(());
     };
@@ -170,18 +180,19 @@
         Err(error) => {
             return violation(
                 Invariant::UnreadableRecord,
-                format!("{id}: unreadable: {error}"),
+                format!("the record of {id} is unreadable: {error}"),
             );
         }
     };
     if let Some(at) = job.dependency_cancelled_at {
-        check_withdrawn(simulation, id, at)?;
+        check_dependent_cancelled(simulation, id, at)?;
     }
     check_state(simulation, id, job, record.state)
 }
 
-/// A job that depends on a cancelled one is cancelled for every controller that can read the records.
-fn check_withdrawn(
+/// Checks that a job that depends on a cancelled one is cancelled in every controller whose records are
+/// current.
+fn check_dependent_cancelled(
     simulation: &Simulation,
     id: &str,
     at: Micros,
@@ -193,18 +204,20 @@
             && node.controller.is_synced()
             && node.records().revision == simulation.store.revision;
         if knows && node.records().job_state(id) != Some(JobState::Cancelled) {
-            return violation(format!("{id} by {}", node.name));
+            let text = format!("{id} depends on a cancelled job and is not cancelled");
+            return violation(format!("{text} in the records of {}", node.name));
         }
     }
     if simulation.now.since(at) > simulation.times.cancel_timeout
         && simulation.running_tasks(id) > 0
     {
-        return violation(format!("{id} still runs"));
+        let text = format!("{id} depends on a cancelled job and still runs");
+        return violation(text);
     }
     Ok(())
 }
 
-/// What a job's record says agrees with what its tasks and its user did.
+/// Checks that the state in a job's record agrees with what its tasks and its user did.
 fn check_state(
     simulation: &Simulation,
     id: &str,
@@ -224,31 +237,31 @@
             if done < tasks {
                 return violation(
                     Invariant::DoneWithoutResults,
-                    format!("{id} with {done} of {tasks}"),
+                    format!("{id} is done on record with {done} of {tasks} tasks completed"),
                 );
             }
             if is_cancelled {
-                let text = format!("{id} was cancelled, now done");
+                let text = format!("{id} was cancelled and is now done");
                 return violation(Invariant::StateReverted, text);
             }
             Ok(())
         }
         JobState::Cancelled if !is_cancelled => {
-            let text = format!("{id} is cancelled by nobody");
+            let text = format!("{id} is cancelled although nobody cancelled it");
             violation(Invariant::StateReverted, text)
         }
         JobState::Active if job.cancelled_at.is_some() => {
-            let text = format!("{id} was cancelled, now active");
+            let text = format!("{id} was cancelled and is now active");
             violation(Invariant::StateReverted, text)
         }
         _ => Ok(()),
     }
 }
 
-/// A history as a whole: of each class, of each team and of each class's largest jobs at least half
-/// is served, and the largest begin within four minutes. The largest are the largest tenth of a
-/// class by tasks, at least one. Served is: an array or a gang is done, a service ran whole. Jobs
-/// that were cancelled, or fail everywhere, don't count.
+/// Checks a whole history: of each class, of each team and of each class's largest jobs at least half are
+/// served, and the largest start within four minutes. The largest are the tenth of a class with the most
+/// tasks, at least one job. An array or a gang is served when it is done, a service when all of its tasks
+/// have run at the same time. Jobs that were cancelled, or that fail on every machine, don't count.
 pub fn check_served(simulation: &Simulation) -> Result<(), InvariantViolation> {
     let mut groups = group_jobs(simulation);
     for (name, mut largest) in groups.clone() {
@@ -258,7 +271,7 @@
         largest.sort_by_key(|(_, job)| Reverse(job.spec.tasks));
         largest.truncate(largest.len().div_ceil(10));
         for (id, job) in &largest {
-            check_begun(simulation, &name, id, job)?;
+            check_started(simulation, &name, id, job)?;
         }
         groups.insert(format!("largest of {name}"), largest);
     }
@@ -269,22 +282,22 @@
         };
         let served = jobs.iter().filter(is_served).count();
         if served * 2 < jobs.len() {
-            let text = format!("{name}: {served} of {} served", jobs.len());
+            let text = format!("{name}: {served} of {} jobs are served", jobs.len());
             return Err(InvariantViolation::new(Invariant::Unserved, text));
         }
     }
     Ok(())
 }
 
-/// The jobs that count, by class and by team.
+/// Groups the jobs that count by class and by team.
 fn group_jobs(simulation: &Simulation) -> BTreeMap<String, Vec<(&str, &UserJob)>> {
     let mut groups: BTreeMap<String, Vec<(&str, &UserJob)>> = BTreeMap::new();
     for (id, job) in &simulation.jobs {
         let JobSpec { class, team, .. } = &job.spec;
-        // Spread over zones and bound to one, a job can't run whole.
-        let impossible = job.spec.spread && job.spec.zone.is_some() && job.spec.tasks > 1;
+        // A job that is spread over zones and bound to one zone can't run all of its tasks.
+        let is_impossible = job.spec.spread && job.spec.zone.is_some() && job.spec.tasks > 1;
         let is_cancelled = job.cancelled_at.or(job.dependency_cancelled_at).is_some();
-        if job.is_accepted && !job.always_fails && !impossible && !is_cancelled {
+        if job.is_accepted && !job.always_fails && !is_impossible && !is_cancelled {
             for name in [format!("class {class}"), format!("team {team}")] {
                 groups.entry(name).or_default().push((id, job));
             }
@@ -293,18 +306,18 @@
     groups
 }
 
-fn check_begun(
+fn check_started(
     simulation: &Simulation,
     group: &str,
     id: &str,
     job: &UserJob,
 ) -> Result<(), InvariantViolation> {
-    let begun_at = job.started_at.unwrap_or(simulation.now);
-    let waited = begun_at.since(job.submitted_at);
+    let started_at = job.started_at.unwrap_or(simulation.now);
+    let waited = started_at.since(job.submitted_at);
     if waited <= MAX_START_WAIT_OF_LARGEST {
         return Ok(());
     }
     let (tasks, waited) = (job.spec.tasks, waited.as_secs_f64());
-    let text = format!("{id} ({group}, {tasks} tasks) waited {waited:.0} s");
+    let text = format!("{id} ({group}, {tasks} tasks) waited {waited:.0} s for its start");
     Err(InvariantViolation::new(Invariant::Unserved, text).of_job(id))
 }
--- a/crates/saltpitch-testkit/src/invariants/violation.rs
+++ b/crates/saltpitch-testkit/src/invariants/violation.rs
@@ -1,23 +1,23 @@
-//! What a broken invariant is reported as.
+//! Reports of broken invariants.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
 
 use saltpitch_core::Micros;
 
-/// Simulations begin at this time of day; reports count from it.
-const START_OF_DAY: Micros = Micros::from_secs(60);
+/// Histories begin at this time; reports count from it.
+const HISTORY_START: Micros = Micros::from_secs(60);
 
 /// An invariant of the protocol or of a whole history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// At most one machine has a task at a time, in one cell or two.
+    /// At most one machine runs a task at a time, in one cell or in two.
     DuplicateExecution,
-    /// Machines have tasks of submitted jobs only.
+    /// Machines run tasks of submitted jobs only.
     UnknownJob,
     /// Tasks run on the machine types and in the zones that their job allows.
     PlacementConstraint,
-    /// A cancelled job leaves all machines within the cancellation time.
+    /// No task of a cancelled job runs later than the cancellation timeout.
     RunsAfterCancellation,
     /// A task starts after all jobs that its job depends on are done.
     StartBeforeDependencies,
@@ -25,30 +25,30 @@
     QuotaExceeded,
     /// A job that depends on a cancelled one is cancelled.
     DependentNotCancelled,
-    /// A job that can never run is not accepted.
+    /// No job that can never run is accepted.
     ImpossibleJobAccepted,
-    /// In calm no job waits for long while machines have room for it.
+    /// Without any fault, no job waits for long while machines have room for it.
     Starvation,
-    /// Every controller in service knows every accepted job.
+    /// Every accepted job has a record, and every controller in service knows it.
     JobLost,
-    /// Records can be read.
+    /// Every job's record can be read.
     UnreadableRecord,
-    /// A job that is done has a result of each task.
+    /// All tasks of a job that is done have completed.
     DoneWithoutResults,
-    /// A job that is done or cancelled remains so.
+    /// A job that is done or cancelled stays so, and no job is cancelled that nobody cancelled.
     StateReverted,
     /// At most one cell may start a job's tasks.
     DuplicateOwnership,
     /// A job completes in one cell only.
     DuplicateCompletion,
-    /// A history as a whole serves its users.
+    /// A whole history serves its users: a fair share of the jobs completes, and the largest start in time.
     Unserved,
     /// At the end of a history every accepted job is done or cancelled.
     Unfinished,
 }
 
 impl Invariant {
-    /// The name that reports use.
+    /// Returns the name that reports use.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::DuplicateExecution => "ran_twice",
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Whether a report begins with the name; the others are sentences of their own.
+    /// Returns whether a report begins with the name; the other reports are sentences of their own.
     fn is_named_in_reports(self) -> bool {
         !matches!(
             self,
@@ -80,26 +80,25 @@
     }
 }
 
-/// A broken invariant: which one, and by what.
+/// A broken invariant: which one, what was found, and where and when.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvariantViolation {
     /// The invariant.
     pub invariant: Invariant,
     /// What was found.
     pub text: String,
-    /// The job concerned, if it is one.
+    /// The job concerned, if there is one.
     pub job: Option<String>,
-    /// The machine concerned, if it is one.
+    /// The machine concerned, if there is one.
     pub machine: Option<String>,
     /// The cell, in a history of two cells.
     pub cell: Option<&'static str>,
-    /// When it was found, in the simulation's time. A single step leaves this to its caller, which has the
-    /// time; a run fills it in.
+    /// When it was found, in the simulation's time. A run sets it; a single step leaves it to its caller.
     pub at: Option<Micros>,
 }
 
 impl InvariantViolation {
-    /// A violation without a job, machine, cell or time.
+    /// Returns a violation without a job, machine, cell or time.
     pub fn new(invariant: Invariant, text: String) -> InvariantViolation {
         InvariantViolation {
             invariant,
@@ -111,7 +110,7 @@
         }
     }
 
-    /// The same, of this job.
+    /// Sets the job concerned.
     pub fn of_job(self, job: &str) -> InvariantViolation {
         InvariantViolation {
             job: Some(job.to_owned()),
@@ -119,7 +118,7 @@
         }
     }
 
-    /// The same, on this machine.
+    /// Sets the machine concerned.
     pub fn on_machine(self, machine: &str) -> InvariantViolation {
         InvariantViolation {
             machine: Some(machine.to_owned()),
@@ -127,7 +126,7 @@
         }
     }
 
-    /// The same, in this cell.
+    /// Sets the cell.
     pub fn in_cell(self, cell: &'static str) -> InvariantViolation {
         InvariantViolation {
             cell: Some(cell),
@@ -135,7 +134,7 @@
         }
     }
 
-    /// The same, found at this time.
+    /// Sets the time at which it was found.
     pub fn found_at(self, at: Micros) -> InvariantViolation {
         InvariantViolation {
             at: Some(at),
@@ -147,7 +146,7 @@
 impl Display for InvariantViolation {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         if let Some(at) = self.at {
-            let since_start = at.as_secs_f64() - START_OF_DAY.as_secs_f64();
+            let since_start = at.as_secs_f64() - HISTORY_START.as_secs_f64();
             write!(formatter, "at {since_start:.1} s: ")?;
         }
         if let Some(cell) = self.cell {
--- a/crates/saltpitch-testkit/src/lib.rs
+++ b/crates/saltpitch-testkit/src/lib.rs
@@ -1,13 +1,14 @@
-//! Deterministic simulation of a whole site: a state service, a cloud, agents, users and the network between
-//! them, around the controllers' own code. Time is virtual; one seed gives one history.
+//! Deterministic simulation of a whole site: the controllers run their own code, while the state service, the
+//! cloud, the agents, the users and the network are simulated. Time is virtual; one seed gives one history.
 //!
-//! The stand-ins are written from the published protocol alone. [`Simulation::step`] plays one moment and checks
-//! every invariant after it; [`cells::Cells`] plays two sites and the link between them on one clock.
+//! The simulated parts are written from the published protocol alone. [`Simulation::step`] plays one event or
+//! tick and checks every invariant after it; [`cells::Cells`] plays two sites and the link between them on one
+//! clock.
 //!
 //! # Writing a history
 //!
-//! Submit jobs, play on, force faults at the moment that matters, and say what must hold in the end. The
-//! invariants are checked in between:
+//! A history submits jobs, runs the simulation, injects faults at chosen times, and asserts what must hold at
+//! the end. The invariants are checked after each step:
 //!
 //! ```
 //! use saltpitch_core::Micros;
@@ -24,11 +25,11 @@
 //! # Ok::<(), saltpitch_testkit::invariants::InvariantViolation>(())
 //! ```
 //!
-//! [`histories`] has the histories in which everything is drawn from the seed.
+//! The histories in [`histories`] draw everything from the seed.
 //!
 //! # Replaying a seed
 //!
-//! A test that fails names its seed and the time. The same call with the same seed and [`Faults`] gives the same
+//! A failing test reports its seed and the time. The same call with the same seed and [`Faults`] gives the same
 //! history up to that time: run it to just before the violation, then call [`Simulation::step`] and look at
 //! the public fields. [`InvariantViolation`](invariants::InvariantViolation) names the invariant, the job and the
 //! machine.
@@ -36,20 +37,20 @@
 //! # Adding a fault
 //!
 //! Add a field to [`Faults`] and a method to `simulation/fault_injection.rs`, called after all others. A fault
-//! must draw nothing while it is switched off, so that the histories of existing seeds stay as they are; histories
+//! must draw no random number while it is switched off, so that the histories of existing seeds stay as they are; histories
 //! with [`Faults::all`] change, and so do their fingerprints.
 //!
 //! # Adding an invariant
 //!
 //! Add a variant to [`Invariant`](invariants::Invariant) and a check to `invariants.rs`, or to `cells/history.rs` if
-//! it concerns two cells. An invariant is checked against the agents, the users and the store, never against what
-//! a controller believes. Show with a test that it is reported when it is broken.
+//! it concerns two cells. An invariant is checked against the agents, the users and the store, never against
+//! a controller's own state. Add a test which shows that a violation is reported.
 //!
 //! # Comparing fingerprints
 //!
 //! [`Simulation::fingerprint`] is a hash over everything that the controllers did and answered. A change of the
-//! code that leaves its behaviour alone leaves all fingerprints alone: run `examples/trace_hashes.rs` before and
-//! after it, and compare the output. See [`trace`] for what is recorded.
+//! code that does not change its behaviour leaves all fingerprints as they are: run `examples/trace_hashes.rs`
+//! before and after the change and compare the output. See [`trace`] for what is recorded.
 
 pub mod agents;
 pub mod cells;
--- a/crates/saltpitch-testkit/src/nodes.rs
+++ b/crates/saltpitch-testkit/src/nodes.rs
@@ -1,5 +1,5 @@
-//! A simulated process around one [`Controller`]: it carries the controller's messages to the other
-//! stand-ins. Decisions are the controller's, the same code as in the program.
+//! A simulated process around one [`Controller`]. It passes messages between the controller and the other
+//! simulated parts; the controller makes all decisions, with the same code as in the program.
 
 use saltpitch_core::agent::Heartbeat;
 use saltpitch_core::controller::{
@@ -18,44 +18,45 @@
 /// How long after its last success the state service still counts as reachable.
 const STORE_REACHABLE_WITHIN: Micros = Micros::from_secs(2);
 
-/// One controller process, and what is wrong with it.
+/// A controller process and its faults.
 pub struct Node {
     /// Its name.
     pub name: String,
     /// The zone that it runs in.
     pub zone: String,
-    /// The process runs from then on.
+    /// The process is up from then on.
     pub up_at: Micros,
-    /// Runs protocol version 0: it acknowledges no cancellations, asks for no acknowledgements, and
-    /// writes values as large as the state service's present limits allow.
+    /// Whether it runs protocol version 0, which acknowledges no cancellations, requests no
+    /// acknowledgements, and writes values as large as the state service's current limits allow.
     pub runs_version_0: bool,
-    /// Runs with a file on cells.
+    /// Whether it runs with a settings file for cells.
     pub knows_delegations: bool,
-    /// Counts this node's processes.
+    /// The number of this node's current process; each restart adds one.
     pub process_number: u64,
-    /// The state machine; a blank one until the process has started.
+    /// The state machine; one in its initial state until the process has started.
     pub controller: Controller,
-    /// The process has started with the settings of its version.
+    /// Whether the process has started with the settings of its version.
     pub is_started: bool,
-    /// What a leader of protocol version 0 goes by when it loses the state service.
+    /// What a leader of protocol version 0 knows of its peers when it loses the state service.
     pub common_outage: previous_version::CommonOutage,
-    /// Cut from the state service until then.
+    /// Partitioned from the state service until then.
     pub store_partition_until: Micros,
-    /// Cut from the agents until then.
+    /// Partitioned from the agents until then.
     pub agent_partition_until: Micros,
-    /// Cut from the other controllers until then.
+    /// Partitioned from the other controllers until then.
     pub peer_partition_until: Micros,
-    /// The process stands still until then, while its clocks run on: what arrives is read afterwards.
+    /// The process is paused until then, while its clocks go on; it reads what has arrived afterwards.
     pub paused_until: Micros,
-    /// Since when the leadership has been vacant.
+    /// Since when this process has seen no leader.
     pub leaderless_since: Option<Micros>,
-    /// A bid for the leadership is under way.
+    /// Whether an election attempt is in flight.
     pub is_campaigning: bool,
     /// When the state service last served this process.
     store_success_at: Option<Micros>,
 }
 
-/// The others are known by the settings, the scheduler's part by the version that runs.
+/// Returns a controller's configuration. The peers come from the settings, the scheduler's part depends on
+/// the version that runs.
 fn controller_config(
     name: &str,
     zone: &str,
@@ -80,7 +81,7 @@
 pub const CONTROLLERS: [(&str, &str); 3] = [("n0", "east"), ("n1", "west"), ("n2", "east")];
 
 impl Node {
-    /// A node whose process has not started yet.
+    /// Returns a node whose process has not started yet.
     pub fn new(name: &str, zone: &str, scheduler: SchedulerConfig) -> Node {
         let config = controller_config(name, zone, scheduler, false);
         Node {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The process starts with what its version makes of the settings.
+    /// Starts the process with the settings as its version reads them.
     pub fn start(&mut self, scheduler: SchedulerConfig, wall: Micros) {
         let known = self.knows_delegations;
         let config = controller_config(&self.name, &self.zone, scheduler, known);
@@ -111,7 +112,7 @@
         self.is_started = true;
     }
 
-    /// The process ends; a new one starts at `up_at`, with nothing but the settings.
+    /// Crashes the process. A new one starts at `up_at` and knows nothing but the settings.
     pub fn crash(&mut self, up_at: Micros) {
         let scheduler = self.controller.config().scheduler.clone();
         *self = Node {
@@ -126,28 +127,28 @@
         };
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process is up.
     pub fn is_up(&self, now: Micros) -> bool {
         now >= self.up_at
     }
 
-    /// How long it will yet stand still.
+    /// Returns how much longer the process stays paused.
     pub fn remaining_pause(&self, now: Micros) -> Micros {
         self.paused_until.since(now)
     }
 
-    /// The copy of the records.
+    /// Returns the controller's copy of the records.
     pub fn records(&self) -> &RecordCache {
         self.controller.records()
     }
 
-    /// Identifies the present leadership of the present process. What was asked for in one is not
-    /// delivered in another.
+    /// Returns a number that identifies the current leadership of the current process. Answers to requests of
+    /// one epoch are not delivered in another.
     pub fn epoch(&self) -> u64 {
         self.process_number * 1_000_000 + self.controller.epoch()
     }
 
-    /// The scheduler, if the process still runs and leads in this epoch.
+    /// Returns the scheduler, if the process is still up and leads in this epoch.
     pub fn scheduler_in(&mut self, epoch: u64, now: Micros) -> Option<&mut Scheduler> {
         if self.epoch() != epoch || !self.is_up(now) {
             return None;
@@ -156,11 +157,11 @@
         self.controller.scheduler_in_epoch(own)
     }
 
-    /// Whether agents may be answered now.
+    /// Returns whether this controller may answer agents now.
     pub fn may_answer(&self, now: Micros) -> bool {
-        let extended = self.runs_version_0 && self.common_outage.may_answer(now);
-        let entitled = self.controller.may_answer(now) || extended;
-        self.is_up(now) && self.controller.is_leader() && entitled
+        let is_extended = self.runs_version_0 && self.common_outage.may_answer(now);
+        let is_entitled = self.controller.may_answer(now) || is_extended;
+        self.is_up(now) && self.controller.is_leader() && is_entitled
     }
 
     /// Runs the scheduler's loops.
@@ -173,7 +174,9 @@
         }
         let epoch = self.epoch();
         let leader = self.scheduler_in(epoch, now);
-        leader.map(|l| l.poll(now)).unwrap_or_default()
+        leader
+            .map(|scheduler| scheduler.poll(now))
+            .unwrap_or_default()
     }
 
     /// Answers an agent's heartbeat.
@@ -186,9 +189,9 @@
             .records()
             .returned_machines
             .contains(&heartbeat.machine);
-        let nobody = HeartbeatAnswer::Redirect { leader: None };
+        let no_leader = HeartbeatAnswer::Redirect { leader: None };
         let Some(leader) = self.scheduler_in(epoch, now) else {
-            return nobody;
+            return no_leader;
         };
         let fencing_token = leader.term();
         match leader.heartbeat_received(heartbeat, returned, now) {
@@ -196,16 +199,16 @@
                 fencing_token,
                 commands,
             },
-            Err(_) => nobody,
+            Err(_) => no_leader,
         }
     }
 
-    /// Whether the state service can be reached and serves.
+    /// Returns whether the state service is up and reachable from this process.
     pub fn can_reach_store(&self, store: &Store, now: Micros) -> bool {
         !store.is_down && now >= self.store_partition_until
     }
 
-    /// How the state service has served this process.
+    /// Returns when the state service last served this process, and whether it counts as reachable.
     pub fn store_health(&self, now: Micros) -> StoreHealth {
         let recent = |at: Micros| now.since(at) < STORE_REACHABLE_WITHIN;
         StoreHealth {
@@ -214,12 +217,12 @@
         }
     }
 
-    /// Takes in the changes that the state service has. A process that has just started lists the
-    /// records as they stand, in the order of keys.
+    /// Reads the changes of the records from the state service. A process that has just started lists all
+    /// current records instead, in the order of keys.
     pub fn read_records(&mut self, store: &Store, now: Micros) {
         self.store_success_at = Some(now);
         if !self.controller.is_synced() {
-            let records = list(store);
+            let records = list_records(store);
             let _ = self.controller.replace_records(records, now, now);
             return;
         }
@@ -236,7 +239,7 @@
             .apply_changes(from, changes, store.revision, now, now);
     }
 
-    /// Puts the process's incarnation on record.
+    /// Writes the process's incarnation to the state service.
     pub fn announce(&mut self, store: &mut Store) {
         let Some(announcement) = self.controller.announcement() else {
             return;
@@ -251,7 +254,7 @@
             .confirm_announcement(announcement.incarnation, written);
     }
 
-    /// A heartbeat to a peer, as this node's version sends it.
+    /// Returns a heartbeat to a peer as this node's version sends it.
     pub fn peer_heartbeat(&self, peer: &str, now: Micros) -> PeerStatus {
         let status = self
             .controller
@@ -263,7 +266,7 @@
         }
     }
 
-    /// Takes in a peer's heartbeat and answers it, as this node's version does.
+    /// Handles a peer's heartbeat and returns the answer as this node's version gives it.
     pub fn peer_heartbeat_received(
         &mut self,
         peer_heartbeat: PeerStatus,
@@ -280,16 +283,16 @@
         }
     }
 
-    /// Takes in the answer to a heartbeat that was sent at `asked_at` in `epoch`.
+    /// Handles the answer to a heartbeat that was sent at `sent_at` in `epoch`.
     pub fn peer_heartbeat_answered(
         &mut self,
         answer: PeerStatus,
-        asked_at: Micros,
+        sent_at: Micros,
         epoch: u64,
         now: Micros,
     ) {
         if self.runs_version_0 {
-            self.common_outage.answer_received(&answer, asked_at);
+            self.common_outage.answer_received(&answer, sent_at);
         }
         let own = if self.epoch() == epoch {
             self.controller.epoch()
@@ -297,10 +300,10 @@
             u64::MAX
         };
         self.controller
-            .peer_heartbeat_answered(answer, asked_at, own, now);
+            .peer_heartbeat_answered(answer, sent_at, own, now);
     }
 
-    /// The leadership lease could not be renewed: the state service does not answer.
+    /// Notes that the state service did not answer a renewal of the leadership lease.
     pub fn renewal_unanswered(&mut self, now: Micros) {
         if self.runs_version_0 {
             self.common_outage
@@ -308,15 +311,15 @@
         }
     }
 
-    /// A write of this process that the state service confirmed.
+    /// Applies a write of this process that the state service has confirmed.
     pub fn apply_own_write(&mut self, change: &RecordChange, now: Micros) {
         self.store_success_at = Some(now);
         self.controller.apply_own_write(change, now, now);
     }
 }
 
-/// The records as they stand.
-fn list(store: &Store) -> RecordCache {
+/// Returns all current records.
+fn list_records(store: &Store) -> RecordCache {
     let mut records = RecordCache::default();
     for (key, entry) in &store.keys {
         let Ok(value) = serde_json::value::RawValue::from_string(entry.value.clone()) else {
--- a/crates/saltpitch-testkit/src/store.rs
+++ b/crates/saltpitch-testkit/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service: keys with revisions, transactions, leases, a log of changes.
+//! A simulated state service: keys with revisions, transactions, leases, and a log of changes.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +7,18 @@
 use saltpitch_core::Micros;
 use serde_json::value::RawValue;
 
-/// The value of a key.
+/// A key's value, revision and lease.
 #[derive(Clone)]
 pub struct Entry {
     /// The value.
     pub value: String,
     /// The revision of its last change.
     pub revision: u64,
-    /// The lease that it ends with, if any.
+    /// The lease that it is bound to, if any: the key is deleted when that lease ends.
     pub lease: Option<u64>,
 }
 
-/// Keys with revisions, and the leases that some are bound to.
+/// The keys with their revisions, and the leases that some of them are bound to.
 #[derive(Default)]
 pub struct Store {
     /// The revision of the last change.
@@ -27,16 +27,18 @@
     pub keys: BTreeMap<String, Entry>,
     /// All changes in order: revision, key, and the new value or `None` for a deletion.
     pub change_log: Vec<(u64, String, Option<String>)>,
+    /// When each lease expires, and its length.
     leases: BTreeMap<u64, (Micros, Micros)>,
     next_lease: u64,
-    /// It serves nobody.
+    /// Whether it answers nobody.
     pub is_down: bool,
-    /// The most bytes of a value and writes of a transaction, and changes a second, once the store has
-    /// its next limits.
+    /// The next limits, once they are in force: bytes of a value, writes of a transaction, and writes per
+    /// second.
     pub limits: Option<(usize, usize, u32)>,
+    /// The current second and the number of writes in it.
     writes_this_second: (u64, u32),
     now: Micros,
-    /// Transactions turned down for their size.
+    /// How many transactions were rejected because of their size.
     pub rejected_as_too_large: u64,
     /// The fingerprint of all transactions.
     pub trace: Trace,
@@ -64,7 +66,7 @@
         self.change_log.push((rev, key.to_owned(), value));
     }
 
-    /// Carries out a transaction, or says why it was not.
+    /// Applies a transaction if its preconditions hold, and returns the outcome.
     pub fn txn(
         &mut self,
         preconditions: &[Precondition],
@@ -88,8 +90,11 @@
             return TransactionOutcome::Unavailable;
         }
         if let Some((bytes, ops, rate)) = self.limits {
-            let large = |w: &Write| w.value.as_ref().is_some_and(|v| v.len() > bytes);
-            if writes.len() > ops || preconditions.len() > 4 * ops || writes.iter().any(large) {
+            let is_too_large = |w: &Write| w.value.as_ref().is_some_and(|v| v.len() > bytes);
+            if writes.len() > ops
+                || preconditions.len() > 4 * ops
+                || writes.iter().any(is_too_large)
+            {
                 self.rejected_as_too_large += 1;
                 return TransactionOutcome::TooLarge;
             }
@@ -106,24 +111,24 @@
             return TransactionOutcome::Unavailable;
         }
         let current = |key: &str| self.keys.get(key).map_or(0, |entry| entry.revision);
-        let failed: Vec<String> = preconditions
+        let conflicting_keys: Vec<String> = preconditions
             .iter()
             .filter(|condition| current(&condition.key) != condition.revision)
             .map(|condition| condition.key.clone())
             .collect();
-        if !failed.is_empty() {
-            return TransactionOutcome::Conflict(failed);
+        if !conflicting_keys.is_empty() {
+            return TransactionOutcome::Conflict(conflicting_keys);
         }
         self.revision += 1;
         let rev = self.revision;
         for w in writes {
-            let held = lease.filter(|h| h.1 == w.key).map(|h| h.0);
-            self.write(rev, &w.key, w.value.clone(), held);
+            let bound_to = lease.filter(|(_, key)| *key == w.key).map(|(id, _)| id);
+            self.write(rev, &w.key, w.value.clone(), bound_to);
         }
         TransactionOutcome::Committed(rev)
     }
 
-    /// Grants a lease of this length; `None`: it does not serve.
+    /// Grants a lease of this length. Returns `None` while the store is down.
     pub fn grant_lease(&mut self, ttl: Micros, now: Micros) -> Option<u64> {
         if self.is_down {
             return None;
@@ -133,7 +138,7 @@
         Some(self.next_lease)
     }
 
-    /// Renews a lease. `Some(false)`: it has expired; `None`: no answer.
+    /// Renews a lease. Returns `Some(false)` if it has expired, and `None` while the store is down.
     pub fn keep_alive(&mut self, lease: u64, now: Micros) -> Option<bool> {
         if self.is_down {
             return None;
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Ends leases that are over. After an outage every lease has its full time again.
+    /// Revokes expired leases. After an outage every lease has its full length again.
     pub fn tick(&mut self, now: Micros) {
         self.now = now;
         if self.is_down {
@@ -156,18 +161,18 @@
             }
             return;
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, h)| h.0 <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             self.revoke_lease(id);
         }
     }
 
-    /// Ends a lease and deletes the keys that are bound to it.
+    /// Revokes a lease and deletes the keys that are bound to it.
     pub fn revoke_lease(&mut self, id: u64) {
         if self.leases.remove(&id).is_none() {
             return;
@@ -185,7 +190,7 @@
         }
     }
 
-    /// Changes after `from`, in order.
+    /// Returns the changes after the revision `from`, in order.
     pub fn changes(&self, from: u64) -> impl Iterator<Item = (u64, &str, Option<Box<RawValue>>)> {
         let start = self.change_log.partition_point(|c| c.0 <= from);
         self.change_log[start..].iter().map(|(rev, k, v)| {
--- a/crates/saltpitch-testkit/src/trace.rs
+++ b/crates/saltpitch-testkit/src/trace.rs
@@ -1,9 +1,9 @@
-//! A fingerprint of a simulated history, to show that a change of the code left its behaviour alone.
+//! A fingerprint of a simulated history, which shows whether a change of the code changed its behaviour.
 //!
-//! Every effect of a scheduler, every transaction and every answer is folded into one hash together
-//! with its time. Fields are written one by one under the names that they have on the wire, never with
+//! Every effect of a scheduler, every transaction and every answer is added to one hash together with
+//! its time. Fields are written one by one under the names that they have on the wire, never with
 //! `Debug`, so that renaming a type or a field in the code does not change the hash. Two runs of one
-//! seed agree; so do two versions of the code that behave alike. `examples/trace_hashes.rs` prints the
+//! seed have the same hash, and so do two versions of the code that behave alike. `examples/trace_hashes.rs` prints the
 //! hashes of whole ranges of seeds.
 
 use saltpitch_core::agent::Command;
@@ -16,7 +16,7 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A running hash over what has happened so far.
+/// A running hash over the events so far.
 #[derive(Clone, Copy, Debug)]
 pub struct Trace {
     hash: u64,
@@ -33,29 +33,29 @@
 }
 
 impl Trace {
-    /// The hash of all that was recorded.
+    /// Returns the hash of all recorded events.
     pub fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// How many events were recorded.
+    /// Returns how many events were recorded.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Begins an event of this kind.
+    /// Starts an event of this kind.
     pub fn event(&mut self, kind: &str, at: Micros) -> &mut Trace {
         self.events += 1;
         self.text(kind).number(at.0)
     }
 
-    /// A field of the present event.
+    /// Adds a text field to the current event.
     pub fn text(&mut self, text: &str) -> &mut Trace {
-        // The length first: two fields never run into one another.
+        // The length comes first, so that the texts of two adjacent fields can't be confused.
         self.number(text.len() as u64).bytes(text.as_bytes())
     }
 
-    /// A field of the present event.
+    /// Adds a number field to the current event.
     pub fn number(&mut self, number: u64) -> &mut Trace {
         self.bytes(&number.to_le_bytes())
     }
@@ -67,7 +67,7 @@
         self
     }
 
-    /// What a scheduler wants done.
+    /// Records an effect of a scheduler.
     pub fn effect(&mut self, node: usize, effect: &Effect, at: Micros) {
         self.event("effect", at).number(node as u64);
         match effect {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A transaction with its conditions.
+    /// Records a transaction with its preconditions.
     pub fn transaction(&mut self, preconditions: &[Precondition], writes: &[Write]) {
         self.text("txn");
         for Precondition { key, revision } in preconditions {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// What became of a transaction.
+    /// Records the outcome of a transaction.
     pub fn outcome(&mut self, outcome: &TransactionOutcome) {
         match outcome {
             TransactionOutcome::Committed(revision) => self.text("done").number(*revision),
@@ -140,7 +140,7 @@
         };
     }
 
-    /// The answer to an agent's heartbeat.
+    /// Records the answer to an agent's heartbeat.
     pub fn report_answer(&mut self, node: usize, answer: &HeartbeatAnswer, at: Micros) {
         self.event("report", at).number(node as u64);
         match answer {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The answer to a controller's heartbeat.
+    /// Records the answer to a controller's heartbeat.
     pub fn heartbeat_answer(&mut self, answer: &PeerStatus, at: Micros) {
         self.event("hello", at).text(&answer.node);
         self.number(answer.term).text(&answer.term_owner);
@@ -172,8 +172,8 @@
 
     fn commands(&mut self, commands: &[Command]) {
         self.number(commands.len() as u64);
-        for order in commands {
-            let (kind, job, task, attempt, grace) = match order {
+        for command in commands {
+            let (kind, job, task, attempt, grace) = match command {
                 Command::Start { job, task, attempt } => ("launch", job, task, attempt, None),
                 Command::Stop {
                     job,
