--- a/crates/saltpitch-testkit/examples/trace_hashes.rs
+++ b/crates/saltpitch-testkit/examples/trace_hashes.rs
@@ -18,7 +18,7 @@
 const FIRST_SEED: u64 = 600;
 /// Seconds in which jobs are submitted and faults occur, and seconds until all must be done.
 const BUSY_S: u64 = 120;
-const CALM_S: u64 = 400;
+const QUIET_S: u64 = 400;
 
 /// How many seeds of each kind are played.
 struct Options {
@@ -49,7 +49,7 @@
         }
     };
     for seed in FIRST_SEED..FIRST_SEED + options.site {
-        match play(seed, Faults::all(), BUSY_S, CALM_S) {
+        match play(seed, Faults::all(), BUSY_S, QUIET_S) {
             Ok(simulation) => {
                 let (hash, events) = (simulation.fingerprint(), simulation.trace.events());
                 println!("site {seed} {hash:016x} {events}");
--- a/crates/saltpitch-testkit/src/cells/controller.rs
+++ b/crates/saltpitch-testkit/src/cells/controller.rs
@@ -31,7 +31,7 @@
 }
 
 /// When a write is applied, and whether its answer is lost.
-struct WriteFate {
+struct WriteDelivery {
     applied_after: Micros,
     answer_lost: bool,
 }
@@ -101,23 +101,23 @@
                 cells.write_answered(requester, &write, TransactionOutcome::Unavailable);
             });
         }
-        let fate = self.draw_write_fate(requester.cell);
-        if fate.answer_lost {
+        let delivery = self.draw_write_delivery(requester.cell);
+        if delivery.answer_lost {
             let write = write.clone();
             self.schedule_after(STORE_TIMEOUT, move |cells| {
                 cells.write_answered(requester, &write, TransactionOutcome::Unknown);
             });
         }
-        self.schedule_after(fate.applied_after, move |cells| {
+        self.schedule_after(delivery.applied_after, move |cells| {
             let outcome = cells.cells[requester.cell].apply(&write);
-            if !fate.answer_lost {
+            if !delivery.answer_lost {
                 cells.write_answered(requester, &write, outcome);
             }
         });
     }
 
     /// Draws whether a write's answer is lost; such a write is applied up to nine seconds later.
-    fn draw_write_fate(&mut self, cell: usize) -> WriteFate {
+    fn draw_write_delivery(&mut self, cell: usize) -> WriteDelivery {
         let faults = self.cells[cell].simulation.faults;
         let answer_lost = (faults.lost_answers && self.random_below(10) == 0)
             || (faults.delayed_writes && self.random_below(12) == 0);
@@ -126,7 +126,7 @@
         } else {
             Micros::from_millis(1 + self.random_below(30))
         };
-        WriteFate {
+        WriteDelivery {
             applied_after,
             answer_lost,
         }
--- a/crates/saltpitch-testkit/src/cells/history.rs
+++ b/crates/saltpitch-testkit/src/cells/history.rs
@@ -64,7 +64,7 @@
         .filter(|machine| !machine.is_gone);
     let tasks = machines.flat_map(|machine| &machine.tasks);
     tasks
-        .filter(|((task, _), held)| task.0 == id && !held.has_exited())
+        .filter(|((task, _), agent_task)| task.0 == id && !agent_task.has_exited())
         .map(|((task, _), _)| task.1)
         .collect()
 }
@@ -108,7 +108,7 @@
 ) -> Result<(), InvariantViolation> {
     for (job, ids) in delegated_ids {
         let running = tasks_on_machines(here, job);
-        let own = record(here, job)
+        let is_owned_by_origin = record(here, job)
             .is_some_and(|record| record.state == JobState::Active && !record.is_delegated());
         for id in ids {
             let there_too: Vec<u32> = tasks_on_machines(there, id)
@@ -123,11 +123,11 @@
             }
             let may_start =
                 record(there, id).is_some_and(|delegated| delegated.state == JobState::Active);
-            if own && (may_start || !tasks_on_machines(there, id).is_empty()) {
+            if is_owned_by_origin && (may_start || !tasks_on_machines(there, id).is_empty()) {
                 return violation(
                     Invariant::DuplicateOwnership,
                     job,
-                    format!("{job} and {id}"),
+                    format!("{job} is owned by the origin, and as {id} by the host"),
                 );
             }
         }
--- a/crates/saltpitch-testkit/src/histories.rs
+++ b/crates/saltpitch-testkit/src/histories.rs
@@ -18,17 +18,17 @@
     Micros::from_secs(n)
 }
 
-/// Plays a history of one site. Jobs are submitted for `busy` seconds, some of them are cancelled, and faults
-/// occur; then the site has `calm` seconds without faults to complete the accepted jobs.
+/// Plays a history of one site. Jobs are submitted for `busy_s` seconds, some of them are cancelled, and faults
+/// occur; then the site has `quiet_s` seconds without faults to complete the accepted jobs.
 pub fn play(
     seed: u64,
     faults: Faults,
-    busy: u64,
-    calm: u64,
+    busy_s: u64,
+    quiet_s: u64,
 ) -> Result<Simulation, InvariantViolation> {
-    let mut simulation = Simulation::new(seed, faults, seconds(busy));
+    let mut simulation = Simulation::new(seed, faults, seconds(busy_s));
     let mut ids: Vec<String> = Vec::new();
-    for number in 0..busy / 4 {
+    for number in 0..busy_s / 4 {
         simulation.run(seconds(number * 4))?;
         let id = format!("job-{seed:03}{number:04}");
         let mut spec = simulation.draw_job();
@@ -62,7 +62,7 @@
         let spec = simulation.jobs[id].spec.clone();
         simulation.submit(id, spec);
     }
-    simulation.run(seconds(busy + calm / 2))?;
+    simulation.run(seconds(busy_s + quiet_s / 2))?;
     // Services, and jobs that fail on every machine, end only when their users cancel them; until then they
     // may use a team's whole limit.
     for id in &ids {
@@ -71,7 +71,7 @@
             simulation.cancel(id);
         }
     }
-    simulation.run(seconds(busy + calm))?;
+    simulation.run(seconds(busy_s + quiet_s))?;
     Ok(simulation)
 }
 
--- a/crates/saltpitch-testkit/src/invariants/violation.rs
+++ b/crates/saltpitch-testkit/src/invariants/violation.rs
@@ -41,7 +41,7 @@
     DuplicateOwnership,
     /// A job completes in one cell only.
     DuplicateCompletion,
-    /// A whole history serves its users: a fair share of the jobs completes, and the largest start in time.
+    /// A whole history serves its users: at least half of the jobs are served, and the largest start in time.
     Unserved,
     /// At the end of a history every accepted job is done or cancelled.
     Unfinished,
--- a/crates/saltpitch-testkit/src/lib.rs
+++ b/crates/saltpitch-testkit/src/lib.rs
@@ -37,8 +37,8 @@
 //! # Adding a fault
 //!
 //! Add a field to [`Faults`] and a method to `simulation/fault_injection.rs`, called after all others. A fault
-//! must draw no random number while it is switched off, so that the histories of existing seeds stay as they are; histories
-//! with [`Faults::all`] change, and so do their fingerprints.
+//! must draw no random number while it is switched off, so that the histories of existing seeds stay as they
+//! are; histories with [`Faults::all`] change, and so do their fingerprints.
 //!
 //! # Adding an invariant
 //!
--- a/crates/saltpitch-testkit/src/previous_version.rs
+++ b/crates/saltpitch-testkit/src/previous_version.rs
@@ -10,7 +10,7 @@
 
 /// How long a peer's answer counts after its heartbeat was sent.
 const ANSWER_MAX_AGE: Micros = Micros::from_millis(2_500);
-/// For how long such answers let the leader go on.
+/// For how long such answers let the leader continue to answer agents.
 const EXTENSION: Micros = Micros::from_secs(3);
 
 /// Returns a heartbeat as version 0 sends it.
--- a/crates/saltpitch-testkit/src/simulation/agents.rs
+++ b/crates/saltpitch-testkit/src/simulation/agents.rs
@@ -69,8 +69,8 @@
             });
         }
         // A partition holds messages back and delivers them when it ends.
-        let held = self.partitioned_for(target, name);
-        let wait = held.plus(self.draw_delay());
+        let held_back_for = self.partitioned_for(target, name);
+        let wait = held_back_for.plus(self.draw_delay());
         if self.draw_fault(self.faults.delayed_duplicates, 1.5) {
             self.send_delayed_duplicate(heartbeat.clone(), wait);
         }
@@ -267,7 +267,7 @@
             .filter(move |agent| agent.is_up(now))
             .flat_map(|agent| agent.tasks.iter_mut())
             .filter(move |((task_id, _), _)| task_id.0 == id)
-            .map(|(_, held)| held)
+            .map(|(_, agent_task)| agent_task)
     }
 }
 
@@ -282,20 +282,20 @@
 /// Advances a machine's tasks and returns those that have just completed.
 fn advance_tasks(agent: &mut Agent, jobs: &BTreeMap<String, UserJob>, now: Micros) -> Vec<TaskId> {
     let mut completed = Vec::new();
-    for ((id, _), held) in &mut agent.tasks {
+    for ((id, _), agent_task) in &mut agent.tasks {
         let Some(job) = jobs.get(&id.0) else {
             continue;
         };
-        if job.always_fails && held.state == TaskState::Running {
-            held.state = exited(ExitCause::Error);
+        if job.always_fails && agent_task.state == TaskState::Running {
+            agent_task.state = exited(ExitCause::Error);
             agent.has_changes = true;
             continue;
         }
-        if advance(held, &job.spec, now) {
+        if advance(agent_task, &job.spec, now) {
             completed.push(id.clone());
         }
-        let under_way = matches!(held.state, TaskState::Running | TaskState::Waiting);
-        if under_way && held.phase_ends_at <= now {
+        let is_in_progress = matches!(agent_task.state, TaskState::Running | TaskState::Waiting);
+        if is_in_progress && agent_task.phase_ends_at <= now {
             agent.has_changes = true;
         }
     }
@@ -303,27 +303,27 @@
 }
 
 /// Moves a task to its next phase when the current one is over. Returns whether it has just completed.
-fn advance(held: &mut AgentTask, spec: &JobSpec, now: Micros) -> bool {
-    if now < held.phase_ends_at {
+fn advance(agent_task: &mut AgentTask, spec: &JobSpec, now: Micros) -> bool {
+    if now < agent_task.phase_ends_at {
         return false;
     }
-    match held.state {
+    match agent_task.state {
         TaskState::Fetching if spec.kind == JobKind::Gang => {
-            held.state = TaskState::Waiting;
-            held.phase_ends_at = now;
+            agent_task.state = TaskState::Waiting;
+            agent_task.phase_ends_at = now;
             false
         }
         TaskState::Fetching => {
-            held.state = TaskState::Running;
-            held.phase_ends_at = now.plus(held.run_time);
+            agent_task.state = TaskState::Running;
+            agent_task.phase_ends_at = now.plus(agent_task.run_time);
             false
         }
         TaskState::Running if spec.kind == JobKind::Array => {
-            held.state = exited(ExitCause::Done);
+            agent_task.state = exited(ExitCause::Done);
             true
         }
         TaskState::Saving => {
-            held.state = TaskState::Exited {
+            agent_task.state = TaskState::Exited {
                 cause: ExitCause::Stopped,
                 saved: true,
             };
--- a/crates/saltpitch-testkit/src/simulation/effects.rs
+++ b/crates/saltpitch-testkit/src/simulation/effects.rs
@@ -35,7 +35,7 @@
 }
 
 /// When a transaction is applied, and whether its answer is lost.
-struct TransactionFate {
+struct TransactionDelivery {
     applied_after: Micros,
     answer_lost: bool,
 }
@@ -219,17 +219,17 @@
                 simulation.transaction_answered(node_index, epoch, TransactionOutcome::Unavailable)
             });
         }
-        let fate = self.draw_transaction_fate();
-        if fate.answer_lost {
+        let delivery = self.draw_transaction_delivery();
+        if delivery.answer_lost {
             self.transaction_outcome_unknown(node_index, epoch);
         }
-        self.schedule_after(fate.applied_after, move |simulation| {
+        self.schedule_after(delivery.applied_after, move |simulation| {
             let Transaction {
                 preconditions,
                 writes,
             } = &transaction;
             let outcome = simulation.store.txn(preconditions, writes, None);
-            if fate.answer_lost {
+            if delivery.answer_lost {
                 return;
             }
             let delay = simulation.draw_delay();
@@ -241,7 +241,7 @@
     }
 
     /// Draws whether a transaction is overtaken by newer ones and whether its answer is lost.
-    fn draw_transaction_fate(&mut self) -> TransactionFate {
+    fn draw_transaction_delivery(&mut self) -> TransactionDelivery {
         let may_be_delayed = self.faults.delayed_writes && self.now < self.faults_end_at;
         let overtaken =
             self.now < self.delayed_writes_until || (may_be_delayed && self.random_below(12) == 0);
@@ -253,7 +253,7 @@
         } else {
             self.random_below(30)
         };
-        TransactionFate {
+        TransactionDelivery {
             applied_after: Micros::from_millis(applied_after),
             answer_lost,
         }
--- a/crates/saltpitch-testkit/src/simulation/observe.rs
+++ b/crates/saltpitch-testkit/src/simulation/observe.rs
@@ -141,7 +141,10 @@
         };
         for agent in self.agents.values().filter(|agent| !agent.is_gone) {
             let mut free = agent.size;
-            let active = agent.tasks.iter().filter(|(_, held)| !held.has_exited());
+            let active = agent
+                .tasks
+                .iter()
+                .filter(|(_, agent_task)| !agent_task.has_exited());
             for ((id, _), _) in active {
                 if let Some(job) = self.jobs.get(&id.0) {
                     free = free.minus(&job.spec.need);
--- a/crates/saltpitch-testkit/src/simulation/users.rs
+++ b/crates/saltpitch-testkit/src/simulation/users.rs
@@ -241,7 +241,7 @@
             .values()
             .filter(|agent| !agent.is_gone)
             .flat_map(|agent| agent.tasks.iter())
-            .filter(|((task_id, _), held)| task_id.0 == id && held.counts_as_running())
+            .filter(|((task_id, _), agent_task)| task_id.0 == id && agent_task.counts_as_running())
             .count()
     }
 }
--- a/crates/saltpitch-testkit/src/store.rs
+++ b/crates/saltpitch-testkit/src/store.rs
@@ -45,14 +45,14 @@
 }
 
 impl Store {
-    fn write(&mut self, rev: u64, key: &str, value: Option<String>, lease: Option<u64>) {
+    fn write(&mut self, revision: u64, key: &str, value: Option<String>, lease: Option<u64>) {
         match &value {
             Some(v) => {
                 self.keys.insert(
                     key.to_owned(),
                     Entry {
                         value: v.clone(),
-                        revision: rev,
+                        revision,
                         lease,
                     },
                 );
@@ -63,7 +63,7 @@
                 }
             }
         }
-        self.change_log.push((rev, key.to_owned(), value));
+        self.change_log.push((revision, key.to_owned(), value));
     }
 
     /// Applies a transaction if its preconditions hold, and returns the outcome.
@@ -90,7 +90,8 @@
             return TransactionOutcome::Unavailable;
         }
         if let Some((bytes, ops, rate)) = self.limits {
-            let is_too_large = |w: &Write| w.value.as_ref().is_some_and(|v| v.len() > bytes);
+            let is_too_large =
+                |write: &Write| write.value.as_ref().is_some_and(|v| v.len() > bytes);
             if writes.len() > ops
                 || preconditions.len() > 4 * ops
                 || writes.iter().any(is_too_large)
@@ -120,12 +121,12 @@
             return TransactionOutcome::Conflict(conflicting_keys);
         }
         self.revision += 1;
-        let rev = self.revision;
-        for w in writes {
-            let bound_to = lease.filter(|(_, key)| *key == w.key).map(|(id, _)| id);
-            self.write(rev, &w.key, w.value.clone(), bound_to);
+        let revision = self.revision;
+        for write in writes {
+            let bound_to = lease.filter(|(_, key)| *key == write.key).map(|(id, _)| id);
+            self.write(revision, &write.key, write.value.clone(), bound_to);
         }
-        TransactionOutcome::Committed(rev)
+        TransactionOutcome::Committed(revision)
     }
 
     /// Grants a lease of this length. Returns `None` while the store is down.
@@ -185,19 +186,19 @@
             .collect();
         for k in keys {
             self.revision += 1;
-            let rev = self.revision;
-            self.write(rev, &k, None, None);
+            let revision = self.revision;
+            self.write(revision, &k, None, None);
         }
     }
 
     /// Returns the changes after the revision `from`, in order.
     pub fn changes(&self, from: u64) -> impl Iterator<Item = (u64, &str, Option<Box<RawValue>>)> {
         let start = self.change_log.partition_point(|c| c.0 <= from);
-        self.change_log[start..].iter().map(|(rev, k, v)| {
+        self.change_log[start..].iter().map(|(revision, k, v)| {
             let raw = v
                 .as_ref()
                 .and_then(|v| RawValue::from_string(v.clone()).ok());
-            (*rev, k.as_str(), raw)
+            (*revision, k.as_str(), raw)
         })
     }
 }
