--- a/crates/saltpitch/tests/end_to_end/main.rs
+++ b/crates/saltpitch/tests/end_to_end/main.rs
@@ -1,5 +1,5 @@
-//! The real program on loopback, against stand-ins for the store, the cloud and the agents, met by
-//! their published protocol. Waits are bounds against hanging, not assertions.
+//! Runs the real program on loopback against stand-ins for the store, the cloud and the agents, which speak
+//! the published protocols. The wait bounds only keep a test from hanging; they assert no response time.
 
 mod one_cell;
 mod site;
--- a/crates/saltpitch/tests/end_to_end/site/agents.rs
+++ b/crates/saltpitch/tests/end_to_end/site/agents.rs
@@ -1,4 +1,4 @@
-//! Agents: heartbeats, commands and running tasks.
+//! The stand-ins for the agents: heartbeats, commands and running tasks.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use super::http::call;
 use super::{lock, Reply, SharedSite, Site};
 
-/// The pause between two heartbeats of an agent.
+/// The pause between the reply to a heartbeat and the next heartbeat.
 const HEARTBEAT_PAUSE: Duration = Duration::from_millis(200);
 
-/// Answers a direct request to an agent.
+/// Answers a request that a controller sends to an agent directly.
 pub fn answer(site: &SharedSite, name: &str, uri: &str, body: &Value) -> Reply {
     let mut site = lock(site);
     let agent = &site.agents[name];
@@ -26,22 +26,23 @@
         return Reply::new(200, next_heartbeat(&mut site, name));
     }
     let is_same_epoch = body["watch"].as_u64() == Some(agent.agent_epoch);
-    let executed = is_same_epoch && execute(&mut site, name, &Commands::decode(body));
-    let status = if executed { 200 } else { 409 };
+    let is_executed = is_same_epoch && execute(&mut site, name, &Commands::decode(body));
+    let status = if is_executed { 200 } else { 409 };
     Reply::new(status, next_heartbeat(&mut site, name))
 }
 
+/// Returns the next heartbeat of an agent as the protocol encodes it.
 fn next_heartbeat(site: &mut Site, name: &str) -> Value {
-    let addr = site.addrs[name].to_string();
-    let agent = site.agents.get_mut(name).expect("an agent");
+    let addr = site.agent_addresses[name].to_string();
+    let agent = site.agents.get_mut(name).expect("the agent exists");
     encode_heartbeat(&agent.heartbeat(), &addr)
 }
 
-/// Carries out commands, unless a newer leader has sent some.
+/// Executes commands and returns true; returns false if the agent has seen the fencing token of a newer leader.
 fn execute(site: &mut Site, name: &str, commands: &Commands) -> bool {
     let now = site.now();
-    let specs = site.specs_of(commands.jobs());
-    let agent = site.agents.get_mut(name).expect("an agent");
+    let specs = site.specs_of(commands.job_ids());
+    let agent = site.agents.get_mut(name).expect("the agent exists");
     if !agent.accept_token(commands.fencing_token) {
         return false;
     }
@@ -60,19 +61,27 @@
                 return;
             }
             advance_tasks(&mut site, &name);
-            (site.nodes[target], next_heartbeat(&mut site, &name))
+            (
+                site.controller_addresses[target],
+                next_heartbeat(&mut site, &name),
+            )
         };
         let reply = call(node, Method::POST, "/v1/report", Some(heartbeat)).await;
-        target = take_answer(&mut lock(&site), &name, reply, target);
+        target = handle_heartbeat_reply(&mut lock(&site), &name, reply, target);
         tokio::time::sleep(HEARTBEAT_PAUSE).await;
     }
 }
 
-/// Takes the answer to a heartbeat; returns the controller that gets the next one.
-fn take_answer(site: &mut Site, name: &str, reply: Option<Reply>, target: usize) -> usize {
-    let another = (target + 1) % site.names.len();
+/// Handles the reply to a heartbeat; returns the index of the controller that gets the next heartbeat.
+fn handle_heartbeat_reply(
+    site: &mut Site,
+    name: &str,
+    reply: Option<Reply>,
+    target: usize,
+) -> usize {
+    let next_target = (target + 1) % site.controller_names.len();
     let Some(reply) = reply else {
-        return another;
+        return next_target;
     };
     match reply.status {
         200 => {
@@ -80,20 +89,20 @@
             let now = site.now();
             site.agents
                 .get_mut(name)
-                .expect("an agent")
+                .expect("the agent exists")
                 .lease_renewed_at = now;
             target
         }
         421 => {
             let leader = reply.body["harbour_master"].as_str().unwrap_or_default();
-            let known = site.names.iter().position(|name| name == leader);
-            known.unwrap_or(another)
+            let leader_index = site.controller_names.iter().position(|name| name == leader);
+            leader_index.unwrap_or(next_target)
         }
-        _ => another,
+        _ => next_target,
     }
 }
 
-/// Moves the tasks of one agent on as time passes.
+/// Advances the states of an agent's tasks to the present time.
 fn advance_tasks(site: &mut Site, name: &str) {
     let now = site.now();
     let jobs = site.agents[name]
@@ -101,27 +110,27 @@
         .keys()
         .map(|((job, _), _)| job.as_str());
     let specs = site.specs_of(jobs);
-    let ready_members = ready_members(site);
-    let agent = site.agents.get_mut(name).expect("an agent");
-    for ((id, _), held) in agent.tasks.iter_mut() {
+    let ready_members = count_ready_members(site);
+    let agent = site.agents.get_mut(name).expect("the agent exists");
+    for ((id, _), task) in agent.tasks.iter_mut() {
         let Some(spec) = specs.get(&id.0) else {
             continue;
         };
-        match held.state {
-            TaskState::Fetching if now >= held.phase_ends_at => {
-                held.state = match spec.kind {
+        match task.state {
+            TaskState::Fetching if now >= task.phase_ends_at => {
+                task.state = match spec.kind {
                     JobKind::Gang => TaskState::Waiting,
                     JobKind::Array | JobKind::Service => TaskState::Running,
                 };
-                held.phase_ends_at = now.plus(spec.estimate);
+                task.phase_ends_at = now.plus(spec.estimate);
             }
             TaskState::Waiting if ready_members.get(&id.0) == Some(&spec.tasks) => {
-                held.state = TaskState::Running;
-                held.phase_ends_at = now.plus(spec.estimate);
+                task.state = TaskState::Running;
+                task.phase_ends_at = now.plus(spec.estimate);
             }
-            TaskState::Running if now >= held.phase_ends_at && spec.kind != JobKind::Service => {
+            TaskState::Running if now >= task.phase_ends_at && spec.kind != JobKind::Service => {
                 *site.completions.entry(id.clone()).or_default() += 1;
-                held.state = TaskState::Exited {
+                task.state = TaskState::Exited {
                     cause: ExitCause::Done,
                     saved: false,
                 };
@@ -131,12 +140,12 @@
     }
 }
 
-/// How many tasks of each job wait for the rest of their gang, or run.
-fn ready_members(site: &Site) -> HashMap<String, u32> {
+/// Returns for each job how many of its tasks wait for the rest of their gang or run.
+fn count_ready_members(site: &Site) -> HashMap<String, u32> {
     let mut members: HashMap<String, u32> = HashMap::new();
     for agent in site.agents.values().filter(|agent| !agent.is_gone) {
-        for ((id, _), held) in &agent.tasks {
-            if matches!(held.state, TaskState::Waiting | TaskState::Running) {
+        for ((id, _), task) in &agent.tasks {
+            if matches!(task.state, TaskState::Waiting | TaskState::Running) {
                 *members.entry(id.0.clone()).or_default() += 1;
             }
         }
--- a/crates/saltpitch/tests/end_to_end/site/cloud.rs
+++ b/crates/saltpitch/tests/end_to_end/site/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: one machine type, machines that are ready at once.
+//! The stand-in for the cloud, with one machine type and machines that are ready at once.
 
 use poem::http::Method;
 use saltpitch_core::catalog::Resources;
@@ -11,7 +11,7 @@
 use super::{lock, Reply, SharedSite, Site};
 
 const MACHINE_TYPE: &str = "box";
-/// The most machines of one request.
+/// The most machines that one request starts.
 const MAX_MACHINES_PER_REQUEST: u64 = 2;
 
 /// Answers a request to the cloud.
@@ -26,6 +26,7 @@
     }
 }
 
+/// Replies with the catalog of machine types.
 fn catalog() -> Reply {
     let machine_type = json!({"sku": MACHINE_TYPE, "cpus": 8, "accelerators": 1, "mem_gb": 32,
         "cache_gb": 50, "fetch_gb_per_s": 1.0, "rate": 1.0, "low_price": 0.4,
@@ -33,18 +34,24 @@
     Reply::new(200, json!({ "hulls_list": [machine_type] }))
 }
 
+/// Replies with all machines on one page.
 fn list(site: &Site) -> Reply {
-    let mut machines: Vec<Value> = site.machines().map(|agent| listed(site, agent)).collect();
+    let mut machines: Vec<Value> = site
+        .machines()
+        .map(|agent| encode_machine(site, agent))
+        .collect();
     machines.sort_by_key(|machine| machine["ref"].to_string());
     Reply::new(200, json!({"bollards": machines, "has_next": false}))
 }
 
-fn listed(site: &Site, agent: &Agent) -> Value {
-    json!({"ref": agent.name, "endpoint": site.addrs[&agent.name].to_string(),
+/// Returns a machine as the list encodes it.
+fn encode_machine(site: &Site, agent: &Agent) -> Value {
+    json!({"ref": agent.name, "endpoint": site.agent_addresses[&agent.name].to_string(),
         "hull_type": MACHINE_TYPE, "basin": agent.zone, "lay_by": agent.spot,
         "status": "running", "age_s": 5.0})
 }
 
+/// Returns machines to the cloud; their agents stop.
 fn scale_in(site: &mut Site, body: &Value) -> Reply {
     for name in body["bollards"].as_array().into_iter().flatten() {
         let name = name.as_str().unwrap_or_default();
@@ -55,6 +62,7 @@
     Reply::empty(200)
 }
 
+/// Starts up to [`MAX_MACHINES_PER_REQUEST`] machines; replies with an error only if none can be started.
 fn scale_out(site: &SharedSite, body: &Value) -> Reply {
     let count = body["count"].as_u64().unwrap_or(0);
     let mut names = Vec::new();
@@ -70,7 +78,7 @@
     Reply::new(200, json!({ "bollards": names }))
 }
 
-/// Starts a machine and its agent, unless the cloud has no more.
+/// Starts a machine and its agent and returns the machine's name, or `None` if the cloud has no capacity left.
 fn start_machine(shared: &SharedSite, body: &Value) -> Option<String> {
     let (name, addr) = {
         let mut site = lock(shared);
@@ -83,7 +91,7 @@
         let spot = body["lay_by"].as_bool().unwrap_or(false);
         let agent = new_agent(&name, zone, spot, site.now());
         site.agents.insert(name.clone(), agent);
-        site.addrs.insert(name.clone(), addr);
+        site.agent_addresses.insert(name.clone(), addr);
         (name, addr)
     };
     let (site, agent) = (shared.clone(), name.clone());
--- a/crates/saltpitch/tests/end_to_end/site/http.rs
+++ b/crates/saltpitch/tests/end_to_end/site/http.rs
@@ -1,4 +1,4 @@
-//! HTTP on loopback: stand-ins that answer, and calls to the program.
+//! HTTP on loopback: servers for the stand-ins, and calls to the program.
 
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener as StdListener};
@@ -18,47 +18,49 @@
 
 use super::Reply;
 
-/// Ports below those that outgoing connections are given, so that none of these takes one meanwhile.
+/// The first port of the first block. All blocks lie below the ports that the system gives to outgoing
+/// connections, so that no such connection takes a port before the program listens on it.
 const FIRST_PORT: u16 = 20_000;
-/// The ports of one test process: enough for all tests of this binary.
-const BLOCK_PORTS: u16 = 600;
-const BLOCKS: u16 = 20;
+/// The number of ports of one test process, enough for all tests of this binary.
+const PORTS_PER_BLOCK: u16 = 600;
+const BLOCK_COUNT: u16 = 20;
 
-/// The block of ports that belongs to this process.
+/// A block of ports that is reserved for this process.
 ///
-/// Tests of several checkouts may run at the same time. A port that was only probed could be taken by another
-/// process before the program under test listens on it, so a process keeps the first port of its block bound.
+/// Tests of several checkouts may run at the same time. If a process only probed a port, another process could take
+/// it before the program under test listens on it. Each process therefore keeps the first port of its block bound.
 struct PortBlock {
-    _claim: StdListener,
-    first: u16,
-    next: AtomicU16,
+    _reservation: StdListener,
+    first_port: u16,
+    next_offset: AtomicU16,
 }
 
 impl PortBlock {
-    /// Takes the first block that no other test process holds.
-    fn claim() -> PortBlock {
-        for block in 0..BLOCKS {
-            let first = FIRST_PORT + block * BLOCK_PORTS;
-            if let Ok(claim) = StdListener::bind((Ipv4Addr::LOCALHOST, first)) {
+    /// Reserves the first block that no other test process holds.
+    fn reserve() -> PortBlock {
+        for block in 0..BLOCK_COUNT {
+            let first_port = FIRST_PORT + block * PORTS_PER_BLOCK;
+            if let Ok(reservation) = StdListener::bind((Ipv4Addr::LOCALHOST, first_port)) {
                 return PortBlock {
-                    _claim: claim,
-                    first,
-                    next: AtomicU16::new(1),
+                    _reservation: reservation,
+                    first_port,
+                    next_offset: AtomicU16::new(1),
                 };
             }
         }
-        panic!("no free block of ports");
+        panic!("no block of ports is free");
     }
 }
 
-static PORT_BLOCK: LazyLock<PortBlock> = LazyLock::new(PortBlock::claim);
+static PORT_BLOCK: LazyLock<PortBlock> = LazyLock::new(PortBlock::reserve);
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a call is repeated before a test fails, and the pause between two calls.
-const ATTEMPTS: u32 = 600;
+/// The number of times that [`poll_until`] makes a call before the test fails.
+const MAX_ATTEMPTS: u32 = 600;
+/// The pause between two calls of [`poll_until`].
 const ATTEMPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// A stand-in: a function of method, URI and body.
+/// A stand-in, which computes its reply from the method, the URI and the body of a request.
 struct StandIn<F>(F);
 
 impl<F, Fut> Endpoint for StandIn<F>
@@ -74,24 +76,24 @@
         let uri = request.uri().to_string();
         let reply = (self.0)(request.method().clone(), uri, body).await;
         Ok(Response::builder()
-            .status(StatusCode::from_u16(reply.status).expect("status"))
+            .status(StatusCode::from_u16(reply.status).expect("the stand-in sets a valid status"))
             .body(reply.body.to_string()))
     }
 }
 
-/// An address that nobody listens on; each call gives another one.
+/// Returns an address on which no process listens; each call returns a different one.
 pub fn free_addr() -> SocketAddr {
     loop {
-        let offset = PORT_BLOCK.next.fetch_add(1, Ordering::Relaxed);
-        assert!(offset < BLOCK_PORTS, "no free port");
-        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, PORT_BLOCK.first + offset));
+        let offset = PORT_BLOCK.next_offset.fetch_add(1, Ordering::Relaxed);
+        assert!(offset < PORTS_PER_BLOCK, "no port of the block is free");
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, PORT_BLOCK.first_port + offset));
         if StdListener::bind(address).is_ok() {
             return address;
         }
     }
 }
 
-/// Starts a stand-in.
+/// Starts a stand-in that listens on `addr`.
 pub fn serve<F, Fut>(addr: SocketAddr, answer: F)
 where
     F: Fn(Method, String, Value) -> Fut + Send + Sync + 'static,
@@ -101,16 +103,16 @@
     tokio::spawn(Server::new(listener).run(StandIn(answer)));
 }
 
-/// A parameter of a URI.
-pub fn parameter<'a>(uri: &'a str, name: &str) -> Option<&'a str> {
+/// Returns the value of a query parameter of a URI.
+pub fn query_parameter<'a>(uri: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = uri.split_once('?')?;
     query
         .split('&')
         .filter_map(|parameter| parameter.split_once('='))
-        .find_map(|(known, value)| (known == name).then_some(value))
+        .find_map(|(key, value)| (key == name).then_some(value))
 }
 
-/// One call to the program; `None` without an answer in time.
+/// Makes one call to the program; returns `None` without a reply within [`CALL_TIMEOUT`].
 pub async fn call(
     addr: SocketAddr,
     method: Method,
@@ -139,26 +141,26 @@
     Some(Reply::new(status, body))
 }
 
-/// Repeats a call until its answer is as wanted; fails after a long while.
-pub async fn until(
+/// Repeats a call until `is_expected` holds for the reply; panics after [`MAX_ATTEMPTS`] calls.
+pub async fn poll_until(
     addr: SocketAddr,
     method: Method,
     path: &str,
     body: Option<Value>,
-    wanted: impl Fn(&Reply) -> bool,
+    is_expected: impl Fn(&Reply) -> bool,
 ) -> Reply {
-    let mut last = None;
-    for _ in 0..ATTEMPTS {
-        last = call(addr, method.clone(), path, body.clone()).await;
-        if let Some(reply) = last.as_ref().filter(|reply| wanted(reply)) {
+    let mut last_reply = None;
+    for _ in 0..MAX_ATTEMPTS {
+        last_reply = call(addr, method.clone(), path, body.clone()).await;
+        if let Some(reply) = last_reply.as_ref().filter(|reply| is_expected(reply)) {
             return reply.clone();
         }
         tokio::time::sleep(ATTEMPT_PAUSE).await;
     }
-    panic!("{path} never answered as wanted, last {last:?}");
+    panic!("{path}: no expected reply after {MAX_ATTEMPTS} calls; last reply {last_reply:?}");
 }
 
-/// Waits until a controller takes requests.
-pub async fn until_healthy(addr: SocketAddr) {
-    until(addr, Method::GET, "/up", None, |reply| reply.status == 200).await;
+/// Waits until a controller reports that it is healthy.
+pub async fn wait_until_healthy(addr: SocketAddr) {
+    poll_until(addr, Method::GET, "/up", None, |reply| reply.status == 200).await;
 }
--- a/crates/saltpitch/tests/end_to_end/site/jobs.rs
+++ b/crates/saltpitch/tests/end_to_end/site/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as users submit them.
+//! Jobs as users submit them, and waits for their status.
 
 use std::net::SocketAddr;
 
@@ -8,30 +8,34 @@
 use saltpitch_core::Micros;
 use serde_json::{json, Value};
 
-use super::http::until;
+use super::http::poll_until;
 use super::{lock, SharedSite};
 
-/// How long a task of an array or a gang runs.
-const RUN_S: f64 = 0.5;
+/// The default run time in seconds of a task of an array or a gang.
+const DEFAULT_RUN_S: f64 = 0.5;
 
-/// A job as its user submits it, and as its machines' image describes it.
+/// A job, both as its user submits it and as the agents see it.
 pub struct Job {
     /// The body of the submission.
     pub body: Value,
-    /// What the agents know of it.
+    /// The description of the job that the agents use.
     pub spec: JobSpec,
 }
 
 impl Job {
-    /// A job of so many small tasks.
+    /// Creates a job of `tasks` small tasks.
     pub fn new(id: &str, kind: JobKind, tasks: u32) -> Job {
-        let kind_word = match kind {
+        let kind_name = match kind {
             JobKind::Array => "sweep",
             JobKind::Gang => "ensemble",
             JobKind::Service => "service",
         };
-        let run_s = if kind == JobKind::Service { 0.0 } else { RUN_S };
-        let body = json!({"ref": id, "berth": "class", "crew": "crew", "rig": kind_word,
+        let run_s = if kind == JobKind::Service {
+            0.0
+        } else {
+            DEFAULT_RUN_S
+        };
+        let body = json!({"ref": id, "berth": "class", "crew": "crew", "rig": kind_name,
             "precedence": "normal", "legs": tasks, "cpus": 2.0, "accelerators": 0.0, "mem_gb": 2.0,
             "hull": "img", "image_gb": 0.1, "hulls_list": null, "basin": null, "together": false,
             "spread": false, "lay_by": false, "passage_s": run_s, "moor_every_s": 0.0,
@@ -63,41 +67,44 @@
         Job { body, spec }
     }
 
-    /// The same, with tasks that run for so many seconds.
+    /// Sets the run time of the tasks.
     pub fn running_for(mut self, seconds: f64) -> Job {
         self.body["passage_s"] = json!(seconds);
         self.spec.estimate = Micros::from_secs_f64(seconds);
         self
     }
 
-    /// The same in the highest priority.
-    pub fn in_production(mut self) -> Job {
+    /// Sets the highest priority.
+    pub fn with_production_priority(mut self) -> Job {
         self.body["precedence"] = json!("production");
         self.spec.priority = Priority::Production;
         self
     }
 
-    /// Uploads the job's description and submits it until it is accepted.
+    /// Gives the job's description to the site, and repeats the submission until a controller accepts it.
     pub async fn submit(self, site: &SharedSite, addr: SocketAddr) {
-        let id = self.body["ref"].as_str().expect("an id").to_owned();
+        let id = self.body["ref"]
+            .as_str()
+            .expect("the body has an id")
+            .to_owned();
         lock(site).specs.insert(id, self.spec);
-        let accepted = |status: u16| status == 201 || status == 200;
-        until(addr, Method::POST, "/v2/runs", Some(self.body), |reply| {
-            accepted(reply.status)
+        let is_accepted = |status: u16| status == 201 || status == 200;
+        poll_until(addr, Method::POST, "/v2/runs", Some(self.body), |reply| {
+            is_accepted(reply.status)
         })
         .await;
     }
 }
 
-/// Submits a job until it is accepted.
+/// Creates a job and repeats its submission until a controller accepts it.
 pub async fn submit(site: &SharedSite, addr: SocketAddr, id: &str, kind: JobKind, tasks: u32) {
     Job::new(id, kind, tasks).submit(site, addr).await;
 }
 
-/// Waits until a controller answers with this status of a job.
+/// Waits until a controller reports this status of a job.
 pub async fn wait_for_status(addr: SocketAddr, id: &str, status: &str) {
     let path = format!("/v2/runs/{id}");
-    until(addr, Method::GET, &path, None, |reply| {
+    poll_until(addr, Method::GET, &path, None, |reply| {
         reply.status == 200 && reply.body["status"] == status
     })
     .await;
--- a/crates/saltpitch/tests/end_to_end/site/mod.rs
+++ b/crates/saltpitch/tests/end_to_end/site/mod.rs
@@ -1,4 +1,4 @@
-//! A site on loopback: stand-ins for everything outside the controllers, and the controllers' processes.
+//! One cell on loopback: stand-ins for everything outside the controllers, and the controllers' processes.
 
 mod agent_protocol;
 mod agents;
@@ -20,119 +20,119 @@
 use saltpitch_testkit::agents::Agent;
 use saltpitch_testkit::store::Store;
 
-pub use http::{call, free_addr, until, until_healthy};
+pub use http::{call, free_addr, poll_until, wait_until_healthy};
 pub use jobs::{submit, wait_for_status, Job};
-pub use programs::Programs;
+pub use programs::ControllerProcesses;
 pub use reply::Reply;
 
 use http::serve;
 
-/// Everything outside the controllers.
+/// The state of the stand-ins for everything outside the controllers of one cell.
 pub struct Site {
-    started: Instant,
+    started_at: Instant,
     /// The state service.
     pub store: Store,
-    /// The agents by name, with those of machines that were returned.
+    /// The agents by machine name, including those of machines that were returned.
     pub agents: HashMap<String, Agent>,
-    /// Where the agents listen.
-    addrs: HashMap<String, SocketAddr>,
-    /// What users uploaded for each job.
+    /// The addresses on which the agents listen, by machine name.
+    agent_addresses: HashMap<String, SocketAddr>,
+    /// The description of each job that users uploaded, by job id.
     pub specs: HashMap<String, JobSpec>,
-    /// The most machines that the cloud has at a time.
+    /// The most machines that the cloud provides at a time.
     pub max_machines: usize,
-    /// Where the controllers listen for agents.
-    nodes: Vec<SocketAddr>,
-    /// The controllers' names.
-    names: Vec<String>,
-    /// The controller that the store refuses, as it serves the others.
-    pub refused_node: Option<usize>,
-    /// How often each task was completed.
+    /// The addresses on which the controllers listen for agents.
+    controller_addresses: Vec<SocketAddr>,
+    /// The controllers' names, in the order of their addresses.
+    controller_names: Vec<String>,
+    /// The only controller whose requests the store refuses, if any.
+    pub refused_controller: Option<usize>,
+    /// How often each task completed, by job id and task index.
     pub completions: HashMap<(String, u32), u32>,
 }
 
-/// The site, shared by its stand-ins and the test.
+/// A site that its stand-ins and the test share.
 pub type SharedSite = Arc<Mutex<Site>>;
 
-/// Locks the site.
+/// Locks the site; panics if a stand-in panicked while it held the lock.
 pub fn lock(site: &SharedSite) -> MutexGuard<'_, Site> {
     site.lock().expect("no stand-in panicked")
 }
 
-/// Where the site's parts listen.
+/// The addresses of the controllers and of the stand-ins, except the agents.
 #[derive(Clone)]
 pub struct Addresses {
-    /// Where the controllers listen for users and agents.
+    /// The addresses on which the controllers listen for users and agents.
     pub api: Vec<SocketAddr>,
-    /// Where the controllers listen for each other.
+    /// The addresses on which the controllers listen for each other.
     pub peer: Vec<SocketAddr>,
-    /// The cloud.
+    /// The address of the cloud.
     pub cloud: SocketAddr,
-    /// The state service, by controller.
+    /// The addresses of the state service, one for each controller, so that it can refuse a single one.
     pub store: Vec<SocketAddr>,
 }
 
 impl Site {
-    /// The time since the site's start.
+    /// Returns the time since the site's start.
     pub fn now(&self) -> Micros {
-        Micros(self.started.elapsed().as_micros() as u64)
+        Micros(self.started_at.elapsed().as_micros() as u64)
     }
 
-    /// What users uploaded for a job; for a delegated job, under its id at the origin.
+    /// Returns the description of a job that users uploaded. A delegated job is found under its id at the origin.
     fn spec_of(&self, id: &str) -> Option<JobSpec> {
         self.specs.get(origin_id(id)).cloned()
     }
 
-    /// The descriptions of these jobs.
+    /// Returns the descriptions of these jobs; jobs without a description are left out.
     fn specs_of<'a>(&self, ids: impl Iterator<Item = &'a str>) -> HashMap<String, JobSpec> {
-        let known = ids.filter_map(|id| Some((id.to_owned(), self.spec_of(id)?)));
-        known.collect()
+        let specs = ids.filter_map(|id| Some((id.to_owned(), self.spec_of(id)?)));
+        specs.collect()
     }
 
-    /// A job's record.
+    /// Returns a job's record from the store, if it exists and is readable.
     pub fn record(&self, id: &str) -> Option<JobRecord> {
         let entry = self.store.keys.get(&job_key(id))?;
         serde_json::from_str(&entry.value).ok()
     }
 
-    /// The machines that are there, with their agents.
+    /// Returns the agents of all machines that have not been returned.
     pub fn machines(&self) -> impl Iterator<Item = &Agent> {
         self.agents.values().filter(|agent| !agent.is_gone)
     }
 
-    /// How many tasks of a job are on machines and have not ended.
+    /// Returns the number of tasks of a job that are on machines and have not ended.
     pub fn unfinished_tasks(&self, id: &str) -> usize {
         self.machines()
             .flat_map(|agent| &agent.tasks)
-            .filter(|((task, _), held)| task.0 == id && !held.has_exited())
+            .filter(|(((job, _), _), task)| job == id && !task.has_exited())
             .count()
     }
 }
 
-/// The id of a job at the cell where it was submitted.
+/// Returns the id that a job has at the cell where it was submitted.
 pub fn origin_id(id: &str) -> &str {
     let sent = id.split_once('.').map(|(_, sent)| sent);
-    let origin = sent.and_then(saltpitch_cells::ids::origin_job_id);
-    origin.unwrap_or(id)
+    let id_at_origin = sent.and_then(saltpitch_cells::ids::origin_job_id);
+    id_at_origin.unwrap_or(id)
 }
 
-/// Starts the stand-ins of a site of so many controllers.
-pub fn start(controllers: usize) -> (SharedSite, Addresses) {
+/// Starts the stand-ins of a site with `controller_count` controllers.
+pub fn start(controller_count: usize) -> (SharedSite, Addresses) {
     let addresses = Addresses {
-        api: (0..controllers).map(|_| free_addr()).collect(),
-        peer: (0..controllers).map(|_| free_addr()).collect(),
+        api: (0..controller_count).map(|_| free_addr()).collect(),
+        peer: (0..controller_count).map(|_| free_addr()).collect(),
         cloud: free_addr(),
-        store: (0..controllers).map(|_| free_addr()).collect(),
+        store: (0..controller_count).map(|_| free_addr()).collect(),
     };
     let site: SharedSite = Arc::new(Mutex::new(Site {
-        started: Instant::now(),
+        started_at: Instant::now(),
         store: Store::default(),
         agents: HashMap::new(),
-        addrs: HashMap::new(),
+        agent_addresses: HashMap::new(),
         specs: HashMap::new(),
         max_machines: usize::MAX,
-        nodes: addresses.api.clone(),
-        names: (0..controllers).map(|n| format!("n{n}")).collect(),
-        refused_node: None,
+        controller_addresses: addresses.api.clone(),
+        controller_names: (0..controller_count).map(|n| format!("n{n}")).collect(),
+        refused_controller: None,
         completions: HashMap::new(),
     }));
     let shared = site.clone();
@@ -144,7 +144,7 @@
         serve(*address, move |method, uri, body| {
             let site = shared.clone();
             async move {
-                let refused = lock(&site).refused_node == Some(n);
+                let refused = lock(&site).refused_controller == Some(n);
                 if refused {
                     return Reply::error(503, "trouble");
                 }
--- a/crates/saltpitch/tests/end_to_end/site/programs.rs
+++ b/crates/saltpitch/tests/end_to_end/site/programs.rs
@@ -1,4 +1,4 @@
-//! The controllers' processes.
+//! Starts and kills the controllers' processes, and runs the program's commands.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -7,76 +7,78 @@
 
 use super::Addresses;
 
-/// The controllers of one site, and the folder with their settings.
-pub struct Programs {
+/// The controller processes of one site, and the folder with their settings. Dropping it kills the processes and
+/// removes the folder.
+pub struct ControllerProcesses {
     children: Vec<Option<Child>>,
     folder: PathBuf,
-    cells: Option<PathBuf>,
+    cells_file: Option<PathBuf>,
 }
 
-/// How a command ended.
+/// The result of a command.
 #[derive(Debug)]
 pub struct CommandResult {
-    /// Its exit code.
+    /// The exit code; `None` if a signal ended the process.
     pub exit_code: Option<i32>,
-    /// All that it printed.
-    pub printed: String,
+    /// The standard output, followed by the standard error output.
+    pub output: String,
 }
 
-impl Programs {
-    /// Writes the settings; `cells` is the text of the file on cells, if there is one.
-    pub fn new(name: &str, addresses: &Addresses, cells: Option<&str>) -> Programs {
-        // Tests that run side by side have sites of the same name.
+impl ControllerProcesses {
+    /// Writes the settings files, and the file on cells if `cells_text` is given. Starts no process.
+    pub fn new(name: &str, addresses: &Addresses, cells_text: Option<&str>) -> ControllerProcesses {
+        // Tests of one process run in parallel and have sites of the same name; the port keeps their folders apart.
         let port = addresses.cloud.port();
         let folder = format!("saltpitch-{}-{name}-{port}", std::process::id());
         let folder = std::env::temp_dir().join(folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder for settings is created");
         let controllers = addresses.api.len();
         for n in 0..controllers {
             let settings = settings(n, addresses).to_string();
-            std::fs::write(settings_file(&folder, n), settings).expect("settings");
+            std::fs::write(settings_file(&folder, n), settings)
+                .expect("the settings file is written");
         }
-        let cells = cells.map(|text| {
+        let cells_file = cells_text.map(|text| {
             let file = folder.join("cells.toml");
-            std::fs::write(&file, text).expect("a file on cells");
+            std::fs::write(&file, text).expect("the file on cells is written");
             file
         });
-        Programs {
+        ControllerProcesses {
             children: (0..controllers).map(|_| None).collect(),
             folder,
-            cells,
+            cells_file,
         }
     }
 
-    /// The settings of a controller.
+    /// Returns the path of a controller's settings file.
     pub fn settings_file(&self, n: usize) -> PathBuf {
         settings_file(&self.folder, n)
     }
 
-    /// Runs `saltpitch cells` on the first controller's settings.
-    pub async fn cells_command(&self, args: &[&str]) -> CommandResult {
+    /// Runs `saltpitch cells` with the first controller's settings and these arguments.
+    pub async fn run_cells_command(&self, args: &[&str]) -> CommandResult {
         let mut command = Command::new(env!("CARGO_BIN_EXE_saltpitch"));
         command
             .args(["cells", "--config"])
             .arg(self.settings_file(0))
             .args(args);
-        // The stand-ins go on meanwhile.
+        // The command blocks its thread; the stand-ins must keep answering meanwhile.
         let output = tokio::task::spawn_blocking(move || command.output()).await;
         let output = output.expect("no panic").expect("the program runs");
         let printed = [output.stdout, output.stderr].concat();
         CommandResult {
             exit_code: output.status.code(),
-            printed: String::from_utf8_lossy(&printed).into_owned(),
+            output: String::from_utf8_lossy(&printed).into_owned(),
         }
     }
 
-    /// Starts a controller.
+    /// Starts a controller; `SALTPITCH_TEST_LOG` sets its log level, `error` by default.
     pub fn start(&mut self, n: usize) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_saltpitch"));
         command
             .args(["serve", "--config"])
             .arg(self.settings_file(n));
-        if let Some(file) = &self.cells {
+        if let Some(file) = &self.cells_file {
             command.arg("--cells").arg(file);
         }
         let level = std::env::var("SALTPITCH_TEST_LOG").unwrap_or_else(|_| "error".to_owned());
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Ends a controller without notice.
+    /// Kills a controller without a graceful shutdown.
     pub fn kill(&mut self, n: usize) {
         if let Some(mut child) = self.children[n].take() {
             let _ = child.kill();
@@ -103,7 +105,7 @@
     }
 }
 
-impl Drop for Programs {
+impl Drop for ControllerProcesses {
     fn drop(&mut self) {
         for n in 0..self.children.len() {
             self.kill(n);
@@ -116,6 +118,8 @@
     folder.join(format!("n{n}.json"))
 }
 
+/// Returns the settings of a controller. The field `new_field` is unknown to the program: unknown fields must not
+/// keep a controller from starting.
 fn settings(n: usize, addresses: &Addresses) -> Value {
     let Addresses {
         api,
--- a/crates/saltpitch/tests/end_to_end/site/reply.rs
+++ b/crates/saltpitch/tests/end_to_end/site/reply.rs
@@ -1,8 +1,8 @@
-//! Answers of the program and of the stand-ins.
+//! HTTP replies of the program and of the stand-ins.
 
 use serde_json::{json, Value};
 
-/// An HTTP answer in JSON.
+/// An HTTP reply with a JSON body.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// The HTTP status.
@@ -12,17 +12,17 @@
 }
 
 impl Reply {
-    /// An answer with a body.
+    /// Creates a reply with a body.
     pub fn new(status: u16, body: Value) -> Reply {
         Reply { status, body }
     }
 
-    /// An answer without a body to speak of.
+    /// Creates a reply whose body is an empty JSON object.
     pub fn empty(status: u16) -> Reply {
         Reply::new(status, json!({}))
     }
 
-    /// A refusal.
+    /// Creates a reply with an error body as the protocol defines it.
     pub fn error(status: u16, reason: &str) -> Reply {
         Reply::new(status, json!({ "error": reason }))
     }
--- a/crates/saltpitch/tests/end_to_end/two_cells.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells.rs
@@ -1,4 +1,4 @@
-//! Two cells of three controllers each, with a link that is cut and restored under load.
+//! Tests two cells of three controllers each, connected by a link that is cut and restored under load.
 
 mod link;
 mod load;
@@ -15,19 +15,21 @@
 use saltpitch_core::records::DelegationState;
 
 use crate::site::{
-    self, call, free_addr, lock, origin_id, submit, until, until_healthy, wait_for_status,
-    Addresses, Job, Programs, SharedSite,
+    self, call, free_addr, lock, origin_id, poll_until, submit, wait_for_status,
+    wait_until_healthy, Addresses, ControllerProcesses, Job, SharedSite,
 };
 
-const CONTROLLERS: usize = 3;
+const CONTROLLERS_PER_CELL: usize = 3;
+/// The name of the cell where jobs are submitted.
 const ORIGIN: &str = "canal";
+/// The name of the cell to which the origin delegates jobs.
 const HOST: &str = "harbour";
-/// How often it is checked that no task runs in both cells.
+/// The interval between checks that no task runs in both cells.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The host's file: it takes the origin's jobs.
+/// Returns the host's file on cells, which accepts jobs from the origin.
 fn host_file(listen: &[std::net::SocketAddr]) -> String {
-    let listen: Vec<String> = (0..CONTROLLERS)
+    let listen: Vec<String> = (0..CONTROLLERS_PER_CELL)
         .map(|n| format!("n{n} = \"{}\"", listen[n]))
         .collect();
     format!(
@@ -37,7 +39,7 @@
     )
 }
 
-/// The origin's file: it delegates to the host.
+/// Returns the origin's file on cells, which delegates jobs to the host.
 fn origin_file(links: &[Link]) -> String {
     let addresses: Vec<String> = links
         .iter()
@@ -52,14 +54,14 @@
     )
 }
 
-/// One cell: its stand-ins and its controllers.
+/// One cell: the stand-ins outside its controllers, and its controllers.
 struct Cell {
     site: SharedSite,
     addresses: Addresses,
-    programs: Programs,
+    processes: ControllerProcesses,
 }
 
-/// The cell where jobs are submitted, the one that it delegates to, and the links to it.
+/// The cell where jobs are submitted, the cell to which it delegates, and the links to the host's controllers.
 struct TwoCells {
     origin: Cell,
     host: Cell,
@@ -67,17 +69,17 @@
 }
 
 impl TwoCells {
-    /// Starts both; the host has machines with free capacity beside its services, the origin has none.
+    /// Starts both cells. The host runs a service and has free capacity beside it; the origin can get no machines.
     async fn start() -> TwoCells {
         TwoCells::start_with(true).await
     }
 
-    /// The same, with or without a file on cells at the origin.
-    async fn start_with(delegating: bool) -> TwoCells {
-        let listen: Vec<_> = (0..CONTROLLERS).map(|_| free_addr()).collect();
+    /// Starts both cells like [`TwoCells::start`]; the origin gets its file on cells only if `can_delegate` is set.
+    async fn start_with(can_delegate: bool) -> TwoCells {
+        let listen: Vec<_> = (0..CONTROLLERS_PER_CELL).map(|_| free_addr()).collect();
         let links: Vec<Link> = listen.iter().map(|address| Link::start(*address)).collect();
         let host = Cell::start(HOST, Some(host_file(&listen))).await;
-        let file = delegating.then(|| origin_file(&links));
+        let file = can_delegate.then(|| origin_file(&links));
         let origin = Cell::start(ORIGIN, file).await;
         lock(&origin.site).max_machines = 0;
         submit_service(&host, "job-000900", 5).await;
@@ -96,13 +98,13 @@
         }
     }
 
-    /// Submits an array at the origin; its description is known wherever it may run.
+    /// Submits an array at the origin.
     async fn submit(&self, id: &str, tasks: u32) {
         self.submit_job(id, Job::new(id, JobKind::Array, tasks))
             .await;
     }
 
-    /// The same with any job.
+    /// Submits a job at the origin, and gives its description to the agents of both cells.
     async fn submit_job(&self, id: &str, job: Job) {
         let spec = job.spec.clone();
         job.submit(&self.origin.site, self.origin.addresses.api[0])
@@ -110,18 +112,18 @@
         lock(&self.host.site).specs.insert(id.to_owned(), spec);
     }
 
-    /// The host's id for the first delegation of a job.
+    /// Returns the host's id for the first delegation of a job.
     fn id_at_host(id: &str) -> String {
         format!("{ORIGIN}.{id}000001")
     }
 
-    /// The state of a job's delegation by the origin's records.
-    fn delegation(&self, id: &str) -> Option<DelegationState> {
+    /// Returns the state of a job's delegation according to the origin's records.
+    fn delegation_state(&self, id: &str) -> Option<DelegationState> {
         let record = lock(&self.origin.site).record(id)?;
         Some(record.delegation?.state)
     }
 
-    /// Waits until something holds; fails after a long while.
+    /// Waits until `reached` holds; panics with `what` after 1,200 checks, about a minute.
     async fn wait_until(&self, what: &str, reached: impl Fn(&TwoCells) -> bool) {
         for _ in 0..1_200 {
             if reached(self) {
@@ -129,80 +131,90 @@
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        panic!("{what}: never reached");
+        panic!("timed out waiting until {what}");
     }
 }
 
-/// Submits a service of the highest priority to a cell.
+/// Submits a service with the highest priority to a cell.
 async fn submit_service(cell: &Cell, id: &str, replicas: u32) {
-    let service = Job::new(id, JobKind::Service, replicas).in_production();
+    let service = Job::new(id, JobKind::Service, replicas).with_production_priority();
     service.submit(&cell.site, cell.addresses.api[0]).await;
 }
 
 impl Cell {
     async fn start(name: &str, file: Option<String>) -> Cell {
-        let (site, addresses) = site::start(CONTROLLERS);
-        let mut programs = Programs::new(name, &addresses, file.as_deref());
-        programs.start_all();
+        let (site, addresses) = site::start(CONTROLLERS_PER_CELL);
+        let mut processes = ControllerProcesses::new(name, &addresses, file.as_deref());
+        processes.start_all();
         for address in &addresses.api {
-            until_healthy(*address).await;
+            wait_until_healthy(*address).await;
         }
         Cell {
             site,
             addresses,
-            programs,
+            processes,
         }
     }
 
-    /// The controller that leads by the records.
+    /// Returns the index of the leader according to the record in the store.
     fn leader(&self) -> usize {
         let site = lock(&self.site);
         let leader = &site.store.keys["salt/leader"].value;
-        let leads = |n: &usize| leader.contains(&format!("\"n{n}\""));
-        (0..CONTROLLERS).find(leads).expect("a leader")
+        let is_leader = |n: &usize| leader.contains(&format!("\"n{n}\""));
+        (0..CONTROLLERS_PER_CELL)
+            .find(is_leader)
+            .expect("the store names a leader")
     }
 }
 
-/// The tasks that are on a cell's machines and have not ended, by their jobs' ids at the origin.
+/// Returns the tasks on a cell's machines that have not ended, with their jobs' ids at the origin.
 fn unfinished_tasks(site: &SharedSite) -> BTreeSet<(String, u32)> {
     lock(site)
         .machines()
         .flat_map(|agent| &agent.tasks)
-        .filter(|(_, held)| !held.has_exited())
+        .filter(|(_, task)| !task.has_exited())
         .map(|(((id, task), _), _)| (origin_id(id).to_owned(), *task))
         .collect()
 }
 
-/// Checks the machines of both cells until `over`: no task is in both at a time.
-async fn check_no_task_is_in_both(origin: SharedSite, host: SharedSite, over: Arc<AtomicBool>) {
-    while !over.load(Ordering::Relaxed) {
+/// Checks until `stop` is set that no task is on machines of both cells at the same time.
+async fn check_no_task_runs_in_both_cells(
+    origin: SharedSite,
+    host: SharedSite,
+    stop: Arc<AtomicBool>,
+) {
+    while !stop.load(Ordering::Relaxed) {
         let at_host = unfinished_tasks(&host);
         let at_origin = unfinished_tasks(&origin);
         let both: Vec<_> = at_origin.intersection(&at_host).collect();
-        assert!(both.is_empty(), "in both cells: {both:?}");
+        assert!(both.is_empty(), "tasks on machines of both cells: {both:?}");
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// How often each task of these jobs has completed, in both cells together.
+/// Returns how often each task has completed in both cells together, with its job's id at the origin.
 fn completions(cells: &TwoCells) -> BTreeMap<(String, u32), u32> {
-    let mut all = BTreeMap::new();
+    let mut completions = BTreeMap::new();
     for cell in [&cells.origin, &cells.host] {
         for ((id, task), times) in &lock(&cell.site).completions {
-            *all.entry((origin_id(id).to_owned(), *task)).or_default() += times;
+            *completions
+                .entry((origin_id(id).to_owned(), *task))
+                .or_default() += times;
         }
     }
-    all
+    completions
 }
 
+/// Guards against delegated tasks that are lost, run twice or run in both cells at once. The test cuts the link
+/// between two cells while jobs are offered, kills the origin's leader, and then restores both.
 #[tokio::test]
-async fn the_link_is_cut_and_restored_and_every_job_completes_once() {
+async fn every_job_completes_once_when_the_link_is_cut_and_the_leader_of_the_origin_is_killed() {
     let mut cells = TwoCells::start().await;
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let (origin, host) = (cells.origin.site.clone(), cells.host.site.clone());
-    let checker = tokio::spawn(check_no_task_is_in_both(origin, host, over.clone()));
+    let checker = tokio::spawn(check_no_task_runs_in_both_cells(origin, host, stop.clone()));
 
-    // The origin has no machines: its jobs run at the host.
+    // The origin has no machines, so its jobs run at the host.
     let jobs: Vec<String> = (1..=12).map(|n| format!("job-0001{n:02}")).collect();
     for id in &jobs[..4] {
         cells.submit(id, 2).await;
@@ -211,37 +223,45 @@
         wait_for_status(cells.origin.addresses.api[1], id, "done").await;
     }
 
-    // The link is cut under load, and the origin loses its leader. The host's own work goes on, and so does
-    // the origin's once it has machines.
+    // The link is cut while jobs are offered, and the origin's leader is killed. The host still runs its own
+    // jobs, and so does the origin as soon as it can get machines.
     for id in &jobs[4..8] {
         cells.submit(id, 2).await;
     }
-    let offered = |cells: &TwoCells| jobs[4..8].iter().any(|id| cells.delegation(id).is_some());
-    cells.wait_until("a job is offered", offered).await;
+    let is_any_offered = |cells: &TwoCells| {
+        jobs[4..8]
+            .iter()
+            .any(|id| cells.delegation_state(id).is_some())
+    };
+    cells.wait_until("a job is offered", is_any_offered).await;
     cells.set_cut(true);
     let leader = cells.origin.leader();
-    cells.origin.programs.kill(leader);
-    let serving = cells.origin.addresses.api[(leader + 1) % CONTROLLERS];
+    cells.origin.processes.kill(leader);
+    let surviving_api = cells.origin.addresses.api[(leader + 1) % CONTROLLERS_PER_CELL];
     let host_api = cells.host.addresses.api[0];
     submit(&cells.host.site, host_api, "job-000801", JobKind::Array, 2).await;
     wait_for_status(host_api, "job-000801", "done").await;
-    let before: u64 = cells.links.iter().map(Link::connections).sum();
+    let connections_before: u64 = cells.links.iter().map(Link::connection_count).sum();
     lock(&cells.origin.site).max_machines = 2;
     for id in &jobs[8..12] {
-        submit(&cells.origin.site, serving, id, JobKind::Array, 2).await;
-        wait_for_status(serving, id, "done").await;
+        submit(&cells.origin.site, surviving_api, id, JobKind::Array, 2).await;
+        wait_for_status(surviving_api, id, "done").await;
     }
-    let calls = cells.links.iter().map(Link::connections).sum::<u64>() - before;
-    assert!(calls < 60, "{calls} connections over a link that is cut");
-    cells.origin.programs.start(leader);
-
-    // Requests that were held are delivered, and every job completes.
+    let connections_now: u64 = cells.links.iter().map(Link::connection_count).sum();
+    let connections = connections_now - connections_before;
+    assert!(
+        connections < 60,
+        "{connections} connections over a link that is cut"
+    );
+    cells.origin.processes.start(leader);
+
+    // The restored link delivers the requests that it held, and every job completes.
     cells.set_cut(false);
     for id in &jobs {
-        wait_for_status(serving, id, "done").await;
+        wait_for_status(surviving_api, id, "done").await;
     }
-    over.store(true, Ordering::Relaxed);
-    checker.await.expect("no task was in both cells");
+    stop.store(true, Ordering::Relaxed);
+    checker.await.expect("no task ran in both cells");
     let completions = completions(&cells);
     for id in &jobs {
         for task in 0..2 {
@@ -251,35 +271,42 @@
     }
 }
 
+/// Guards against a cancellation that is confirmed while the host may still run the tasks. The test cuts the
+/// link and cancels a job that runs at the host: the user gets 503, and the operator sees the job in
+/// `cells list`. The cancellation succeeds only after the link is restored.
 #[tokio::test]
-async fn a_cancellation_waits_for_the_host_and_the_operator_sees_it() {
+async fn cancelling_a_delegated_job_fails_while_the_link_is_cut_and_succeeds_once_it_is_restored() {
     let cells = TwoCells::start().await;
     let id = "job-000201";
     let job = Job::new(id, JobKind::Array, 1).running_for(60.0);
     cells.submit_job(id, job).await;
-    let runs = |cells: &TwoCells| cells.delegation(id) == Some(DelegationState::Running);
-    cells.wait_until("it runs at the host", runs).await;
+    let runs_at_host =
+        |cells: &TwoCells| cells.delegation_state(id) == Some(DelegationState::Running);
+    cells
+        .wait_until("the job runs at the host", runs_at_host)
+        .await;
     wait_for_status(cells.origin.addresses.api[2], id, "running").await;
     cells.set_cut(true);
     let path = format!("/v2/runs/{id}/abort");
     let origin = cells.origin.addresses.api[0];
     let reply = call(origin, Method::POST, &path, None).await;
-    let reply = reply.expect("an answer");
+    let reply = reply.expect("the controller replies");
     assert_eq!(reply.status, 503, "{reply:?}");
 
-    // The command lists it, and refuses to take it back without the flag or from another cell.
-    let listed = cells.origin.programs.cells_command(&["list"]).await;
+    // `cells list` shows the job. `cells give-up` refuses to take it back without the flag
+    // `--nothing-runs-there`, and refuses with the flag if the named cell does not have the job.
+    let listed = cells.origin.processes.run_cells_command(&["list"]).await;
     assert_eq!(listed.exit_code, Some(0));
     let line =
         format!("{id}: at cell {HOST} as {id}000001, running, its user waits for the cancellation");
-    assert!(listed.printed.contains(&line), "{listed:?}");
+    assert!(listed.output.contains(&line), "{listed:?}");
     let refused = cells
         .origin
-        .programs
-        .cells_command(&["give-up", "--job", id, "--cell", HOST])
+        .processes
+        .run_cells_command(&["give-up", "--job", id, "--cell", HOST])
         .await;
     assert_eq!(refused.exit_code, Some(2), "{refused:?}");
-    let vouched = [
+    let wrong_cell = [
         "give-up",
         "--job",
         id,
@@ -287,42 +314,53 @@
         "elsewhere",
         "--nothing-runs-there",
     ];
-    let refused = cells.origin.programs.cells_command(&vouched).await;
+    let refused = cells.origin.processes.run_cells_command(&wrong_cell).await;
     assert_eq!(refused.exit_code, Some(2), "{refused:?}");
 
     cells.set_cut(false);
-    let reply = until(origin, Method::POST, &path, None, |r| r.status == 200).await;
+    let reply = poll_until(origin, Method::POST, &path, None, |r| r.status == 200).await;
     assert_eq!(reply.body["status"], "withdrawn");
     let id_at_host = TwoCells::id_at_host(id);
     let record = lock(&cells.host.site).record(&id_at_host);
     assert!(record.is_some_and(|record| record.state == JobState::Cancelled));
-    let ended = |cells: &TwoCells| lock(&cells.host.site).unfinished_tasks(&id_at_host) == 0;
-    cells.wait_until("its tasks have ended", ended).await;
+    let tasks_have_ended =
+        |cells: &TwoCells| lock(&cells.host.site).unfinished_tasks(&id_at_host) == 0;
+    cells
+        .wait_until("the tasks of the job have ended", tasks_have_ended)
+        .await;
 }
 
-/// How long the load is played, in seconds, and where the report goes.
-const REPORT_SECONDS: &str = "CELLS_REPORT_SECONDS";
-const REPORT_FILE: &str = "CELLS_REPORT";
+/// The environment variable with the duration of the load in seconds; the default is 180.
+const REPORT_SECONDS_VARIABLE: &str = "CELLS_REPORT_SECONDS";
+/// The environment variable with the path of the report; the default is `cells-report.html`.
+const REPORT_FILE_VARIABLE: &str = "CELLS_REPORT";
 
+/// Guards against jobs that are lost or tasks that are repeated under a steady load, with and without delegation,
+/// while the link is cut for a third of the time. Writes a report with the measurements.
 #[tokio::test]
 #[ignore = "takes minutes; docs/measurements.md has the command"]
-async fn a_report_on_minutes_of_load() {
-    let seconds = std::env::var(REPORT_SECONDS).ok();
+async fn every_job_completes_once_under_minutes_of_load_with_and_without_delegation() {
+    let seconds = std::env::var(REPORT_SECONDS_VARIABLE).ok();
     let seconds = seconds.and_then(|text| text.parse().ok()).unwrap_or(180);
-    let time = Duration::from_secs(seconds);
-    let (delegating, without) = tokio::join!(TwoCells::start(), TwoCells::start_with(false));
-    let runs = tokio::join!(load::play(&delegating, time), load::play(&without, time));
-    let path = std::env::var(REPORT_FILE).unwrap_or_else(|_| "cells-report.html".to_owned());
-    report::write(path.as_ref(), &runs.0, &runs.1).expect("a report");
+    let duration = Duration::from_secs(seconds);
+    let (with_delegation, without_delegation) =
+        tokio::join!(TwoCells::start(), TwoCells::start_with(false));
+    let runs = tokio::join!(
+        load::run(&with_delegation, duration),
+        load::run(&without_delegation, duration)
+    );
+    let path =
+        std::env::var(REPORT_FILE_VARIABLE).unwrap_or_else(|_| "cells-report.html".to_owned());
+    report::write(path.as_ref(), &runs.0, &runs.1).expect("the report is written");
     for run in [&runs.0, &runs.1] {
         println!(
-            "{} jobs, {} done, {} tasks twice; job waits {}; service waits {}",
-            run.jobs,
-            run.done,
-            run.repeated,
-            report::summary(&run.job_waits),
-            report::summary(&run.service_waits)
+            "{} jobs, {} done, {} tasks completed more than once; job waits {}; service waits {}",
+            run.jobs_submitted,
+            run.jobs_done,
+            run.repeated_tasks,
+            report::summarize_waits(&run.job_waits_s),
+            report::summarize_waits(&run.service_waits_s)
         );
-        assert_eq!((run.done, run.repeated), (run.jobs, 0));
+        assert_eq!((run.jobs_done, run.repeated_tasks), (run.jobs_submitted, 0));
     }
 }
--- a/crates/saltpitch/tests/end_to_end/two_cells/link.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells/link.rs
@@ -1,5 +1,5 @@
-//! The link between two cells: a relay on loopback that can be cut. Connections are accepted while it is
-//! cut, and nothing passes until it is restored.
+//! The link between two cells: a relay on loopback that can be cut. While it is cut, it accepts connections but
+//! forwards nothing until it is restored.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,102 +11,104 @@
 
 use crate::site::free_addr;
 
-/// The longest request that is passed on at once.
-const MAX_REQUEST_BYTES: usize = 64 * 1024;
+/// The buffer size of the relay, and so the longest request that it forwards in one piece.
+const REQUEST_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A relay to one listener.
+/// A relay to the link listener of one controller.
 pub struct Link {
-    /// Where it listens.
+    /// The address on which the relay listens.
     pub address: SocketAddr,
-    works: watch::Sender<bool>,
-    connections: Arc<AtomicU64>,
-    calls: Arc<AtomicU64>,
+    is_up: watch::Sender<bool>,
+    connection_count: Arc<AtomicU64>,
+    request_count: Arc<AtomicU64>,
 }
 
 impl Link {
-    /// A relay to `target` that works.
+    /// Starts a relay to `target` that forwards requests.
     pub fn start(target: SocketAddr) -> Link {
         let address = free_addr();
-        let works = watch::channel(true).0;
-        let connections = Arc::new(AtomicU64::new(0));
-        let calls = Arc::new(AtomicU64::new(0));
+        let is_up = watch::channel(true).0;
+        let connection_count = Arc::new(AtomicU64::new(0));
+        let request_count = Arc::new(AtomicU64::new(0));
         let link = Link {
             address,
-            works: works.clone(),
-            connections: connections.clone(),
-            calls: calls.clone(),
+            is_up: is_up.clone(),
+            connection_count: connection_count.clone(),
+            request_count: request_count.clone(),
         };
         tokio::spawn(async move {
             let listener = TcpListener::bind(address).await.expect("a free port");
             while let Ok((from, _)) = listener.accept().await {
-                connections.fetch_add(1, Ordering::Relaxed);
-                let calls = calls.clone();
-                tokio::spawn(relay(from, target, works.subscribe(), calls));
+                connection_count.fetch_add(1, Ordering::Relaxed);
+                let request_count = request_count.clone();
+                tokio::spawn(relay(from, target, is_up.subscribe(), request_count));
             }
         });
         link
     }
 
-    /// Cuts or restores it.
+    /// Cuts or restores the link.
     pub fn set_cut(&self, cut: bool) {
-        self.works.send_replace(!cut);
+        self.is_up.send_replace(!cut);
     }
 
-    /// Connections accepted so far.
-    pub fn connections(&self) -> u64 {
-        self.connections.load(Ordering::Relaxed)
+    /// Returns the number of connections accepted so far.
+    pub fn connection_count(&self) -> u64 {
+        self.connection_count.load(Ordering::Relaxed)
     }
 
-    /// Requests passed on so far; callers write each in one piece.
-    pub fn calls(&self) -> u64 {
-        self.calls.load(Ordering::Relaxed)
+    /// Returns the number of requests forwarded so far. Each piece that arrives counts as one request, because
+    /// callers write each request in one piece.
+    pub fn request_count(&self) -> u64 {
+        self.request_count.load(Ordering::Relaxed)
     }
 }
 
-/// Passes on what comes while the link works. A cut holds the requests of new connections, and resets
-/// those that are open.
+/// Forwards requests and replies of one connection while the link is up. A cut holds the first request of a new
+/// connection, and closes connections that are open.
 async fn relay(
     mut from: TcpStream,
     target: SocketAddr,
-    mut works: watch::Receiver<bool>,
-    calls: Arc<AtomicU64>,
+    mut is_up: watch::Receiver<bool>,
+    request_count: Arc<AtomicU64>,
 ) {
-    let mut first = vec![0; MAX_REQUEST_BYTES];
-    let Ok(length) = from.read(&mut first).await else {
+    let mut first_request = vec![0; REQUEST_BUFFER_BYTES];
+    let Ok(length) = from.read(&mut first_request).await else {
         return;
     };
-    // Held, and delivered late, whether or not the caller still waits.
-    if works.wait_for(|works| *works).await.is_err() {
+    // A request that was held is delivered late, even if the caller no longer waits for the reply.
+    if is_up.wait_for(|is_up| *is_up).await.is_err() {
         return;
     }
     let Ok(mut to) = TcpStream::connect(target).await else {
         return;
     };
-    calls.fetch_add(1, Ordering::Relaxed);
-    if to.write_all(&first[..length]).await.is_err() {
+    request_count.fetch_add(1, Ordering::Relaxed);
+    if to.write_all(&first_request[..length]).await.is_err() {
         return;
     }
-    let (mut requests, mut replies) = from.split();
-    let (mut answers, mut asked) = to.split();
+    let (mut from_reader, mut from_writer) = from.split();
+    let (mut to_reader, mut to_writer) = to.split();
     tokio::select! {
-        _ = pass_requests(&mut requests, &mut asked, &calls) => {}
-        _ = tokio::io::copy(&mut answers, &mut replies) => {}
-        _ = works.wait_for(|works| !*works) => {}
+        _ = forward_requests(&mut from_reader, &mut to_writer, &request_count) => {}
+        _ = tokio::io::copy(&mut to_reader, &mut from_writer) => {}
+        _ = is_up.wait_for(|is_up| !*is_up) => {}
     }
 }
 
-async fn pass_requests(
+/// Forwards requests until `from` is closed, and counts them.
+async fn forward_requests(
     from: &mut (impl AsyncReadExt + Unpin),
     to: &mut (impl AsyncWriteExt + Unpin),
-    calls: &AtomicU64,
+    request_count: &AtomicU64,
 ) -> std::io::Result<()> {
-    let mut buffer = vec![0; MAX_REQUEST_BYTES];
+    let mut buffer = vec![0; REQUEST_BUFFER_BYTES];
     loop {
         let length = from.read(&mut buffer).await?;
         if length == 0 {
             return Ok(());
         }
-        calls.fetch_add(1, Ordering::Relaxed);
+        request_count.fetch_add(1, Ordering::Relaxed);
         to.write_all(&buffer[..length]).await?;
     }
 }
