--- a/crates/saltpitch/tests/end_to_end/one_cell.rs
+++ b/crates/saltpitch/tests/end_to_end/one_cell.rs
@@ -14,7 +14,7 @@
     Job, SharedSite,
 };
 
-/// The id of the service that runs throughout the test.
+/// The id of the service that runs until the test cancels it at its end.
 const SERVICE_ID: &str = "job-000003";
 
 /// Guards against jobs that are lost or stuck when the leader is killed, or when the store refuses one
--- a/crates/saltpitch/tests/end_to_end/two_cells.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells.rs
@@ -339,7 +339,7 @@
 /// while the link is cut for a third of the time. Writes a report with the measurements.
 #[tokio::test]
 #[ignore = "takes minutes; docs/measurements.md has the command"]
-async fn every_job_completes_once_under_minutes_of_load_with_and_without_delegation() {
+async fn a_load_report_shows_every_job_completed_once_with_and_without_delegation() {
     let seconds = std::env::var(REPORT_SECONDS_VARIABLE).ok();
     let seconds = seconds.and_then(|text| text.parse().ok()).unwrap_or(180);
     let duration = Duration::from_secs(seconds);
--- a/crates/saltpitch/tests/end_to_end/two_cells/link.rs
+++ b/crates/saltpitch/tests/end_to_end/two_cells/link.rs
@@ -37,7 +37,7 @@
             request_count: request_count.clone(),
         };
         tokio::spawn(async move {
-            let listener = TcpListener::bind(address).await.expect("a free port");
+            let listener = TcpListener::bind(address).await.expect("the port is free");
             while let Ok((from, _)) = listener.accept().await {
                 connection_count.fetch_add(1, Ordering::Relaxed);
                 let request_count = request_count.clone();
