--- a/crates/saltpitch-testkit/tests/invariant_violations.rs
+++ b/crates/saltpitch-testkit/tests/invariant_violations.rs
@@ -1,4 +1,4 @@
-//! Broken invariants are reported with their name, job, machine and time.
+//! Violations of invariants are reported with the invariant's name, the job, the machine and the time.
 
 use saltpitch_core::job::JobKind;
 use saltpitch_core::Micros;
@@ -7,10 +7,12 @@
 
 const JOB: &str = "job-000001";
 
-/// A site on which two services of one task run, and the name of the first one's machine.
-fn site_with_a_service() -> (Simulation, String) {
+/// Returns a site on which two services of one task each run, and the name of the first one's machine.
+fn site_with_two_services() -> (Simulation, String) {
     let mut simulation = Simulation::new(1, Faults::default(), Micros::ZERO);
-    simulation.run(Micros::from_secs(5)).expect("a quiet start");
+    simulation
+        .run(Micros::from_secs(5))
+        .expect("a start without violations");
     let mut spec = simulation.draw_job();
     (spec.kind, spec.tasks) = (JobKind::Service, 1);
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, false);
@@ -19,19 +21,21 @@
     spec.need.gpu = 0;
     assert!(simulation.submit(JOB, spec.clone()));
     assert!(simulation.submit("job-000002", spec));
-    simulation.run(Micros::from_secs(60)).expect("a quiet site");
+    simulation
+        .run(Micros::from_secs(60))
+        .expect("a site without violations");
     assert_eq!(simulation.running_tasks(JOB), 1);
-    let runs_it = simulation
+    let runner = simulation
         .agents
         .values()
         .find(|agent| agent.tasks.keys().any(|(id, _)| id.0 == JOB));
-    let machine = runs_it.expect("a machine that runs it").name.clone();
+    let machine = runner.expect("a machine that runs the task").name.clone();
     (simulation, machine)
 }
 
 #[test]
 fn a_task_of_an_unknown_job_is_reported_with_job_machine_and_time() {
-    let (mut simulation, machine) = site_with_a_service();
+    let (mut simulation, machine) = site_with_two_services();
     simulation.jobs.remove(JOB);
     let end = Micros::from_secs(70);
     let violation = simulation.run(end).expect_err("a task without a job");
@@ -46,7 +50,7 @@
 
 #[test]
 fn a_task_on_two_machines_is_reported_as_ran_twice() {
-    let (mut simulation, machine) = site_with_a_service();
+    let (mut simulation, machine) = site_with_two_services();
     let tasks = simulation.agents[&machine].tasks.clone();
     let other = simulation
         .agents
@@ -59,8 +63,8 @@
     let violation = simulation.step().expect_err("a task on two machines");
     assert_eq!(violation.invariant, Invariant::DuplicateExecution);
     assert_eq!(violation.job.as_deref(), Some(JOB));
-    let found_on = violation.machine.as_deref().expect("a machine");
-    assert!([machine.as_str(), other_name.as_str()].contains(&found_on));
+    let reported_machine = violation.machine.as_deref().expect("a machine");
+    assert!([machine.as_str(), other_name.as_str()].contains(&reported_machine));
     assert_eq!(violation.at, None);
     let text = violation.to_string();
     assert!(
@@ -70,7 +74,7 @@
 }
 
 #[test]
-fn a_violation_names_time_cell_and_invariant_in_this_order() {
+fn a_violation_is_shown_with_time_cell_and_invariant_in_this_order() {
     let violation = InvariantViolation::new(Invariant::DuplicateOwnership, "two owners".to_owned());
     assert_eq!(violation.to_string(), "duplicate_ownership: two owners");
     let violation = violation.in_cell("canal").found_at(Micros::from_secs(75));
--- a/crates/saltpitch-testkit/tests/operations.rs
+++ b/crates/saltpitch-testkit/tests/operations.rs
@@ -1,5 +1,5 @@
-//! Troubles of daily operation, two at a time: jobs with a mistake while the leader changes, machines that
-//! come up late or never while their zone is cut off. The rules are checked after each step.
+//! Pairs of faults that are common in operation: jobs that always fail during failovers, and machines that
+//! come up late or never during a zone partition. The invariants are checked after each step.
 
 use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::Micros;
@@ -9,13 +9,14 @@
     Micros::from_secs(s)
 }
 
-fn run(simulation: &mut Simulation, seed: u64, until: u64) {
+fn run_until(simulation: &mut Simulation, seed: u64, until: u64) {
     if let Err(error) = simulation.run(secs(until)) {
         panic!("seed {seed}: {error}");
     }
 }
 
-fn array(simulation: &mut Simulation, team: &str, tasks: u32, estimate: u64) -> JobSpec {
+/// Returns an array without constraints whose tasks run for about `estimate` seconds.
+fn array_job(simulation: &mut Simulation, team: &str, tasks: u32, estimate: u64) -> JobSpec {
     let mut spec = simulation.draw_job();
     (spec.kind, spec.priority) = (JobKind::Array, Priority::Normal);
     (spec.tasks, spec.zone, spec.one_zone) = (tasks, None, false);
@@ -27,43 +28,44 @@
     spec
 }
 
-/// A huge array with a mistake (its id ends in 7) fails on every machine, and the leader ends twice
-/// meanwhile. Others are served beside it; its cancellation takes effect at once.
+/// A huge array fails on every machine (its id ends in 7), and the leader crashes twice in the meantime.
+/// Other jobs are served while it fails, and its cancellation takes effect at once.
 #[test]
 fn a_failing_array_across_failovers_blocks_no_other_job() {
     for seed in 900..905 {
         let mut simulation = Simulation::new(seed, Faults::default(), Micros::ZERO);
-        run(&mut simulation, seed, 5);
-        let mistaken = array(&mut simulation, "blue", 2_000, 10);
-        assert!(simulation.submit("job-000007", mistaken));
-        let mut good = Vec::new();
+        run_until(&mut simulation, seed, 5);
+        let failing = array_job(&mut simulation, "blue", 2_000, 10);
+        assert!(simulation.submit("job-000007", failing));
+        let mut other_jobs = Vec::new();
         for round in 0..12u64 {
-            run(&mut simulation, seed, 20 + round * 10);
+            run_until(&mut simulation, seed, 20 + round * 10);
             let id = format!("job-1000{round:02}0");
-            let spec = array(&mut simulation, "blue", 4, 8);
+            let spec = array_job(&mut simulation, "blue", 4, 8);
             assert!(simulation.submit(&id, spec));
-            good.push(id);
+            other_jobs.push(id);
             if matches!(round, 3 | 7) {
                 let leader = simulation.leader().expect("a leader");
                 simulation.crash_for(leader, secs(5));
             }
         }
-        run(&mut simulation, seed, 190);
-        for id in &good {
+        run_until(&mut simulation, seed, 190);
+        for id in &other_jobs {
             assert!(
                 simulation.is_done(id),
-                "seed {seed}: {id} waits behind the mistake"
+                "seed {seed}: {id} waits behind the failing array"
             );
         }
         assert!(simulation.cancel("job-000007"), "seed {seed}");
-        run(&mut simulation, seed, 196);
+        run_until(&mut simulation, seed, 196);
         assert_eq!(simulation.running_tasks("job-000007"), 0, "seed {seed}");
-        run(&mut simulation, seed, 260);
+        run_until(&mut simulation, seed, 260);
     }
 }
 
-/// Machines that come up late or never, and the zones can't reach each other while they should heartbeat:
-/// what is cut off is not counted on, and everything is served once the cut is over.
+/// Machines come up late or never, and the zones are partitioned from each other when these machines should send
+/// their first heartbeats. The leader doesn't count on partitioned machines, and all jobs are done after the
+/// partition ends.
 #[test]
 fn machines_provisioned_late_or_never_in_a_partitioned_zone_break_no_invariant() {
     for seed in 910..915 {
@@ -72,21 +74,21 @@
             ..Faults::default()
         };
         let mut simulation = Simulation::new(seed, faults, secs(100));
-        run(&mut simulation, seed, 5);
+        run_until(&mut simulation, seed, 5);
         let mut ids = Vec::new();
         for round in 0..8u64 {
             let id = format!("job-2000{round:02}0");
             let team = if round % 2 == 0 { "red" } else { "blue" };
-            let spec = array(&mut simulation, team, 6, 12);
+            let spec = array_job(&mut simulation, team, 6, 12);
             assert!(simulation.submit(&id, spec));
             ids.push(id);
             if round == 1 {
                 simulation.zone_partition_until = simulation.now.plus(secs(50));
             }
-            run(&mut simulation, seed, 10 + round * 8);
+            run_until(&mut simulation, seed, 10 + round * 8);
         }
-        // Some machines of these histories take three times as long, which is not recognised.
-        run(&mut simulation, seed, 700);
+        // Some machines are slow: their tasks take three times as long, which the scheduler doesn't detect.
+        run_until(&mut simulation, seed, 700);
         for id in &ids {
             assert!(simulation.is_done(id), "seed {seed}: {id} is not done");
         }
--- a/crates/saltpitch-testkit/tests/waiting_jobs.rs
+++ b/crates/saltpitch-testkit/tests/waiting_jobs.rs
@@ -1,5 +1,5 @@
-//! No job waits for long beside room that fits, and nothing is kept for work that can't have it. The
-//! checker counts the waits after each step.
+//! No job waits for long while machines have room for it, and no capacity is reserved for jobs that
+//! can't use it. The invariants are checked after each step, which includes how long jobs wait.
 
 use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::Micros;
@@ -9,20 +9,26 @@
     Micros::from_secs(s)
 }
 
-fn run(w: &mut Simulation, seed: u64, until: u64) {
-    if let Err(error) = w.run(secs(until)) {
+fn run_until(simulation: &mut Simulation, seed: u64, until: u64) {
+    if let Err(error) = simulation.run(secs(until)) {
         panic!("seed {seed}: {error}");
     }
 }
 
-/// A job of the team "red" whose tasks may run on any machine.
-fn red(w: &mut Simulation, kind: JobKind, tasks: u32, cpu: u64, estimate_s: u64) -> JobSpec {
+/// Returns a job of the team "red" whose tasks may run on any machine.
+fn red_team_job(
+    simulation: &mut Simulation,
+    kind: JobKind,
+    tasks: u32,
+    cpu: u64,
+    estimate_s: u64,
+) -> JobSpec {
     let priority = match kind {
         JobKind::Service => Priority::Production,
         JobKind::Gang => Priority::High,
         JobKind::Array => Priority::Normal,
     };
-    let mut spec = w.draw_job();
+    let mut spec = simulation.draw_job();
     (spec.kind, spec.priority, spec.tasks) = (kind, priority, tasks);
     spec.team = "red".to_owned();
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, true);
@@ -32,30 +38,30 @@
     spec
 }
 
-/// Services use most of the team's limit for good, so that a gang never finds it free for all of its
-/// tasks. What the team has left is not kept for that gang: small arrays go on running.
+/// Services permanently use most of the team's limit, so that the remaining quota never suffices for all
+/// tasks of a gang. That quota is not reserved for the gang: small arrays continue to run.
 #[test]
 fn a_gang_without_quota_does_not_block_small_arrays() {
     for seed in 500..504 {
-        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
-        run(&mut w, seed, 5);
+        let mut simulation = Simulation::new(seed, Faults::default(), Micros::ZERO);
+        run_until(&mut simulation, seed, 5);
         for i in 0..4 {
-            let service = red(&mut w, JobKind::Service, 4, 2_000, 0);
-            w.submit(&format!("job-00000{i}"), service);
+            let service = red_team_job(&mut simulation, JobKind::Service, 4, 2_000, 0);
+            simulation.submit(&format!("job-00000{i}"), service);
         }
-        run(&mut w, seed, 60);
-        let gang = red(&mut w, JobKind::Gang, 4, 3_000, 20);
-        w.submit("job-000010", gang);
-        // Long enough for the gang to have waited for its turn, with arrays coming all the while.
+        run_until(&mut simulation, seed, 60);
+        let gang = red_team_job(&mut simulation, JobKind::Gang, 4, 3_000, 20);
+        simulation.submit("job-000010", gang);
+        // Arrays arrive for long enough that the gang reaches its turn in the queue.
         for i in 0..40u64 {
-            run(&mut w, seed, 60 + i * 10);
-            let array = red(&mut w, JobKind::Array, 2, 2_000, 8);
-            w.submit(&format!("job-0001{i:02}0"), array);
+            run_until(&mut simulation, seed, 60 + i * 10);
+            let array = red_team_job(&mut simulation, JobKind::Array, 2, 2_000, 8);
+            simulation.submit(&format!("job-0001{i:02}0"), array);
         }
-        run(&mut w, seed, 560);
+        run_until(&mut simulation, seed, 560);
         for i in 0..40 {
             let id = format!("job-0001{i:02}0");
-            assert!(w.is_done(&id), "seed {seed}: {id} is not done");
+            assert!(simulation.is_done(&id), "seed {seed}: {id} is not done");
         }
     }
 }
