--- a/crates/saltpitch-testkit/tests/concurrent_faults/common.rs
+++ b/crates/saltpitch-testkit/tests/concurrent_faults/common.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a site at work, and disturbances of it.
+//! Helpers that the tests share: a site with running jobs, jobs submitted during faults, and the final check.
 
 use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::Micros;
@@ -8,15 +8,20 @@
     Micros::from_secs(s)
 }
 
-pub fn run(w: &mut Simulation, seed: u64, until: u64) {
-    if let Err(e) = w.run(secs(until)) {
-        panic!("seed {seed}: {e}");
+pub fn run_until(simulation: &mut Simulation, seed: u64, until: u64) {
+    if let Err(error) = simulation.run(secs(until)) {
+        panic!("seed {seed}: {error}");
     }
 }
 
-/// A job whose tasks fit anywhere and run for about `estimate` seconds.
-pub fn plain(w: &mut Simulation, kind: JobKind, tasks: u32, estimate: u64) -> JobSpec {
-    let mut spec = w.draw_job();
+/// Returns a job whose tasks may run on any machine and run for about `estimate` seconds.
+pub fn unconstrained_job(
+    simulation: &mut Simulation,
+    kind: JobKind,
+    tasks: u32,
+    estimate: u64,
+) -> JobSpec {
+    let mut spec = simulation.draw_job();
     spec.kind = kind;
     spec.priority = match kind {
         JobKind::Service => Priority::Production,
@@ -35,59 +40,68 @@
     spec
 }
 
-/// A site at work: `n` jobs with long tasks run, and somebody leads. The ids don't end in 7, which
-/// marks jobs submitted with a mistake.
-pub fn at_work(seed: u64, n: u32) -> (Simulation, Vec<String>, usize) {
-    let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
-    run(&mut w, seed, 5);
+/// Returns a site on which `job_count` jobs with long tasks run, the ids of the jobs, and the leader.
+///
+/// The ids don't end in 7, which marks jobs that fail on every machine.
+pub fn site_with_running_jobs(seed: u64, job_count: u32) -> (Simulation, Vec<String>, usize) {
+    let mut simulation = Simulation::new(seed, Faults::default(), Micros::ZERO);
+    run_until(&mut simulation, seed, 5);
     let mut ids = Vec::new();
-    for i in 0..n {
+    for i in 0..job_count {
         let id = format!("job-{seed:03}{i:02}0");
-        let spec = plain(&mut w, JobKind::Array, 2, 400);
-        w.submit(&id, spec);
+        let spec = unconstrained_job(&mut simulation, JobKind::Array, 2, 400);
+        simulation.submit(&id, spec);
         ids.push(id);
     }
-    run(&mut w, seed, 40);
+    run_until(&mut simulation, seed, 40);
     for id in &ids {
-        assert!(w.running_tasks(id) > 0, "seed {seed}: {id} does not run");
+        assert!(
+            simulation.running_tasks(id) > 0,
+            "seed {seed}: {id} does not run"
+        );
     }
-    let leader = w.leader().expect("a leader");
-    (w, ids, leader)
+    let leader = simulation.leader().expect("a leader");
+    (simulation, ids, leader)
 }
 
-/// Another node than this one.
-pub fn other(n: usize) -> usize {
-    (n + 1) % 3
+/// Returns a node other than this one.
+pub fn other_node(node: usize) -> usize {
+    (node + 1) % 3
 }
 
-/// The store refuses the leader alone, another node confirms cancellations, then the store is down for
-/// all for longer than a cancellation may take, while agents heartbeat to the old leader. With "no peer
-/// has the store" as the reason to go on, the cancelled tasks ran on through the outage.
-/// Everything that was submitted and not cancelled is done, and nothing cancelled is left.
-pub fn all_over(w: &Simulation, seed: u64) {
-    for (id, j) in w.jobs.iter().filter(|(_, j)| j.is_accepted) {
-        if j.cancelled_at.is_some() {
-            assert_eq!(w.running_tasks(id), 0, "seed {seed}: {id} was cancelled");
-        } else if j.spec.kind != JobKind::Service {
-            assert!(w.is_done(id), "seed {seed}: {id} is not done");
+/// Checks that every accepted job that was not cancelled is done, or runs whole if it is a service, and that no
+/// task of a cancelled job runs.
+pub fn assert_all_finished(simulation: &Simulation, seed: u64) {
+    for (id, job) in simulation.jobs.iter().filter(|(_, job)| job.is_accepted) {
+        if job.cancelled_at.is_some() {
+            assert_eq!(
+                simulation.running_tasks(id),
+                0,
+                "seed {seed}: {id} was cancelled and still runs"
+            );
+        } else if job.spec.kind != JobKind::Service {
+            assert!(simulation.is_done(id), "seed {seed}: {id} is not done");
         } else {
-            let on = w.running_tasks(id) as u32;
-            assert_eq!(on, j.spec.tasks, "seed {seed}: {id} does not run whole");
+            let running = simulation.running_tasks(id) as u32;
+            assert_eq!(
+                running, job.spec.tasks,
+                "seed {seed}: {id} does not run all of its tasks"
+            );
         }
     }
 }
 
-/// Short jobs of every kind, one in three of them cancelled right away.
-pub fn disturb(w: &mut Simulation, seed: u64, round: u64) {
+/// Submits two short arrays and a short gang, and cancels the last array at once.
+pub fn submit_short_jobs(simulation: &mut Simulation, seed: u64, round: u64) {
     for (i, kind) in [JobKind::Array, JobKind::Gang, JobKind::Array]
         .iter()
         .enumerate()
     {
         let id = format!("job-{seed:03}{round:02}{i}");
-        let spec = plain(w, *kind, 2, 6);
-        w.submit(&id, spec);
+        let spec = unconstrained_job(simulation, *kind, 2, 6);
+        simulation.submit(&id, spec);
         if i == 2 {
-            w.cancel(&id);
+            simulation.cancel(&id);
         }
     }
 }
