--- a/crates/saltpitch-testkit/tests/dependencies.rs
+++ b/crates/saltpitch-testkit/tests/dependencies.rs
@@ -1,4 +1,4 @@
-//! Jobs that need others to be done first: released, withdrawn, urgent for the sake of the last one.
+//! Jobs that depend on other jobs: when they start, how cancellations propagate, and which priority they inherit.
 
 use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::records::job_key;
@@ -9,20 +9,21 @@
     Micros::from_secs(s)
 }
 
-fn run(w: &mut Simulation, seed: u64, until: u64) {
-    if let Err(e) = w.run(secs(until)) {
-        panic!("seed {seed}: {e}");
+fn run_until(simulation: &mut Simulation, seed: u64, until: u64) {
+    if let Err(error) = simulation.run(secs(until)) {
+        panic!("seed {seed}: {error}");
     }
 }
 
-fn job(
-    w: &mut Simulation,
+/// Returns a job of low priority whose tasks may run on any machine.
+fn job_spec(
+    simulation: &mut Simulation,
     kind: JobKind,
     tasks: u32,
     estimate: u64,
     dependencies: &[&str],
 ) -> JobSpec {
-    let mut spec = w.draw_job();
+    let mut spec = simulation.draw_job();
     spec.kind = kind;
     spec.priority = Priority::Low;
     spec.class = "stage".to_owned();
@@ -31,19 +32,20 @@
     (spec.need.cpu, spec.need.gpu) = (2_000, 0);
     (spec.checkpoint_interval, spec.save_time) = (Micros::ZERO, Micros::ZERO);
     spec.estimate = secs(estimate);
-    spec.dependencies = dependencies.iter().map(|n| (*n).to_owned()).collect();
+    spec.dependencies = dependencies.iter().map(|id| (*id).to_owned()).collect();
     spec
 }
 
-/// A split, two branches of which one is a gang, and the job that needs all of them.
-fn diamond(w: &mut Simulation) -> [&'static str; 4] {
+/// Submits a first job, two jobs that depend on it, of which one is a gang, and a job that depends on all three.
+/// Returns their ids in this order.
+fn submit_diamond(simulation: &mut Simulation) -> [&'static str; 4] {
     let ids = ["job-000040", "job-000030", "job-000020", "job-000010"];
-    let a = job(w, JobKind::Array, 3, 8, &[]);
-    let b = job(w, JobKind::Array, 4, 10, &[ids[0]]);
-    let c = job(w, JobKind::Gang, 2, 6, &[ids[0]]);
-    let d = job(w, JobKind::Array, 2, 4, &[ids[0], ids[1], ids[2]]);
-    for (id, spec) in ids.iter().zip([a, b, c, d]) {
-        assert!(w.submit(id, spec), "{id}");
+    let first = job_spec(simulation, JobKind::Array, 3, 8, &[]);
+    let array_branch = job_spec(simulation, JobKind::Array, 4, 10, &[ids[0]]);
+    let gang_branch = job_spec(simulation, JobKind::Gang, 2, 6, &[ids[0]]);
+    let last = job_spec(simulation, JobKind::Array, 2, 4, &[ids[0], ids[1], ids[2]]);
+    for (id, spec) in ids.iter().zip([first, array_branch, gang_branch, last]) {
+        assert!(simulation.submit(id, spec), "{id}");
     }
     ids
 }
@@ -51,157 +53,196 @@
 #[test]
 fn a_job_starts_when_all_its_dependencies_are_done() {
     for seed in 0..8 {
-        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
-        run(&mut w, seed, 5);
-        let ids = diamond(&mut w);
-        // Leaders change between the stages, in some histories.
+        let mut simulation = Simulation::new(seed, Faults::default(), Micros::ZERO);
+        run_until(&mut simulation, seed, 5);
+        let ids = submit_diamond(&mut simulation);
+        // In half of the histories the leader crashes between the stages.
         for at in [20, 32, 44] {
-            run(&mut w, seed, at);
-            assert!(!w.is_done(ids[3]) || at == 44);
-            if let Some(n) = w.leader().filter(|_| seed % 2 == 0) {
-                w.crash(n);
+            run_until(&mut simulation, seed, at);
+            assert!(!simulation.is_done(ids[3]) || at == 44);
+            if let Some(node) = simulation.leader().filter(|_| seed % 2 == 0) {
+                simulation.crash(node);
             }
         }
-        run(&mut w, seed, 200);
+        run_until(&mut simulation, seed, 200);
         for id in ids {
-            assert!(w.is_done(id), "seed {seed}: {id}");
+            assert!(simulation.is_done(id), "seed {seed}: {id}");
         }
-        // One that comes when all are over, and is named in the same breath.
-        let late = job(&mut w, JobKind::Array, 1, 2, &[ids[1], ids[2]]);
-        w.submit("job-000050", late);
-        run(&mut w, seed, 240);
-        assert!(w.is_done("job-000050"));
+        // A job is submitted after all of its dependencies are done.
+        let late = job_spec(&mut simulation, JobKind::Array, 1, 2, &[ids[1], ids[2]]);
+        simulation.submit("job-000050", late);
+        run_until(&mut simulation, seed, 240);
+        assert!(simulation.is_done("job-000050"));
     }
 }
 
-/// Whatever needs a cancelled job is withdrawn with it, whoever leads and when, and so is what comes
-/// later and names one of them.
+/// All dependents of a cancelled job are cancelled with it, also if the leader crashes just before or after, and
+/// so are jobs that are submitted later and depend on one of them.
 #[test]
 fn a_cancellation_cancels_all_dependents() {
     for seed in 20..32 {
-        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
-        run(&mut w, seed, 5);
-        let ids = diamond(&mut w);
-        let wait = w.random_below(25_000);
-        let at = w.now.plus(Micros::from_millis(wait));
-        while w.now < at {
-            w.step().expect("no rule is broken");
+        let mut simulation = Simulation::new(seed, Faults::default(), Micros::ZERO);
+        run_until(&mut simulation, seed, 5);
+        let ids = submit_diamond(&mut simulation);
+        let wait = simulation.random_below(25_000);
+        let end = simulation.now.plus(Micros::from_millis(wait));
+        while simulation.now < end {
+            simulation.step().expect("no invariant is violated");
         }
         if seed % 3 == 0 {
-            let n = w.leader().unwrap_or(0);
-            w.crash(n);
+            let node = simulation.leader().unwrap_or(0);
+            simulation.crash(node);
         }
-        let first_done = w.is_done(ids[0]);
-        let cut = if first_done { ids[2] } else { ids[0] };
-        w.cancel(cut);
+        let first_done = simulation.is_done(ids[0]);
+        let cancelled_id = if first_done { ids[2] } else { ids[0] };
+        simulation.cancel(cancelled_id);
         if seed % 3 == 1 {
-            let n = w.leader().unwrap_or(0);
-            w.crash(n);
+            let node = simulation.leader().unwrap_or(0);
+            simulation.crash(node);
         }
-        let off = w.jobs[cut].cancelled_at.is_some();
-        assert_eq!(w.jobs[ids[3]].dependency_cancelled_at.is_some(), off);
-        let late = job(&mut w, JobKind::Array, 1, 2, &[ids[3]]);
-        assert!(w.submit("job-000050", late), "accepted all the same");
-        run(&mut w, seed, 300);
-        let last = w.jobs["job-000050"].dependency_cancelled_at.is_some();
-        assert_eq!(last, off);
-        assert_eq!(w.is_done("job-000050"), !off, "seed {seed}");
+        let is_cancelled = simulation.jobs[cancelled_id].cancelled_at.is_some();
         assert_eq!(
-            w.is_done(ids[1]),
+            simulation.jobs[ids[3]].dependency_cancelled_at.is_some(),
+            is_cancelled
+        );
+        let late = job_spec(&mut simulation, JobKind::Array, 1, 2, &[ids[3]]);
+        assert!(
+            simulation.submit("job-000050", late),
+            "accepted although its dependency may be cancelled"
+        );
+        run_until(&mut simulation, seed, 300);
+        let late_is_cancelled = simulation.jobs["job-000050"]
+            .dependency_cancelled_at
+            .is_some();
+        assert_eq!(late_is_cancelled, is_cancelled);
+        assert_eq!(
+            simulation.is_done("job-000050"),
+            !is_cancelled,
+            "seed {seed}"
+        );
+        assert_eq!(
+            simulation.is_done(ids[1]),
             first_done,
             "seed {seed}: the other branch"
         );
-        // Not only by what follows from the other records.
-        let record = &w.store.keys[&job_key(ids[3])].value;
-        assert_eq!(record.contains("cancelled"), off, "seed {seed}: {record}");
-        let end = job(&mut w, JobKind::Array, 1, 2, &["job-000050"]);
-        w.submit("job-000060", end);
-        run(&mut w, seed, 340);
-        assert_eq!(w.is_done("job-000060"), !off, "seed {seed}");
+        // The job's own record says so too; the state isn't just derived from the other records.
+        let record = &simulation.store.keys[&job_key(ids[3])].value;
+        assert_eq!(
+            record.contains("cancelled"),
+            is_cancelled,
+            "seed {seed}: {record}"
+        );
+        let last = job_spec(&mut simulation, JobKind::Array, 1, 2, &["job-000050"]);
+        simulation.submit("job-000060", last);
+        run_until(&mut simulation, seed, 340);
+        assert_eq!(
+            simulation.is_done("job-000060"),
+            !is_cancelled,
+            "seed {seed}"
+        );
     }
 }
 
-/// A waiting job holds nothing of its team's limit or guarantee, and no machine is rented for it.
+/// A job with open dependencies uses nothing of its team's limit or guarantee, and causes no scale-out.
 #[test]
 fn a_job_with_open_dependencies_uses_no_quota_and_no_machine() {
     for seed in 40..44 {
-        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
-        run(&mut w, seed, 5);
-        let mut first = job(&mut w, JobKind::Array, 1, 400, &[]);
+        let mut simulation = Simulation::new(seed, Faults::default(), Micros::ZERO);
+        run_until(&mut simulation, seed, 5);
+        let mut first = job_spec(&mut simulation, JobKind::Array, 1, 400, &[]);
         first.team = "red".to_owned();
-        w.submit("job-000001", first);
+        simulation.submit("job-000001", first);
         for i in 0..6 {
-            let mut spec = job(&mut w, JobKind::Gang, 5, 300, &["job-000001"]);
+            let mut spec = job_spec(&mut simulation, JobKind::Gang, 5, 300, &["job-000001"]);
             (spec.team, spec.need.cpu) = ("red".to_owned(), 4_000);
             spec.priority = Priority::High;
-            w.submit(&format!("job-00002{i}"), spec);
+            simulation.submit(&format!("job-00002{i}"), spec);
         }
-        run(&mut w, seed, 60);
-        let there = w.agents.values().filter(|m| !m.is_gone).count();
-        assert!(there <= 2, "seed {seed}: {there} machines for one task");
+        run_until(&mut simulation, seed, 60);
+        let machines = simulation
+            .agents
+            .values()
+            .filter(|agent| !agent.is_gone)
+            .count();
+        assert!(
+            machines <= 2,
+            "seed {seed}: {machines} machines for one task"
+        );
         // Only the task that runs counts against the team's limit.
-        let leader = w.leader().expect("a leader");
-        let scheduler = w.nodes[leader].controller.scheduler().expect("leads");
-        let first = w.jobs["job-000001"].spec.need;
+        let leader = simulation.leader().expect("a leader");
+        let scheduler = simulation.nodes[leader]
+            .controller
+            .scheduler()
+            .expect("a leader's scheduler");
+        let first = simulation.jobs["job-000001"].spec.need;
         assert_eq!(scheduler.used_by("red"), first, "seed {seed}");
         for i in 0..4 {
-            let mut spec = job(&mut w, JobKind::Array, 5, 10, &[]);
+            let mut spec = job_spec(&mut simulation, JobKind::Array, 5, 10, &[]);
             spec.team = "red".to_owned();
-            w.submit(&format!("job-00003{i}"), spec);
+            simulation.submit(&format!("job-00003{i}"), spec);
         }
-        // Whatever the first task leaves of the machines is theirs, so even a single machine with three
-        // places gets through twenty tasks of about ten seconds in seven rounds.
+        // These jobs may use all capacity that the first task leaves free, so even a single machine with three
+        // slots completes their 20 tasks of about ten seconds in seven rounds.
         for t in 75..100 {
-            run(&mut w, seed, t);
-            let there = w.agents.values().filter(|m| !m.is_gone && m.is_up(w.now));
-            let places: u64 = there.map(|m| m.size.cpu / 2_000).sum();
+            run_until(&mut simulation, seed, t);
+            let machines_up = simulation
+                .agents
+                .values()
+                .filter(|agent| !agent.is_gone && agent.is_up(simulation.now));
+            let slots: u64 = machines_up.map(|agent| agent.size.cpu / 2_000).sum();
             let ids = (0..4).map(|i| format!("job-00003{i}"));
-            let (on, left) = ids.fold((0, 0), |(on, left), id| {
-                let done = w.completed_tasks.get(&id).map_or(0, |d| d.len());
-                (on + w.running_tasks(&id), left + 5 - done)
+            let (running, left) = ids.fold((0, 0), |(running, left), id| {
+                let done = simulation
+                    .completed_tasks
+                    .get(&id)
+                    .map_or(0, |tasks| tasks.len());
+                (running + simulation.running_tasks(&id), left + 5 - done)
             });
-            let expected = (places as usize - 1).min(left);
+            let expected = (slots as usize - 1).min(left);
             assert!(
-                on + 2 >= expected,
-                "seed {seed}: {on} of {expected} run at {t} s"
+                running + 2 >= expected,
+                "seed {seed}: {running} of {expected} run at {t} s"
             );
         }
-        run(&mut w, seed, 190);
+        run_until(&mut simulation, seed, 190);
         for i in 0..4 {
-            assert!(w.is_done(&format!("job-00003{i}")), "seed {seed}");
+            assert!(simulation.is_done(&format!("job-00003{i}")), "seed {seed}");
         }
     }
 }
 
-/// The last job's priority and deadline serve the jobs before it: under steady overload of work that is
-/// more urgent than they are by themselves, the chain comes through.
+/// Dependencies inherit the priority and the deadline of the last job: under steady overload with jobs of a higher
+/// priority than their own, the chain is done in time.
 #[test]
 fn dependencies_inherit_the_last_jobs_priority() {
     for seed in 60..64 {
-        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
-        run(&mut w, seed, 5);
-        for t in 0..60u64 {
-            run(&mut w, seed, 5 + t * 2);
-            let mut spec = job(&mut w, JobKind::Array, 8, 12, &[]);
+        let mut simulation = Simulation::new(seed, Faults::default(), Micros::ZERO);
+        run_until(&mut simulation, seed, 5);
+        for round in 0..60u64 {
+            run_until(&mut simulation, seed, 5 + round * 2);
+            let mut spec = job_spec(&mut simulation, JobKind::Array, 8, 12, &[]);
             spec.priority = Priority::Normal;
-            w.submit(&format!("job-1{t:03}0"), spec);
-            if t == 30 {
-                let a = job(&mut w, JobKind::Array, 14, 12, &[]);
-                w.submit("job-000090", a);
-                let b = job(&mut w, JobKind::Array, 14, 12, &["job-000090"]);
-                w.submit("job-000080", b);
-                let mut c = job(&mut w, JobKind::Array, 1, 3, &["job-000080"]);
-                c.priority = Priority::High;
-                c.deadline = Some(secs(90));
-                w.submit("job-000070", c);
+            simulation.submit(&format!("job-1{round:03}0"), spec);
+            if round == 30 {
+                let first = job_spec(&mut simulation, JobKind::Array, 14, 12, &[]);
+                simulation.submit("job-000090", first);
+                let second = job_spec(&mut simulation, JobKind::Array, 14, 12, &["job-000090"]);
+                simulation.submit("job-000080", second);
+                let mut last = job_spec(&mut simulation, JobKind::Array, 1, 3, &["job-000080"]);
+                last.priority = Priority::High;
+                last.deadline = Some(secs(90));
+                simulation.submit("job-000070", last);
             }
         }
-        run(&mut w, seed, 66 + 90);
-        assert!(w.is_done("job-000070"), "seed {seed}: the chain is late");
-        let waits = w
+        run_until(&mut simulation, seed, 66 + 90);
+        assert!(
+            simulation.is_done("job-000070"),
+            "seed {seed}: the chain is late"
+        );
+        let unfinished = simulation
             .jobs
             .keys()
-            .filter(|id| id.starts_with("job-1") && !w.is_done(id));
-        assert!(waits.count() > 3, "seed {seed}: there was no overload");
+            .filter(|id| id.starts_with("job-1") && !simulation.is_done(id));
+        assert!(unfinished.count() > 3, "seed {seed}: there was no overload");
     }
 }
--- a/crates/saltpitch-testkit/tests/upgrade.rs
+++ b/crates/saltpitch-testkit/tests/upgrade.rs
@@ -1,188 +1,199 @@
-//! Nodes are replaced while jobs run and troubles come: both versions lead after one another on each
-//! other's records, what dies before its turn comes back old, and then the store's limits fall.
+//! Rolling upgrades while jobs run and faults occur: nodes of both versions lead in turn and recover from each
+//! other's records, nodes that crash before their upgrade restart with the old version, and then the store's
+//! limits are lowered.
 
 use saltpitch_core::job::{JobKind, JobSpec, Priority};
 use saltpitch_core::Micros;
 use saltpitch_testkit::invariants::{Invariant, InvariantViolation};
 use saltpitch_testkit::{Faults, Simulation};
 
-/// When the store's next limits come into force, in steps of three seconds; the nodes are replaced at
-/// steps 12, 20 and 28.
-const AFTER_THE_UPGRADE: u64 = 36;
-const WITH_THE_LAST_NODE: u64 = 28;
-const DURING_THE_UPGRADE: u64 = 22;
+// The steps, of three seconds each, at which the store's next limits come into force. The nodes are upgraded at
+// steps 12, 20 and 28.
+const STEP_AFTER_UPGRADE: u64 = 36;
+const STEP_OF_LAST_NODE: u64 = 28;
+const STEP_DURING_UPGRADE: u64 = 22;
 
-fn upgrade(
+/// Plays a rolling upgrade in which the store's limits are lowered at the step `limits_at`, and checks that every
+/// accepted job is served.
+fn play_upgrade(
     seed: u64,
     faults: Faults,
     limits: (usize, usize, u32),
-    fall_at: u64,
+    limits_at: u64,
 ) -> Result<Simulation, InvariantViolation> {
-    let mut w = Simulation::new(seed, faults, Micros::from_secs(150));
-    w.next_store_limits = Some(limits);
-    for n in &mut w.nodes {
-        n.runs_version_0 = true;
+    let mut simulation = Simulation::new(seed, faults, Micros::from_secs(150));
+    simulation.next_store_limits = Some(limits);
+    for node in &mut simulation.nodes {
+        node.runs_version_0 = true;
     }
     let mut ids: Vec<String> = Vec::new();
-    for i in 0..60u64 {
-        w.run(Micros::from_secs(i * 3))?;
-        // One after the other, the leader at a different turn in each history.
-        if matches!(i, 12 | 20 | 28) {
-            let n = ((i / 8 + seed) % 3) as usize;
-            w.crash(n);
-            w.nodes[n].runs_version_0 = false;
+    for step in 0..60u64 {
+        simulation.run(Micros::from_secs(step * 3))?;
+        // The nodes are upgraded one after the other; the turn of the leader depends on the seed.
+        if matches!(step, 12 | 20 | 28) {
+            let node = ((step / 8 + seed) % 3) as usize;
+            simulation.crash(node);
+            simulation.nodes[node].runs_version_0 = false;
         }
-        if i == AFTER_THE_UPGRADE {
-            assert!(w.nodes.iter().all(|n| !n.runs_version_0));
+        if step == STEP_AFTER_UPGRADE {
+            assert!(simulation.nodes.iter().all(|node| !node.runs_version_0));
         }
-        if i == fall_at {
-            w.store.limits = Some(limits);
+        if step == limits_at {
+            simulation.store.limits = Some(limits);
         }
-        let id = format!("job-{seed:03}{i:03}0");
-        let mut spec = w.draw_job();
-        // Nothing new is asked of the service before all have the new version.
-        if i > 30 && spec.kind != JobKind::Service && w.random_below(3) == 0 {
-            let at = w.random_below(ids.len() as u64) as usize;
-            let named = ids.get(at).filter(|n| w.jobs[*n].is_accepted);
-            let named = named.filter(|n| w.jobs[*n].spec.kind != JobKind::Service);
-            spec.dependencies.extend(named.cloned());
+        let id = format!("job-{seed:03}{step:03}0");
+        let mut spec = simulation.draw_job();
+        // Jobs with dependencies, a new feature, are submitted only after all nodes run the new version.
+        if step > 30 && spec.kind != JobKind::Service && simulation.random_below(3) == 0 {
+            let index = simulation.random_below(ids.len() as u64) as usize;
+            let dependency = ids.get(index).filter(|id| simulation.jobs[*id].is_accepted);
+            let dependency =
+                dependency.filter(|id| simulation.jobs[*id].spec.kind != JobKind::Service);
+            spec.dependencies.extend(dependency.cloned());
         }
-        w.submit(&id, spec);
+        simulation.submit(&id, spec);
         ids.push(id);
-        if w.random_below(5) == 0 {
-            let at = w.random_below(ids.len() as u64) as usize;
-            w.cancel(&ids[at].clone());
+        if simulation.random_below(5) == 0 {
+            let index = simulation.random_below(ids.len() as u64) as usize;
+            simulation.cancel(&ids[index].clone());
         }
     }
-    w.heal();
-    w.run(Micros::from_secs(400))?;
+    simulation.heal();
+    simulation.run(Micros::from_secs(400))?;
     for id in &ids {
-        if w.jobs[id].spec.kind == JobKind::Service || w.jobs[id].always_fails {
-            w.cancel(id);
+        if simulation.jobs[id].spec.kind == JobKind::Service || simulation.jobs[id].always_fails {
+            simulation.cancel(id);
         }
     }
-    w.run(Micros::from_secs(800))?;
-    for (id, j) in w.jobs.iter().filter(|(_, j)| j.is_accepted) {
-        let off = j.cancelled_at.or(j.dependency_cancelled_at).is_some();
-        if off && w.running_tasks(id) > 0 {
+    simulation.run(Micros::from_secs(800))?;
+    for (id, job) in simulation.jobs.iter().filter(|(_, job)| job.is_accepted) {
+        let is_cancelled = job.cancelled_at.or(job.dependency_cancelled_at).is_some();
+        if is_cancelled && simulation.running_tasks(id) > 0 {
             return Err(unserved(id, "was cancelled and still runs"));
         }
-        if !off && j.spec.kind != JobKind::Service && !w.is_done(id) {
+        if !is_cancelled && job.spec.kind != JobKind::Service && !simulation.is_done(id) {
             return Err(unserved(id, "is not done"));
         }
     }
-    Ok(w)
+    Ok(simulation)
 }
 
 fn unserved(id: &str, text: &str) -> InvariantViolation {
     InvariantViolation::new(Invariant::Unserved, format!("{id} {text}")).of_job(id)
 }
 
-fn many(seeds: std::ops::Range<u64>, faults: Faults) {
+/// Plays one upgrade per seed, with lower limits after it, and checks that the store rejects at most three
+/// transactions as too large.
+fn check_seeds(seeds: std::ops::Range<u64>, faults: Faults) {
     for seed in seeds {
-        // A description of a job still fits; a third of the operations and changes are left.
-        let end = upgrade(seed, faults, (700, 3, 20), AFTER_THE_UPGRADE);
-        let w = end.unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        // A job's record still fits; a third of the operations per transaction and of the changes per second
+        // remain.
+        let result = play_upgrade(seed, faults, (700, 3, 20), STEP_AFTER_UPGRADE);
+        let simulation = result.unwrap_or_else(|error| panic!("seed {seed}: {error}"));
         assert!(
-            w.store.rejected_as_too_large <= 3,
+            simulation.store.rejected_as_too_large <= 3,
             "seed {seed}: {}",
-            w.store.rejected_as_too_large
+            simulation.store.rejected_as_too_large
         );
     }
 }
 
 #[test]
 fn lower_store_limits_after_a_rolling_upgrade_break_no_invariant() {
-    many(0..8, Faults::default());
+    check_seeds(0..8, Faults::default());
 }
 
 #[test]
-fn crashes_into_the_old_version_during_an_upgrade_break_no_invariant() {
-    let f = Faults {
+fn restarts_with_the_old_version_during_an_upgrade_break_no_invariant() {
+    let faults = Faults {
         crashes: true,
         machine_failures: true,
         ..Faults::default()
     };
-    many(20..30, f);
+    check_seeds(20..30, faults);
 }
 
 #[test]
 fn outages_partitions_and_lost_answers_during_an_upgrade_break_no_invariant() {
-    let f = Faults {
+    let faults = Faults {
         controller_partitions: true,
         store_outages: true,
         lost_answers: true,
         delayed_writes: true,
         ..Faults::default()
     };
-    many(40..50, f);
+    check_seeds(40..50, faults);
 }
 
-/// The limits fall in the moment in which the last node is replaced.
+/// The limits are lowered at the moment at which the last node is upgraded.
 #[test]
 fn lower_store_limits_with_the_last_upgraded_node_break_no_invariant() {
-    let f = Faults {
+    let faults = Faults {
         crashes: true,
         ..Faults::default()
     };
     for seed in 60..66 {
-        let end = upgrade(seed, f, (700, 3, 20), WITH_THE_LAST_NODE);
-        let w = end.unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        let result = play_upgrade(seed, faults, (700, 3, 20), STEP_OF_LAST_NODE);
+        let simulation = result.unwrap_or_else(|error| panic!("seed {seed}: {error}"));
         assert!(
-            w.store.rejected_as_too_large <= 3,
+            simulation.store.rejected_as_too_large <= 3,
             "seed {seed}: {}",
-            w.store.rejected_as_too_large
+            simulation.store.rejected_as_too_large
         );
     }
 }
 
-/// The limits fall while a node of the old version is left, which writes larger values and has them turned
-/// down. No rule breaks, and once it is replaced everything is served.
+/// The limits are lowered while one node still runs the old version, which writes larger values that the store
+/// rejects. No invariant is violated, and all jobs are served after that node is upgraded.
 #[test]
 fn lower_store_limits_while_an_old_node_is_left_break_no_invariant() {
     for seed in 70..76 {
-        let end = upgrade(seed, Faults::default(), (700, 3, 20), DURING_THE_UPGRADE);
-        end.unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        let result = play_upgrade(seed, Faults::default(), (700, 3, 20), STEP_DURING_UPGRADE);
+        result.unwrap_or_else(|error| panic!("seed {seed}: {error}"));
     }
 }
 
-/// A site at work on which the node that leads runs protocol version 0 and the others the present one.
-fn led_by_version_0(seed: u64) -> (Simulation, Vec<String>, usize) {
-    let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
-    for n in &mut w.nodes {
-        n.runs_version_0 = true;
+/// Returns a site with running jobs whose leader runs protocol version 0 and whose other nodes run the current
+/// version, the ids of the jobs, and the leader.
+fn site_led_by_version_0(seed: u64) -> (Simulation, Vec<String>, usize) {
+    let mut simulation = Simulation::new(seed, Faults::default(), Micros::ZERO);
+    for node in &mut simulation.nodes {
+        node.runs_version_0 = true;
     }
-    run(&mut w, seed, 5);
+    run_until(&mut simulation, seed, 5);
     let mut ids = Vec::new();
     for i in 0..4 {
         let id = format!("job-{seed:03}{i:02}0");
-        let spec = long_array(&mut w);
-        w.submit(&id, spec);
+        let spec = long_array(&mut simulation);
+        simulation.submit(&id, spec);
         ids.push(id);
     }
-    run(&mut w, seed, 40);
-    let leader = w.leader().expect("a leader");
-    for n in (0..3).filter(|n| *n != leader) {
-        w.crash_for(n, Micros::from_millis(300));
-        w.nodes[n].runs_version_0 = false;
+    run_until(&mut simulation, seed, 40);
+    let leader = simulation.leader().expect("a leader");
+    for node in (0..3).filter(|node| *node != leader) {
+        simulation.crash_for(node, Micros::from_millis(300));
+        simulation.nodes[node].runs_version_0 = false;
     }
-    run(&mut w, seed, 60);
-    assert_eq!(w.leader(), Some(leader), "seed {seed}");
+    run_until(&mut simulation, seed, 60);
+    assert_eq!(simulation.leader(), Some(leader), "seed {seed}");
     for id in &ids {
-        assert!(w.running_tasks(id) > 0, "seed {seed}: {id} does not run");
+        assert!(
+            simulation.running_tasks(id) > 0,
+            "seed {seed}: {id} does not run"
+        );
     }
-    (w, ids, leader)
+    (simulation, ids, leader)
 }
 
-fn run(w: &mut Simulation, seed: u64, until: u64) {
-    if let Err(e) = w.run(Micros::from_secs(until)) {
-        panic!("seed {seed}: {e}");
+fn run_until(simulation: &mut Simulation, seed: u64, until: u64) {
+    if let Err(error) = simulation.run(Micros::from_secs(until)) {
+        panic!("seed {seed}: {error}");
     }
 }
 
-/// Two tasks that run for longer than any of these histories, on any machine.
-fn long_array(w: &mut Simulation) -> JobSpec {
-    let mut spec = w.draw_job();
+/// Returns an array of two tasks that run on any machine for longer than any of these histories.
+fn long_array(simulation: &mut Simulation) -> JobSpec {
+    let mut spec = simulation.draw_job();
     (spec.kind, spec.priority, spec.tasks) = (JobKind::Array, Priority::Normal, 2);
     (spec.zone, spec.one_zone, spec.spread, spec.spot) = (None, false, false, false);
     (spec.need.cpu, spec.need.gpu) = (2_000, 0);
@@ -191,90 +202,93 @@
     spec
 }
 
-/// A leader of version 0 goes on without the state service while every peer says that it has none either.
-/// The state service refuses that leader alone, a new node confirms cancellations, and then it is out for
-/// all: the new nodes don't say so, since the leader may have missed what they confirmed, and the
-/// cancelled tasks end in time.
+/// A leader of version 0 continues without the state service while every peer reports that it has lost it too.
+/// Here the leader alone is partitioned from the state service, a new node confirms cancellations, and then the
+/// state service is down for all nodes. The new nodes don't report the outage, since the leader may have missed
+/// the cancellations, and the cancelled tasks end in time.
 #[test]
-fn a_leader_of_version_0_does_not_outlast_a_cancellation_that_it_missed() {
+fn a_leader_of_version_0_keeps_no_task_whose_cancellation_it_missed() {
     for seed in 80..86 {
-        let (mut w, ids, leader) = led_by_version_0(seed);
-        w.nodes[leader].store_partition_until = w.now.plus(Micros::from_secs(14));
-        run(&mut w, seed, 61);
+        let (mut simulation, ids, leader) = site_led_by_version_0(seed);
+        simulation.nodes[leader].store_partition_until = simulation.now.plus(Micros::from_secs(14));
+        run_until(&mut simulation, seed, 61);
         let peer = (leader + 1) % 3;
         for id in &ids[..2] {
-            assert!(w.cancel_by(peer, id), "seed {seed}");
+            assert!(simulation.cancel_by(peer, id), "seed {seed}");
         }
-        run(&mut w, seed, 62);
-        w.store.is_down = true;
-        run(&mut w, seed, 62 + 78);
+        run_until(&mut simulation, seed, 62);
+        simulation.store.is_down = true;
+        run_until(&mut simulation, seed, 62 + 78);
         assert_eq!(
-            w.running_tasks(&ids[0]) + w.running_tasks(&ids[1]),
+            simulation.running_tasks(&ids[0]) + simulation.running_tasks(&ids[1]),
             0,
             "seed {seed}"
         );
-        w.store.is_down = false;
-        run(&mut w, seed, 200);
+        simulation.store.is_down = false;
+        run_until(&mut simulation, seed, 200);
     }
 }
 
-/// Without a cancellation in question, the new nodes say plainly that they have no state service, and the
-/// tasks outlast the outage under the old leader as they did before the upgrade.
+/// If no cancellation is pending, the new nodes report that they have lost the state service, and the tasks
+/// continue through the outage under the old leader as they did before the upgrade.
 #[test]
-fn a_leader_of_version_0_still_survives_a_common_outage() {
+fn a_leader_of_version_0_without_missed_cancellations_survives_a_common_outage() {
     for seed in 90..94 {
-        let (mut w, ids, leader) = led_by_version_0(seed);
-        w.store.is_down = true;
-        run(&mut w, seed, 60 + 90);
-        assert_eq!(w.leader(), Some(leader), "seed {seed}");
+        let (mut simulation, ids, leader) = site_led_by_version_0(seed);
+        simulation.store.is_down = true;
+        run_until(&mut simulation, seed, 60 + 90);
+        assert_eq!(simulation.leader(), Some(leader), "seed {seed}");
         for id in &ids {
-            assert!(w.running_tasks(id) > 0, "seed {seed}: {id} was lost");
+            assert!(
+                simulation.running_tasks(id) > 0,
+                "seed {seed}: {id} was lost"
+            );
         }
-        w.store.is_down = false;
-        run(&mut w, seed, 200);
+        simulation.store.is_down = false;
+        run_until(&mut simulation, seed, 200);
     }
 }
 
-/// The leadership passes from old to new, back to old and to new again, a job is submitted and one
-/// cancelled under each, and a node comes back old in between.
+/// The leadership alternates between the versions. Two jobs are submitted under each leader and one of them is
+/// cancelled, and nodes restart with the old version in between.
 #[test]
 fn failovers_between_versions_and_back_break_no_invariant() {
     for seed in 100..106 {
-        let mut w = Simulation::new(seed, Faults::default(), Micros::ZERO);
-        for n in &mut w.nodes {
-            n.runs_version_0 = true;
+        let mut simulation = Simulation::new(seed, Faults::default(), Micros::ZERO);
+        for node in &mut simulation.nodes {
+            node.runs_version_0 = true;
         }
-        run(&mut w, seed, 20);
+        run_until(&mut simulation, seed, 20);
         let mut led_by_old = Vec::new();
         let mut ids = Vec::new();
         for round in 0..6u64 {
-            let leader = w.leader().expect("a leader");
-            led_by_old.push(w.nodes[leader].runs_version_0);
+            let leader = simulation.leader().expect("a leader");
+            led_by_old.push(simulation.nodes[leader].runs_version_0);
             for (i, tasks) in [2, 3].into_iter().enumerate() {
                 let id = format!("job-{seed:03}{round}{i}0");
-                let mut spec = long_array(&mut w);
+                let mut spec = long_array(&mut simulation);
                 (spec.tasks, spec.estimate) = (tasks, Micros::from_secs(15));
-                w.submit(&id, spec);
+                simulation.submit(&id, spec);
                 ids.push(id);
             }
-            run(&mut w, seed, 24 + round * 30);
-            w.cancel(&ids[ids.len() - 1].clone());
-            // The next leader is of the other version: those of this one stay away longer.
+            run_until(&mut simulation, seed, 24 + round * 30);
+            simulation.cancel(&ids[ids.len() - 1].clone());
+            // The next leader runs the other version: the nodes of this version stay down longer.
             let next_is_old = led_by_old.len() % 2 == 0;
-            for n in 0..3 {
-                let first = n == (leader + 1) % 3;
-                let away = if first { 300 } else { 16_000 };
-                w.crash_for(n, Micros::from_millis(away));
-                w.nodes[n].runs_version_0 = next_is_old == first;
+            for node in 0..3 {
+                let is_next = node == (leader + 1) % 3;
+                let down_ms = if is_next { 300 } else { 16_000 };
+                simulation.crash_for(node, Micros::from_millis(down_ms));
+                simulation.nodes[node].runs_version_0 = next_is_old == is_next;
             }
-            run(&mut w, seed, 50 + round * 30);
+            run_until(&mut simulation, seed, 50 + round * 30);
         }
         let expected: Vec<bool> = (0..6).map(|round| round % 2 == 0).collect();
         assert_eq!(led_by_old, expected, "seed {seed}");
-        run(&mut w, seed, 600);
+        run_until(&mut simulation, seed, 600);
         for id in &ids {
-            let cancelled = w.jobs[id].cancelled_at.is_some();
-            assert!(w.is_done(id) || cancelled, "seed {seed}: {id}");
+            let cancelled = simulation.jobs[id].cancelled_at.is_some();
+            assert!(simulation.is_done(id) || cancelled, "seed {seed}: {id}");
         }
     }
 }
