--- a/crates/saltpitch-core/src/leadership/answer_bound.rs
+++ b/crates/saltpitch-core/src/leadership/answer_bound.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns the time until which the acknowledgements of `peers` allow the leader to answer agents, or
-    /// `None` if one of these peers has not acknowledged.
+    /// `None` if there are no peers or one of them has not acknowledged.
     pub fn valid_until<'a>(
         &self,
         peers: impl Iterator<Item = &'a str>,
--- a/crates/saltpitch-core/src/scheduler/agent_health.rs
+++ b/crates/saltpitch-core/src/scheduler/agent_health.rs
@@ -34,12 +34,13 @@
 /// Heartbeat intervals of silence, in addition to [`SILENCE_MARGIN`], after which an agent counts as lost
 /// even if no probe has failed.
 const LOST_INTERVALS: f64 = 2.6;
-/// Heartbeat intervals, in addition to [`SILENCE_MARGIN`], within which an agent should have sent its first
-/// heartbeat.
+/// Heartbeat intervals, in addition to [`SILENCE_MARGIN`], within which an agent that answers calls should have
+/// sent its first heartbeat to this leader.
 const FIRST_HEARTBEAT_INTERVALS: f64 = 2.5;
 /// Added to [`LOST_INTERVALS`] and [`FIRST_HEARTBEAT_INTERVALS`].
 const SILENCE_MARGIN: Micros = Micros::from_secs(1);
-/// The fraction of its lease after which the tasks of an agent that does not renew it are evicted.
+/// The fraction of the lease after which tasks are evicted from a machine with an outbound partition, whose
+/// agent does not renew its lease.
 const EVICTION_LEASE_FRACTION: f64 = 0.55;
 
 /// The results of one round of health checks that are acted on after it.
--- a/crates/saltpitch-core/src/scheduler/gang_barrier.rs
+++ b/crates/saltpitch-core/src/scheduler/gang_barrier.rs
@@ -16,7 +16,8 @@
 use crate::job::{JobKind, JobNumber};
 use crate::time::Micros;
 
-/// How long an aged gang keeps the capacity that it found while jobs of its team are blocked.
+/// How long an aged gang may wait at the barrier with the capacity that it found while jobs of its team are
+/// blocked.
 const MAX_HOLD_OF_AGED_GANG: Micros = Micros::from_secs(25);
 /// How long a gang stays parked after it has timed out at the barrier.
 const PARK_TIME_AFTER_TIMEOUT: Micros = Micros::from_secs(1);
@@ -88,14 +89,15 @@
         self.quota.tasks_allowed(job.team, &job.spec.need) >= job.tasks.idle().len() as u64
     }
 
-    /// Returns the quota to reserve for a gang that has waited too long: what its team has left, which
-    /// no job after it in the queue may use until the gang has started.
+    /// Returns the quota to reserve for a starved gang: the rest of its team's limit, or only its accelerators,
+    /// which no job after it in the queue may use in this pass. Each pass reserves it again until the gang
+    /// fits.
     fn quota_to_reserve(&self, job: &Job, now: Micros) -> Option<ReservedQuota> {
         if !self.is_starved(job, now) || job.is_at_fault() || !self.fits_beside_services(job) {
             return None;
         }
-        // Every task takes processors, only some take accelerators: where only these are scarce, only these
-        // are reserved.
+        // Every task needs processors, but only some need accelerators: if the team lacks only accelerators,
+        // only these are reserved.
         let without_accelerators = Resources {
             gpu: 0,
             ..job.spec.need
@@ -189,8 +191,8 @@
         fits.then_some((task, machine.agent.epoch()))
     }
 
-    /// Applies the Permit barrier: once all members are assumed the gang is written to the records;
-    /// until then it waits or is parked.
+    /// Applies the Permit barrier: once all members are assumed, the gang is written to the records. Before
+    /// that it waits, and other tasks are preempted for it, or it is parked.
     fn pass_barrier(&mut self, queued: QueuedJob, waiting_since: Micros, now: Micros) {
         let number = queued.number;
         let Some(job) = self.job_table.get(number) else {
@@ -276,7 +278,7 @@
 }
 
 /// Returns since when the gang has waited at the barrier; a parked gang enters the barrier now. `None`
-/// if the gang is not to be placed in this pass.
+/// if the gang may not be placed in this pass.
 fn barrier_entered_at(job: &Job, now: Micros) -> Option<Micros> {
     // A job's record covers all of its tasks, so either all members of a gang are known or none is.
     if !pre_enqueue(true, job.tasks.len() as u32, job.spec.tasks) {
--- a/crates/saltpitch-core/src/scheduler/interface.rs
+++ b/crates/saltpitch-core/src/scheduler/interface.rs
@@ -32,8 +32,8 @@
     pub next_write_rate: f64,
     /// The size limit of a value: the smaller of the state service's present and next limits.
     pub max_value_bytes: usize,
-    /// The number of machines per second that a leader may request from the cloud. Bursts may have twice as
-    /// many.
+    /// The number of scale-out requests per second that a leader may send to the cloud, each for up to a fixed
+    /// number of machines. A burst may have twice as many requests.
     pub scale_out_rate: f64,
     /// The number of keys that the placement log's segments reuse in turn. At ten segments per second, most
     /// batch jobs should have ended before their entries are overwritten and have to be written again in a
--- a/crates/saltpitch-core/src/scheduler/persistence/commit.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/commit.rs
@@ -10,8 +10,8 @@
 use crate::scheduler::{Effect, SchedulerConfig};
 use crate::time::Micros;
 
-/// Time between two transactions: changes are batched meanwhile, and requests stay within the store's rate
-/// limit.
+/// Time between the commit of a transaction and the next transaction. Changes are batched during this time, and
+/// requests stay within the store's rate limit.
 const TRANSACTION_INTERVAL: Micros = Micros::from_millis(50);
 /// Writes that the write budget must allow before a transaction without urgent changes is composed.
 const MIN_BATCHED_WRITES: f64 = 4.0;
@@ -48,7 +48,7 @@
             .map(|due| due.max(self.next_transaction_at))
     }
 
-    /// Returns when the first change is due, regardless of the delay between transactions.
+    /// Returns when the first change or the reload is due, regardless of the delay between transactions.
     fn writes_due(&self) -> Option<Micros> {
         if self.in_flight.is_some() || (self.outcome_unknown && self.reload_in_flight) {
             return None;
--- a/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/near_image.rs
@@ -10,9 +10,9 @@
 use crate::scheduler::{Job, ObjectiveTarget, Scheduler};
 use crate::time::Micros;
 
-/// The longest time after a job was queued during which capacity is made for it on machines with its image.
+/// The longest time after a job was queued during which tasks are preempted for it on machines with its image.
 const MAX_SEARCH_TIME: Micros = Micros::from_millis(2_500);
-/// How long the job waits for capacity that is being made.
+/// How long the job waits for the capacity that preempted tasks free.
 const WAIT_FOR_CAPACITY: Micros = Micros::from_millis(700);
 /// The time that is allowed for a fetch, as a multiple of the expected time.
 const FETCH_TIME_MARGIN: f64 = 1.3;
@@ -23,8 +23,8 @@
 const SEARCH_SHARE: f64 = 0.5;
 
 impl Scheduler {
-    /// Stops less urgent tasks on machines that have the job's image, until its search time is over.
-    /// Returns whether the job waits for that capacity.
+    /// Stops less urgent tasks on machines that have the job's image: once in any case, and again until its
+    /// search time is over. Returns whether the job waits for that capacity.
     pub(in crate::scheduler) fn preempt_near_image(
         &mut self,
         queued: QueuedJob,
@@ -33,7 +33,7 @@
         let Some(job) = self.job_table.get(queued.number) else {
             return false;
         };
-        // The search is repeated as long as a start there would be sooner than after a fetch elsewhere.
+        // The search is repeated after each wait for capacity, until the search time is over.
         if let Some(until) = job.backoff.near_image_until {
             if now < until || now.since(job.times.queued_at) > self.search_time(job) {
                 return now < until;
@@ -64,7 +64,8 @@
 
     /// Returns how long after the job was queued machines with its image are searched for capacity. If
     /// a fetch elsewhere could be in time for the job's objective, the search ends early enough for that
-    /// fetch; otherwise it takes half of the time within which the job should start.
+    /// fetch; otherwise it takes half of the time within which the job should start. It never takes longer than
+    /// [`MAX_SEARCH_TIME`].
     fn search_time(&self, job: &Job) -> Micros {
         let types = self.catalog.types.iter();
         let suitable = types.filter(|machine_type| {
--- a/crates/saltpitch-core/src/scheduler/queue_order.rs
+++ b/crates/saltpitch-core/src/scheduler/queue_order.rs
@@ -1,8 +1,9 @@
 //! The order in which waiting jobs are served.
 //!
 //! Jobs are ordered by rank first: production, then work within its team's quota, then by priority and by
-//! which service-level objectives can still be met. Within a rank the job with the least remaining work is
-//! served first, and ageing bounds the wait of the largest.
+//! which service-level objectives can still be met. Within a rank, jobs of high priority come first, then the
+//! job with the least remaining work, and ageing bounds the wait of the largest. Gangs are ordered by the time
+//! left to them instead.
 
 use super::job_table::classes::Class;
 use super::{Job, ObjectiveTarget, Scheduler};
@@ -10,20 +11,21 @@
 use crate::job::{JobKind, JobNumber, Priority};
 use crate::time::Micros;
 
-/// Each time that a job has waited for this long, its remaining work counts half as much.
+/// The wait after which a job's remaining work counts half as much; it is halved again after each further
+/// wait of this length.
 const AGEING_HALF_LIFE: Micros = Micros::from_secs(60);
-/// A large array or service counts as starved if nothing of it was placed for this long; it is then served
-/// before all jobs that are not pressing.
+/// A large array or service counts as starved if none of its tasks was placed for this long. Unless a higher
+/// rank applies to it, it is then served first among the pressing jobs.
 const STARVED_AFTER: Micros = Micros::from_secs(140);
-/// The same for jobs that are not large for their class, since they don't count as pressing once they
-/// are late.
+/// The same for jobs that are not large for their class. They need a limit too, since a late job no longer
+/// counts as pressing.
 const SMALL_JOB_STARVED_AFTER: Micros = Micros::from_secs(300);
-/// The same for large gangs. A gang needs its whole capacity at once, so a starved one is served before all
-/// work of its team except production.
+/// The same for large gangs. A gang needs its whole capacity at once, so a starved one ranks with the work
+/// within quota, first among the jobs there whose priority is as high as its own.
 const LARGE_GANG_STARVED_AFTER: Micros = Micros::from_secs(170);
 /// A job is large if it has more tasks than this many times the mean of its class.
 const LARGE_JOB_RATIO: f64 = 1.5;
-/// A job of which nothing runs uses any capacity that fits after this wait.
+/// A job may use any capacity that fits if none of its tasks is placed and none was for this long.
 const BLOCKED_AFTER: Micros = Micros::from_secs(60);
 /// A gang that has waited for this long keeps the capacity that it finds.
 const GANG_AGED_AFTER: Micros = Micros::from_secs(20);
@@ -57,7 +59,7 @@
     pub number: JobNumber,
     /// Whether it fits into its team's quota together with the team's older jobs.
     pub within_quota: bool,
-    /// The time left until it has to start; `None` if it is late or has no objective.
+    /// The time left until it has to start; `None` if it is late, has no objective or runs for another cell.
     pub slack: Option<Micros>,
 }
 
@@ -159,8 +161,8 @@
 
     /// Returns the job's key in the queue. When not all jobs can be served in time, serving the smallest
     /// first meets the most objectives; but the largest must not wait indefinitely behind a stream of small
-    /// ones. So the time since a job was last served reduces the work that it counts with, until it is the
-    /// first of its rank.
+    /// ones. The remaining work in the key is therefore reduced with the time since a task of the job was last
+    /// placed, until the job is the first of its rank. For gangs, [`gang_key`] takes its place.
     fn queue_key(
         &self,
         number: JobNumber,
@@ -187,8 +189,9 @@
         }
     }
 
-    /// Whether the job has idle tasks and none of its tasks was placed for so long that it is served next,
-    /// late or large as it may be. Every job is subject to such a limit, so that none waits without bound.
+    /// Whether the job has idle tasks and none of its tasks was placed for so long that it is served first in
+    /// its rank, even if it is late or large. Every kind of job has such a limit, so that none waits without
+    /// bound.
     pub(super) fn is_starved(&self, job: &Job, now: Micros) -> bool {
         let class = self.job_table.classes.get(job.class);
         let mean = class.map_or(0.0, Class::mean_tasks);
@@ -222,8 +225,8 @@
     }
 
     /// Whether no task of this job is placed and none was for so long that the job may use any capacity
-    /// that fits. No job is to wait while a machine has room for it, even a machine that is kept for
-    /// others.
+    /// that fits. Such a job must not wait while a machine has room for it, even a machine that is reserved
+    /// for other jobs.
     pub(super) fn is_blocked(&self, job: &Job, now: Micros) -> bool {
         job.tasks.placed() == 0 && now.since(job.times.waiting_since()) > BLOCKED_AFTER
     }
--- a/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unresponsive_machines.rs
@@ -1,8 +1,8 @@
-//! The decision which unresponsive machines are returned to the cloud.
+//! Decides which unresponsive machines are returned to the cloud.
 //!
 //! The return of a machine fences its agent sooner than the expiry of the agent's lease does. If many machines
-//! are unresponsive at once, or no agent of a zone is heard, a partition is the likely cause: then the
-//! machines are not returned, and their tasks are released when the leases expire.
+//! are unresponsive at once, or neither an agent nor a controller of a zone is reachable, a partition is the
+//! likely cause: then the machines are not returned, and their tasks are released when the leases expire.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -75,8 +75,8 @@
 type UnresponsiveCounts = HashMap<(Arc<str>, bool), usize>;
 
 impl Scheduler {
-    /// Returns to the cloud those of the unresponsive machines that seem to have failed on their own, rather
-    /// than to be unresponsive because of a partition.
+    /// Returns to the cloud those of the unresponsive machines that seem to have failed on their own. The
+    /// others may be unresponsive because of a partition.
     pub(super) fn return_unresponsive(&mut self, unresponsive: &[Arc<str>], now: Micros) {
         let max_silence = self
             .config
@@ -115,14 +115,14 @@
         counts
     }
 
-    /// Returns the time span within which another machine must have been heard to prove that this machine
+    /// Returns the time span within which another machine must have been last heard to prove that this machine
     /// failed on its own.
     ///
-    /// A machine that was heard before this one's next heartbeat was due proves nothing about a partition
-    /// that began in between. The last failed probe proves something only if another machine was heard by
-    /// the time it was sent: a whole zone, or this controller, may just have been partitioned, or its
-    /// partition may just be ending. If this machine is heard but receives no answers, it is enough that
-    /// others of its zone do receive them since.
+    /// A machine that was last heard before this one's next heartbeat counted as missed proves nothing about a
+    /// partition that began in between. The last failed probe proves something only if another machine was last
+    /// heard by the time it was sent: a whole zone, or this controller, may just have been partitioned, or its
+    /// partition may just be ending. If this machine is heard but has received no answers since some time, it
+    /// is enough that machines that do receive answers were heard after that time.
     fn evidence_span(&self, machine: &Machine, now: Micros) -> Span {
         let interval = self.config.heartbeat_interval;
         let connectivity = &machine.connectivity;
@@ -142,7 +142,8 @@
     }
 
     /// Returns whether a spot machine seems to have failed on its own. The cloud reclaims spot machines many
-    /// at a time, so one heard machine of the zone is enough evidence.
+    /// at a time, so one heard machine of the zone is enough evidence. Without one, a reachable controller of
+    /// the zone and enough heard machines in all zones are.
     fn has_spot_machine_failed(
         &self,
         machine: &Machine,
@@ -157,7 +158,9 @@
     }
 
     /// Returns whether an ordinary machine seems to have failed on its own. Ordinary machines fail one by
-    /// one, so the more of them are unresponsive in a zone, the more machines must have been heard there.
+    /// one, so the more of them are unresponsive in a zone, the more machines must have been heard there. For
+    /// the only unresponsive one in a zone, a reachable controller of the zone and any heard machine are enough;
+    /// the latter is not required if there is no other machine.
     fn has_ordinary_machine_failed(
         &self,
         machine: &Machine,
