--- a/crates/saltpitch-core/src/policy/error.rs
+++ b/crates/saltpitch-core/src/policy/error.rs
@@ -25,7 +25,7 @@
 pub struct PolicyError {
     /// The position of the error.
     pub position: Position,
-    /// What is wrong.
+    /// The cause of the error.
     pub reason: PolicyErrorReason,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// What is wrong with a policy's text.
+/// The cause of an error in a policy's text.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PolicyErrorReason {
     /// A number that cannot be parsed.
@@ -116,7 +116,7 @@
     InvalidConstant {
         /// The rule.
         rule: &'static str,
-        /// What is wrong with the value.
+        /// The cause of the error in the value.
         error: EvaluationError,
     },
 }
--- a/crates/saltpitch-core/src/preemption.rs
+++ b/crates/saltpitch-core/src/preemption.rs
@@ -15,8 +15,8 @@
 }
 
 /// Selects a cheap set of victims on one machine that frees `need`, and returns their loss and the
-/// victims; `None` if all of them are not enough. `free` is what is free there now or will be once the
-/// tasks that are already being stopped are gone.
+/// victims; `None` if all of them are not enough. `free` is the capacity that is free there now or
+/// will be once the tasks that are already being stopped are gone.
 pub fn cheapest_victims<T: Copy>(
     need: &Resources,
     free: Resources,
--- a/crates/saltpitch-core/src/quota.rs
+++ b/crates/saltpitch-core/src/quota.rs
@@ -96,7 +96,7 @@
         self.teams.get(index).map(|team| &team.limits)
     }
 
-    /// Returns what a team's tasks may be using now.
+    /// Returns the resources that a team's tasks may be using now.
     pub fn used(&self, index: usize) -> Resources {
         let team = self.teams.get(index);
         team.map(|team| team.used).unwrap_or_default()
--- a/crates/saltpitch-core/src/records/record_cache/implicit_cancellations.rs
+++ b/crates/saltpitch-core/src/records/record_cache/implicit_cancellations.rs
@@ -12,7 +12,7 @@
     /// The active jobs that depend on a job, by that job's id.
     dependents: HashMap<String, Vec<String>>,
     /// The jobs that depend on a cancelled job, directly or indirectly, and are not recorded as cancelled yet. None
-    /// of them has ever started a task, because its dependencies were never all done, and none ever will.
+    /// of them has started a task or will start one, because their dependencies are never all done.
     implicitly_cancelled: HashSet<String>,
 }
 
--- a/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
+++ b/crates/saltpitch-core/src/scheduler/accelerator_sharing.rs
@@ -1,8 +1,7 @@
 //! Work without accelerators on machines that have some.
 //!
-//! Accelerators are expensive. Other work uses the processors beside them only while such a machine is
-//! kept for jobs that need the accelerators, and is stopped once the machine is no longer kept for
-//! them.
+//! Accelerators are expensive. Other work uses the processors of such a machine only while the machine is
+//! kept for jobs that need the accelerators, and is stopped once the machine is no longer kept for them.
 
 use std::sync::Arc;
 
@@ -29,8 +28,8 @@
             .is_contested_for(spec, size)
     }
 
-    /// Whether the job may use the machine's processors beside accelerators that other jobs need: only
-    /// while the machine is kept for those jobs anyway.
+    /// Whether the job may use the machine's processors although other jobs need its accelerators: only
+    /// while the machine is kept for those jobs in any case.
     pub(super) fn may_share_accelerators(
         &self,
         spec: &JobSpec,
@@ -52,7 +51,7 @@
 
     /// Stops tasks without accelerators on machines whose accelerators have not been needed for as long
     /// as such a machine is kept, so that the machines can be returned. In an incident, five-minute
-    /// simulations had been placed beside accelerators and occupied fifty of the most expensive
+    /// simulations had been placed on machines with accelerators and occupied fifty of the most expensive
     /// machines long after the last job that needed them had ended.
     pub(super) fn end_accelerator_sharing(&mut self, now: Micros) {
         let mut candidates = Vec::new();
--- a/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/provisioning_times.rs
@@ -42,7 +42,7 @@
     ordered_at: Micros,
     /// When the machine sent its first heartbeat.
     up_at: Micros,
-    /// The time from the order until then, as a multiple of the type's boot time.
+    /// The time from the order to the first heartbeat, as a multiple of the type's boot time.
     boot_ratio: f64,
 }
 
--- a/crates/saltpitch-core/src/scheduler/autoscaler/refusals.rs
+++ b/crates/saltpitch-core/src/scheduler/autoscaler/refusals.rs
@@ -47,7 +47,7 @@
         self.by_pool.insert(pool, Refusal { until, count: 0 });
     }
 
-    /// Forgets the refusals of a pool of which the cloud has machines again.
+    /// Removes the refusals of a pool for which the cloud has machines again.
     pub(super) fn clear(&mut self, pool: &MachinePoolKey) {
         self.by_pool.remove(pool);
     }
--- a/crates/saltpitch-core/src/scheduler/command_retries.rs
+++ b/crates/saltpitch-core/src/scheduler/command_retries.rs
@@ -16,9 +16,9 @@
 struct RetryFindings {
     /// Machines on which every command has shown its effect.
     settled: Vec<Arc<str>>,
-    /// Machines to which commands are to be sent again.
+    /// Machines to which commands must be sent again.
     retried: Vec<Arc<str>>,
-    /// Whether the term is to be raised. An agent that has seen the new term ignores earlier starts.
+    /// Whether the term must be raised. An agent that has seen the new term ignores earlier starts.
     needs_higher_term: bool,
 }
 
--- a/crates/saltpitch-core/src/scheduler/consolidation.rs
+++ b/crates/saltpitch-core/src/scheduler/consolidation.rs
@@ -19,7 +19,7 @@
 const PEAK_OVER_AFTER: Micros = Micros::from_secs(20);
 /// Machines of one group that are searched for capacity for a replica.
 const TARGETS_PER_GROUP: usize = 24;
-/// A machine of which a larger part of the processors is used, in tenths, is not emptied.
+/// The largest used share of a machine's processors, in tenths, at which the machine may be emptied.
 const MAX_USED_TENTHS: u64 = 7;
 /// Factor for prices, so that the integer price of a processor keeps enough digits.
 const PRICE_SCALE: u64 = 1_000_000;
--- a/crates/saltpitch-core/src/scheduler/delegation.rs
+++ b/crates/saltpitch-core/src/scheduler/delegation.rs
@@ -1,8 +1,8 @@
 //! Jobs that this cell delegates to another one, and jobs that it runs for others.
 //!
 //! A delegated job is in no queue: no machine is ordered and no task is placed or preempted for it. Its record
-//! alone makes a job delegated, whoever wrote the record; [`Scheduler::reserve_for_delegation`] only keeps the
-//! job from being placed while that record is being written.
+//! alone makes a job delegated, no matter which controller wrote it; [`Scheduler::reserve_for_delegation`] only
+//! keeps the job from being placed while that record is being written.
 
 use std::sync::Arc;
 
--- a/crates/saltpitch-core/src/scheduler/persistence/segments.rs
+++ b/crates/saltpitch-core/src/scheduler/persistence/segments.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns the segment's record. For each job with an allocation, a precondition requires its record to be
-    /// unchanged, so that no task of a job that has been cancelled meanwhile is placed.
+    /// unchanged, so that no task is placed if its job was cancelled in the meantime.
     fn segment_record(
         &self,
         entries: BTreeMap<JobNumber, Vec<SegmentEntry>>,
--- a/crates/saltpitch-core/src/scheduler/placement_pass.rs
+++ b/crates/saltpitch-core/src/scheduler/placement_pass.rs
@@ -160,8 +160,8 @@
         scored.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// Returns machines whose free capacity holds a task. Of each group no more machines are examined than
-    /// can be of use, the fullest first.
+    /// Returns machines whose free capacity holds a task. In each group the fullest machines are
+    /// examined first, and no more of them than the search can use.
     fn machines_with_capacity(
         &mut self,
         spec: &JobSpec,
--- a/crates/saltpitch-core/src/scheduler/preemption/mod.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/mod.rs
@@ -47,7 +47,7 @@
         if now < job.backoff.preempt_after || wanted == 0 {
             return;
         }
-        // Other work is stopped for jobs that can still be in time, not for those that are late anyway.
+        // Other work is stopped for jobs that can still be in time, not for those that are already late.
         if spec.priority < Priority::High && !queued.within_quota && queued.slack.is_none() {
             return;
         }
--- a/crates/saltpitch-core/src/scheduler/preemption/options.rs
+++ b/crates/saltpitch-core/src/scheduler/preemption/options.rs
@@ -132,7 +132,7 @@
         if !queued.within_quota || other.spec.team == spec.team {
             return false;
         }
-        // Production work is not stopped for a quota: services are never cheap to move, since users
+        // Production work is not stopped for a quota: moving a service is always costly, since users
         // notice it.
         let exceeds_quota = || {
             let team = self.quota.team(other.team);
--- a/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
+++ b/crates/saltpitch-core/src/scheduler/unreachable_machines.rs
@@ -1,9 +1,9 @@
 //! Machines that this leader can't reach. While there are too many of them, the leader does not know the
 //! site's capacity well enough to scale out.
 //!
-//! This guards against a fault seen in an incident: a leader that was partitioned from its agents took all
-//! capacity for lost, and ordered 231 of the most expensive machines in the eight seconds before it resigned.
-//! Its successor, which had not heard any agent yet, continued to order.
+//! This guards against a fault seen in an incident: a leader that was partitioned from its agents
+//! considered all capacity lost, and ordered 231 of the most expensive machines in the eight seconds before it
+//! resigned. Its successor, which had not heard any agent yet, continued to order.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -79,7 +79,7 @@
 
 impl Scheduler {
     /// Returns whether too many machines are unreachable, and have been for at most the duration of a lease.
-    /// After that their tasks are lost, whatever the cause, and have to run on other machines.
+    /// After that their tasks are lost regardless of the cause, and must run on other machines.
     pub(super) fn too_many_unreachable(&mut self, now: Micros) -> bool {
         self.inventory
             .too_many_unreachable(self.config.agent_lease, now)
